--- a/daemon/fleet/src/callEndpoint.ts
+++ b/daemon/fleet/src/callEndpoint.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@forkstage/clock'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { exchangeWhole, type WholeOutcome } from '@forkstage/gateway'
+import { fetchAnswer, type FetchOutcome } from '@forkstage/gateway'
 import type { EndpointCall } from './controlWire'
 
 const CONNECT_MS = 400
@@ -13,8 +13,8 @@
   to: RegisteredEndpoint,
   call: EndpointCall,
   clock: Clock,
-): Promise<WholeOutcome> {
-  return exchangeWhole({
+): Promise<FetchOutcome> {
+  return fetchAnswer({
     address: to.address,
     ...call,
     rawHeaders: [
@@ -27,7 +27,7 @@
       'close',
     ],
     connectMs: CONNECT_MS,
-    withinMs: ANSWER_WITHIN_MS,
+    timeoutMs: ANSWER_WITHIN_MS,
     clock,
     maxBytes: MAX_ANSWER_BYTES,
   })
--- a/daemon/fleet/src/controlWire.ts
+++ b/daemon/fleet/src/controlWire.ts
@@ -1,6 +1,6 @@
 import type { RecallAnswer } from './recalledEndpoint'
 import type { RegisteredEndpoint, Stage } from '@forkstage/directory'
-import type { WholeOutcome } from '@forkstage/gateway'
+import type { FetchOutcome } from '@forkstage/gateway'
 import type { RoutedService, RouteSheet } from '@forkstage/routes'
 import type { Address } from '@forkstage/types'
 
@@ -62,5 +62,5 @@
   /** Asks an endpoint that was known before this machine's start whether it takes work. */
   recallCall(endpoint: RegisteredEndpoint, service: RoutedService): EndpointCall
   /** What the answer to {@link recallCall} says. */
-  readRecall(answer: Extract<WholeOutcome, { type: 'answer' }>): RecallAnswer
+  readRecall(answer: Extract<FetchOutcome, { type: 'answer' }>): RecallAnswer
 }
--- a/daemon/fleet/src/entryCrashes.ts
+++ b/daemon/fleet/src/entryCrashes.ts
@@ -70,11 +70,11 @@
     })
   }
 
-  noteLost(sending: LostSending): void {
+  recordLoss(sending: LostSending): void {
     this.watch.noteLost(sending)
   }
 
-  noteServed(content: () => ContentDigest): void {
+  recordServed(content: () => ContentDigest): void {
     this.noteOwn(this.options.book.noteServed(content()))
   }
 
@@ -117,12 +117,12 @@
     return answer ?? { type: 'anywhere' }
   }
 
-  noteTurnEnd(content: ContentDigest, service: string, request: string): void {
+  endTurn(content: ContentDigest, service: string, request: string): void {
     const records = this.options.book.recordsOf([content])
     this.options.way.notify(TRIAL_END, { service, content, turnOf: request, records })
   }
 
-  noteIsolatedEnd(content: ContentDigest, service: string, endpoint: InstanceId): void {
+  endIsolated(content: ContentDigest, service: string, endpoint: InstanceId): void {
     this.options.way.notify(TRIAL_END, { service, content, endpoint })
   }
 
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -13,7 +13,7 @@
   LeaderWay,
   LocalPlacer,
   RemotePlacer,
-  RetryAllowance,
+  RetryBudget,
   WorkspaceGate,
   type GatewayWire,
 } from '@forkstage/gateway'
@@ -131,7 +131,7 @@
       isKnown: (raw) => this.directory.isKnown(raw),
     })
     const entries = () => this.follower.entries() || ENTRIES_UNTIL_KNOWN
-    const allowance = new RetryAllowance({
+    const allowance = new RetryBudget({
       clock,
       share: settings.retry.share,
       slack: settings.retry.slack,
@@ -180,7 +180,7 @@
         wire: wire.gateway,
         pool: this.pool,
         placer: this.placer,
-        allowance,
+        retryBudget: allowance,
         entries: () => this.follower.entries() || 1,
         cold: this.coldGate,
         limits: this.limits.gate,
@@ -190,7 +190,7 @@
         crashes: this.crashes,
         sendRules: [
           (to) => (isEvacuated(to) ? EVACUATED : undefined),
-          (to, { isolatedAt }) => (isKeptFree(to) && isolatedAt !== to.id ? KEPT_FREE : undefined),
+          (to, { isolatedId }) => (isKeptFree(to) && isolatedId !== to.id ? KEPT_FREE : undefined),
           homeRule(topology),
         ],
         clock,
--- a/daemon/fleet/src/stageOrders.ts
+++ b/daemon/fleet/src/stageOrders.ts
@@ -1,7 +1,7 @@
 import type { AllocatorService, StageChange } from '@forkstage/allocator'
 import { every, type CancelTimer, type Clock } from '@forkstage/clock'
 import { nameOf, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
-import type { WholeOutcome } from '@forkstage/gateway'
+import type { FetchOutcome } from '@forkstage/gateway'
 import type { Logger } from '@forkstage/logger'
 import type { RouteSheet } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
@@ -138,12 +138,12 @@
   }
 
   /** What an engine says of itself; undefined where a later life of it answers, of which this one's says nothing. */
-  private readReport(to: RegisteredEndpoint, asked: WholeOutcome): EngineReport | undefined {
+  private readReport(to: RegisteredEndpoint, asked: FetchOutcome): EngineReport | undefined {
     const report = asked.type === 'answer' ? this.options.wire.readReport(asked.body) : undefined
     return report?.born === undefined || to.born === undefined || report.born === to.born ? report : undefined
   }
 
-  private call(to: RegisteredEndpoint, call: EndpointCall): Promise<WholeOutcome> {
+  private call(to: RegisteredEndpoint, call: EndpointCall): Promise<FetchOutcome> {
     return callEndpoint(to, call, this.options.clock)
   }
 }
--- a/daemon/fleet/test/entryCrashes.test.ts
+++ b/daemon/fleet/test/entryCrashes.test.ts
@@ -70,7 +70,7 @@
   expect(decide('never seen')).toBe('serialize')
   const endpoint = fullEndpoint({ address: '127.0.0.1:9' }, 0)
   const lose = (request: string) =>
-    crashes.noteLost({ request, content: 'lost' as ContentDigest, endpoint, isBroken: true, afterMs: 5 })
+    crashes.recordLoss({ request, content: 'lost' as ContentDigest, endpoint, isBroken: true, afterMs: 5 })
   expect(decide('lost', ['i-0', 'i-0'])).toBe('serialize')
   lose('r1')
   expect(decide('lost', ['i-0', 'i-0'])).toBe('await-confirmation')
--- a/request/gateway/src/callerStream.ts
+++ b/request/gateway/src/callerStream.ts
@@ -41,7 +41,7 @@
 
   /** Passes on the events that the caller does not have yet. */
   passEvents(head: AnswerHead, events: StreamEvent[]): void {
-    this.pauses.note(this.clock.now())
+    this.pauses.recordEvents(this.clock.now())
     const isFirst = this.head === undefined
     if (isFirst) this.begin(head)
     for (const event of events) {
--- a/request/gateway/src/cancelWhenEnded.ts
+++ b/request/gateway/src/cancelWhenEnded.ts
@@ -5,7 +5,7 @@
 import type { RelayParts } from './relayParts'
 
 /** Events of an engine at work follow each other within some ten milliseconds; sheets allow pauses of 300 ms. */
-const SILENT_MS: Millis = 400
+const MAX_SILENCE_MS: Millis = 400
 
 /**
  * Cancels an exchange whose endpoint is said to have ended, once nothing comes from it any more. What other machines
@@ -17,17 +17,17 @@
   to: PooledEndpoint,
   exchange: Exchange,
 ): () => void {
-  let cancelLook: CancelTimer = () => undefined
+  let cancelCheck: CancelTimer = () => undefined
   const unwatch = pool.onEnded(to, (reason) => {
-    const look = () => {
-      const leftMs = SILENT_MS - exchange.silentMs()
+    const check = () => {
+      const leftMs = MAX_SILENCE_MS - exchange.silentMs()
       if (leftMs <= 0) exchange.cancel(reason)
-      else cancelLook = clock.after(leftMs, look)
+      else cancelCheck = clock.after(leftMs, check)
     }
-    look()
+    check()
   })
   return () => {
     unwatch()
-    cancelLook()
+    cancelCheck()
   }
 }
--- a/request/gateway/src/coldGate.ts
+++ b/request/gateway/src/coldGate.ts
@@ -4,7 +4,7 @@
 import type { Millis } from '@forkstage/types'
 import type { PooledEndpoint } from './endpointPool'
 import { OwnShares } from './ownShares'
-import type { SendStep } from './sendCount'
+import type { SendStep } from './sendCounter'
 import { StepGrants } from './stepGrants'
 
 /** Options of {@link ColdGate}. */
@@ -55,7 +55,12 @@
     const note = (step: SendStep, endpoint: InstanceId, withinMs: Millis | undefined) => {
       if (!this.isCold(endpoint) && withinMs === undefined) return
       const untilMs = decidedAt + (withinMs ?? WARM_WORD_MS)
-      this.grants.put(request, step, { endpoint, askedAt, untilMs, isUnbound: withinMs === undefined })
+      this.grants.add(request, step, {
+        endpoint,
+        requestedAt: askedAt,
+        untilMs,
+        isUnrestricted: withinMs === undefined,
+      })
     }
     if (prefill !== undefined) note('prefill', prefill, cold?.prefillMs)
     note('decode', decode, cold?.decodeMs)
@@ -90,7 +95,7 @@
 
   private useGrant({ id }: RegisteredEndpoint, request: string, step: SendStep): boolean {
     const counted = this.grants.use(request, step, id)
-    return counted !== undefined && !(counted.isUnbound && this.options.hasSaid(id))
+    return counted !== undefined && !(counted.isUnrestricted && this.options.hasSaid(id))
   }
 
   /** Whether this entry's own share has room for a request now. */
--- a/request/gateway/src/afterTry.ts
+++ b/request/gateway/src/decideRetry.ts
@@ -5,10 +5,10 @@
  * How a try at an answer failed. `refused`: no place, no sending is left, or nothing there may be used now. `not-run`: an
  * engine that was sent to proves that it did not run, `arrived` where it says so itself. `lost`: an engine has broken off.
  */
-export type FailedTry = { type: 'refused' } | { type: 'not-run'; arrived: boolean } | { type: 'lost' }
+export type AttemptFailure = { type: 'refused' } | { type: 'not-run'; arrived: boolean } | { type: 'lost' }
 
 /** What is known when a try has failed. */
-export interface TryState {
+export interface RetryState {
   /** Whether the caller has the head of its answer. */
   hasBegun: boolean
   /** Whether an answer that has begun may be made anew from where it is. */
@@ -26,42 +26,45 @@
 }
 
 /** What follows a try that has failed. */
-export type AfterTry = { type: 'end' } | { type: 'again'; afterMs: Millis }
+export type RetryDecision = { type: 'end' } | { type: 'again'; afterMs: Millis }
 
 /** Less time than this is not worth another try. */
-const LEAST_LEFT_MS: Millis = ANSWER_MARGIN_MS * 2
-const MOST_REFUSALS = 3
+const MIN_TIME_LEFT_MS: Millis = ANSWER_MARGIN_MS * 2
+const MAX_REFUSALS = 3
 /** An engine ends an answer every some ten milliseconds, so that one that was full a moment ago may have room. */
-const FIRST_WAIT_MS: Millis = 50
+const FIRST_DELAY_MS: Millis = 50
 /** While all turn it away, an answer that has begun asks so seldom that it costs whoever places less than reporting it does. */
-const LONGEST_WAIT_MS: Millis = 400
+const MAX_DELAY_MS: Millis = 400
 
-const END: AfterTry = { type: 'end' }
-const AT_ONCE: AfterTry = { type: 'again', afterMs: 0 }
+const END: RetryDecision = { type: 'end' }
+const RETRY_NOW: RetryDecision = { type: 'again', afterMs: 0 }
 
 /**
  * Decides whether another try follows. A request that has not begun may be refused, and its caller comes back; one that
  * has begun has nobody else to go to: no refusal ends it while there is time, as long as it may go on anywhere.
  */
-export function afterTry(failed: FailedTry, state: TryState): AfterTry {
-  if (state.leftMs < LEAST_LEFT_MS) return END
-  return state.hasBegun ? afterBegun(failed, state) : afterUnbegun(failed, state)
+export function decideRetry(failure: AttemptFailure, state: RetryState): RetryDecision {
+  if (state.leftMs < MIN_TIME_LEFT_MS) return END
+  return state.hasBegun ? decideBegun(failure, state) : decideNotBegun(failure, state)
 }
 
-function afterBegun(failed: FailedTry, { isResumable, hasEngineLeft, waits }: TryState): AfterTry {
+function decideBegun(
+  failure: AttemptFailure,
+  { isResumable, hasEngineLeft, waits }: RetryState,
+): RetryDecision {
   if (!isResumable) return END
-  if (failed.type === 'lost') return hasEngineLeft ? AT_ONCE : END
-  return { type: 'again', afterMs: waitMs(waits) }
+  if (failure.type === 'lost') return hasEngineLeft ? RETRY_NOW : END
+  return { type: 'again', afterMs: retryDelayMs(waits) }
 }
 
-function afterUnbegun(failed: FailedTry, state: TryState): AfterTry {
-  if (failed.type === 'refused' || state.refusals > MOST_REFUSALS) return END
-  if (failed.type === 'not-run' && !failed.arrived) return AT_ONCE
-  if (failed.type === 'lost' && !state.isResumable) return END
-  return state.hasEngineLeft && state.hasSendingLeft() ? AT_ONCE : END
+function decideNotBegun(failure: AttemptFailure, state: RetryState): RetryDecision {
+  if (failure.type === 'refused' || state.refusals > MAX_REFUSALS) return END
+  if (failure.type === 'not-run' && !failure.arrived) return RETRY_NOW
+  if (failure.type === 'lost' && !state.isResumable) return END
+  return state.hasEngineLeft && state.hasSendingLeft() ? RETRY_NOW : END
 }
 
 /** How long to wait after so many waits in a row. */
-export function waitMs(waits: number): Millis {
-  return Math.min(LONGEST_WAIT_MS, FIRST_WAIT_MS * 2 ** waits)
+export function retryDelayMs(waits: number): Millis {
+  return Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * 2 ** waits)
 }
--- a/request/gateway/src/eventPauses.ts
+++ b/request/gateway/src/eventPauses.ts
@@ -17,7 +17,7 @@
   }
 
   /** Notes that events have come. */
-  note(now: Millis): void {
+  recordEvents(now: Millis): void {
     this.firstMs ??= Math.round(now - this.startedAt)
     if (this.lastAt !== undefined)
       this.longestMs = Math.max(this.longestMs ?? 0, Math.round(now - this.lastAt))
--- a/request/gateway/src/eventSplitter.ts
+++ b/request/gateway/src/eventSplitter.ts
@@ -6,27 +6,27 @@
 
 const LINE_FEED = 10
 const CARRIAGE_RETURN = 13
-const LONGEST_ID_LINE = 64
+const MAX_ID_LINE_BYTES = 64
 
 /** Cuts the bytes of a stream into whole events; what is not ended yet waits. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0)
+  private pending: Buffer = Buffer.alloc(0)
 
   /** Bytes of an event that has not ended. */
   get unfinished(): Buffer {
-    return this.rest
+    return this.pending
   }
 
   /** Takes bytes as they come and returns the events that they complete. */
-  take(chunk: Buffer): StreamEvent[] {
-    let bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+  push(chunk: Buffer): StreamEvent[] {
+    let bytes = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk])
     const events: StreamEvent[] = []
     for (let end = endOfEvent(bytes); end > 0; end = endOfEvent(bytes)) {
       const event = bytes.subarray(0, end)
       events.push({ bytes: event, id: readId(event) })
       bytes = bytes.subarray(end)
     }
-    this.rest = bytes
+    this.pending = bytes
     return events
   }
 }
@@ -44,7 +44,7 @@
 
 function readId(event: Buffer): number | undefined {
   for (const start of lineStarts(event)) {
-    const line = event.subarray(start, start + LONGEST_ID_LINE).toString('latin1')
+    const line = event.subarray(start, start + MAX_ID_LINE_BYTES).toString('latin1')
     if (line.startsWith('id:')) return Number.parseInt(line.slice('id:'.length), 10)
   }
   return undefined
--- a/request/gateway/src/exchange.ts
+++ b/request/gateway/src/exchange.ts
@@ -66,7 +66,7 @@
   let sent = false
   let ended = false
   let isPaused = false
-  let heardAt = -Infinity
+  let lastReceivedAt = -Infinity
   const end = (result: ExchangeEnd) => {
     if (ended) return
     ended = true
@@ -97,8 +97,8 @@
   request.on('error', (error) => fail(error.message, (error as NodeJS.ErrnoException).code))
   request.on('response', (incoming) => {
     answer = incoming
-    heardAt = clock.now()
-    incoming.on('data', () => (heardAt = clock.now()))
+    lastReceivedAt = clock.now()
+    incoming.on('data', () => (lastReceivedAt = clock.now()))
     readAnswer(incoming, options, { end, fail, isOver: () => ended })
   })
   request.on('close', () => {
@@ -113,20 +113,20 @@
     },
     resume: () => {
       isPaused = false
-      heardAt = clock.now()
+      lastReceivedAt = clock.now()
       answer?.resume()
     },
-    silentMs: () => (isPaused ? 0 : clock.now() - heardAt),
+    silentMs: () => (isPaused ? 0 : clock.now() - lastReceivedAt),
   }
 }
 
-interface AnswerReader {
+interface AnswerCallbacks {
   end: (result: ExchangeEnd) => void
   fail: (reason: string) => void
   isOver: () => boolean
 }
 
-function readAnswer(incoming: IncomingMessage, options: ExchangeOptions, reader: AnswerReader): void {
+function readAnswer(incoming: IncomingMessage, options: ExchangeOptions, reader: AnswerCallbacks): void {
   incoming.on('error', (error) => reader.fail(error.message))
   incoming.on('aborted', () => reader.fail('the answer broke off'))
   incoming.on('data', (chunk: Buffer) => {
@@ -134,7 +134,7 @@
   })
   const isFramed =
     incoming.headers['content-length'] !== undefined || incoming.headers['transfer-encoding'] !== undefined
-  const isWhole = isFramed ? Promise.resolve(true) : endedBySaying(incoming.socket)
+  const isWhole = isFramed ? Promise.resolve(true) : endedWithFin(incoming.socket)
   incoming.on('end', () => {
     if (!incoming.complete) return reader.fail('the answer broke off')
     if (isFramed) return reader.end({ complete: true })
@@ -162,7 +162,7 @@
  * closely is reported to the program as an ordinary end; only a write then tells them apart: it fails on a
  * connection that was reset.
  */
-function endedBySaying(socket: Socket): Promise<boolean> {
+function endedWithFin(socket: Socket): Promise<boolean> {
   return new Promise((resolve) => {
     socket.prependListener('end', () =>
       socket.write(EMPTY_LINE, (error) => resolve(error === null || error === undefined)),
--- a/request/gateway/src/exchangeWhole.ts
+++ b/request/gateway/src/fetchAnswer.ts
@@ -3,28 +3,28 @@
 import { openExchange, type AnswerHead, type Exchange, type ExchangeOptions } from './exchange'
 
 /** A whole answer, or why there is none. */
-export type WholeOutcome =
+export type FetchOutcome =
   | { type: 'answer'; head: AnswerHead; body: Buffer }
   /** `sent`: the endpoint may have run the request. `isGivenUp`: it did not answer in the time it was given. */
-  | { type: 'failed'; sent: boolean; refused: boolean; reason: string; isGivenUp?: boolean }
+  | { type: 'failed'; sent: boolean; refused: boolean; reason: string; isTimedOut?: boolean }
 
-/** Options of {@link exchangeWhole}. */
-export interface WholeOptions extends Omit<ExchangeOptions, 'onHead' | 'onData' | 'onEnd'> {
+/** Options of {@link fetchAnswer}. */
+export interface FetchOptions extends Omit<ExchangeOptions, 'onHead' | 'onData' | 'onEnd'> {
   maxBytes: number
   /** After how long it is given up, in milliseconds; never where left out. */
-  withinMs?: Millis
+  timeoutMs?: Millis
   /** Receives the exchange, so that it can be cancelled. */
   onOpen?: (exchange: Exchange) => void
 }
 
 /** Sends one request and gathers its answer. Never rejects. */
-export function exchangeWhole(options: WholeOptions): Promise<WholeOutcome> {
+export function fetchAnswer(options: FetchOptions): Promise<FetchOutcome> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
-    let cancelLimit: CancelTimer = () => undefined
+    let cancelTimeout: CancelTimer = () => undefined
     let size = 0
     let head: AnswerHead | undefined
-    let isGivenUp = false
+    let isTimedOut = false
     const exchange = openExchange({
       ...options,
       onHead: (received) => (head = received),
@@ -34,17 +34,23 @@
         if (size > options.maxBytes) exchange.cancel('the answer is too long')
       },
       onEnd: (end) => {
-        cancelLimit()
+        cancelTimeout()
         if (end.complete && head !== undefined)
           return resolve({ type: 'answer', head, body: Buffer.concat(chunks) })
         if (end.complete) return resolve({ type: 'failed', sent: true, refused: false, reason: 'no head' })
-        resolve({ type: 'failed', sent: end.sent, refused: end.refused, reason: end.reason, isGivenUp })
+        resolve({
+          type: 'failed',
+          sent: end.sent,
+          refused: end.refused,
+          reason: end.reason,
+          isTimedOut,
+        })
       },
     })
     options.onOpen?.(exchange)
-    if (options.withinMs === undefined) return
-    cancelLimit = options.clock.after(options.withinMs, () => {
-      isGivenUp = true
+    if (options.timeoutMs === undefined) return
+    cancelTimeout = options.clock.after(options.timeoutMs, () => {
+      isTimedOut = true
       exchange.cancel('no whole answer in time')
     })
   })
--- a/request/gateway/src/ingress.ts
+++ b/request/gateway/src/ingress.ts
@@ -9,7 +9,7 @@
 } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
 import { readCallerRequest, single, type CallerRequest } from './callerRequest'
-import { FirstDeadlines } from './firstDeadlines'
+import { ReturnDetector } from './returnDetector'
 import { homesOf } from './homeRule'
 import { sendOwnAnswer } from './ownAnswer'
 import { CALLER_GONE } from './relayAnswers'
@@ -71,7 +71,7 @@
   private isClosed = false
   /** Has ended every connection: who is gone since then has not left by itself. */
   private hasEndedAll = false
-  private readonly deadlines = new FirstDeadlines()
+  private readonly deadlines = new ReturnDetector()
   private served = 0
 
   constructor(private readonly options: IngressOptions) {
@@ -211,7 +211,7 @@
     const entrant = await gate.admit(request, route, index, tokens)
     if (entrant.type === 'answered') return { route: route.name, ...entrant.result }
     const result = await this.relay(entrant, route, index, tokens)
-    if (isWhole(result)) parts.crashes?.noteServed(request.content)
+    if (isWhole(result)) parts.crashes?.recordServed(request.content)
     if (result.hasNotRun === true) entrant.spent?.giveBack()
     return { route: route.name, workspace: entrant.workspace?.name, ...result }
   }
@@ -225,7 +225,7 @@
     const { parts, routes } = this.options
     const name = chooseService(route, parts.random())
     const service = index.service(name)!
-    parts.allowance.noteRequest(name)
+    parts.retryBudget.recordRequest(name)
     const endsAt = request.arrivedAt + Math.min(request.deadlineMs, route.timeoutMs)
     const { isReturn, elapsedMs } = this.deadlines.judge(route.name, request.deadlineMs, route.targetMs)
     // Who was sent away in good time and came back has a target of its own again.
--- a/request/gateway/src/isolatedPlace.ts
+++ b/request/gateway/src/isolatedPlace.ts
@@ -16,8 +16,8 @@
 
 /** The part of the time left that a request waits for an endpoint to be kept free, and the longest it does. */
 const WAIT_SHARE = 0.5
-const MOST_WAIT_MS: Millis = 1_000
-const AWAY_RETRY_MS: Millis = 1_000
+const MAX_WAIT_MS: Millis = 1_000
+const UNAVAILABLE_RETRY_MS: Millis = 1_000
 
 /**
  * Asks the leader for an endpoint where a request runs alone that may end those that run it. It waits for that a while:
@@ -30,7 +30,7 @@
 ): Promise<PermittedPlace> {
   const { clock } = parts
   const crashes = parts.crashes!
-  const until = waitsUntil(parts, job)
+  const until = waitDeadline(parts, job)
   for (;;) {
     const answer = await crashes.askIsolated(job.request.content(), job.service.name)
     if (answer.type === 'granted') return reservedPlace(parts, job, answer.endpoint, isOver)
@@ -52,7 +52,7 @@
 ): Promise<PermittedPlace> {
   const { clock } = parts
   const crashes = parts.crashes!
-  const until = waitsUntil(parts, job)
+  const until = waitDeadline(parts, job)
   for (;;) {
     const answer = await crashes.askTurn(job.request.content(), job.service.name, job.request.id)
     if (answer.type === 'isolate') return isolatedPlace(parts, job, isOver)
@@ -62,8 +62,8 @@
   }
 }
 
-function waitsUntil({ clock }: RelayParts, { endsAt }: RelayJob): Millis {
-  return clock.now() + Math.min(MOST_WAIT_MS, (endsAt - clock.now()) * WAIT_SHARE)
+function waitDeadline({ clock }: RelayParts, { endsAt }: RelayJob): Millis {
+  return clock.now() + Math.min(MAX_WAIT_MS, (endsAt - clock.now()) * WAIT_SHARE)
 }
 
 function reservedPlace(
@@ -72,9 +72,9 @@
   endpoint: InstanceId,
   isOver: () => boolean,
 ): PermittedPlace {
-  const end = () => crashes!.noteIsolatedEnd(job.request.content(), job.service.name, endpoint)
+  const end = () => crashes!.endIsolated(job.request.content(), job.service.name, endpoint)
   const at = pool.atHome(endpoint, job.homes())
   if (at !== undefined && !isOver()) return { type: 'place', at, end }
   end()
-  return { type: 'later', retryAfterMs: AWAY_RETRY_MS }
+  return { type: 'later', retryAfterMs: UNAVAILABLE_RETRY_MS }
 }
--- a/request/gateway/src/limitGate.ts
+++ b/request/gateway/src/limitGate.ts
@@ -6,7 +6,7 @@
 import type { PooledEndpoint } from './endpointPool'
 import { LedPace } from './ledPace'
 import { OwnShares } from './ownShares'
-import type { SendStep } from './sendCount'
+import type { SendStep } from './sendCounter'
 import { StepGrants } from './stepGrants'
 
 /** Options of {@link LimitGate}. */
@@ -57,7 +57,12 @@
     if (limited === undefined) return
     const decidedAt = askedAt + limited.waitedMs
     const note = (step: SendStep, endpoint: InstanceId, withinMs: Millis) =>
-      this.grants.put(request, step, { endpoint, askedAt, untilMs: decidedAt + withinMs, isUnbound: false })
+      this.grants.add(request, step, {
+        endpoint,
+        requestedAt: askedAt,
+        untilMs: decidedAt + withinMs,
+        isUnrestricted: false,
+      })
     if (prefill !== undefined && limited.prefillMs !== undefined) note('prefill', prefill, limited.prefillMs)
     if (limited.decodeMs !== undefined) note('decode', decode, limited.decodeMs)
   }
--- a/request/gateway/src/modelWork.ts
+++ b/request/gateway/src/modelWork.ts
@@ -3,7 +3,7 @@
 import { waitTimes } from './holdTime'
 import type { ModelWork } from './modelPlacer'
 import { promptPartsOf } from './promptParts'
-import { PROMPT_SHARE, type RelayJob, type RelayParts } from './relayParts'
+import { EARLY_REFUSAL_SHARE, type RelayJob, type RelayParts } from './relayParts'
 
 /** What a place is asked for with, by the times that the request has left now; without what its run has found out. */
 export function modelWork(
@@ -24,7 +24,7 @@
     priority: rank,
     targetMs: job.targetAt - now,
     isReturn: job.isReturn,
-    promptMs: job.isReturn ? 0 : request.arrivedAt + route.targetMs * PROMPT_SHARE - now,
+    promptMs: job.isReturn ? 0 : request.arrivedAt + route.targetMs * EARLY_REFUSAL_SHARE - now,
     ...waitTimes(route, leftMs, pauses.silentMs(now)),
     leftMs,
     pauseMs: route.pauseMs,
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -7,23 +7,23 @@
 import { dropHeaders } from './callerRequest'
 import type { Closed, PooledEndpoint, SendOutcome } from './endpointPool'
 import { COLD_REASON } from './coldGate'
-import { exchangeWhole, type WholeOutcome } from './exchangeWhole'
-import { noteLost } from './noteLost'
+import { fetchAnswer, type FetchOutcome } from './fetchAnswer'
+import { reportLostSending } from './reportLostSending'
 import { LIMIT_REASON } from './limitGate'
 import { readVerdict } from './readVerdict'
 import { sendEndpointAnswer } from './ownAnswer'
-import { answerFailure, answerRefusal, CALLER_GONE, PROMISES, type OwnResult } from './relayAnswers'
+import { answerFailure, answerRefusal, CALLER_GONE, NOT_RUN_STATUSES, type OwnResult } from './relayAnswers'
 import {
   ANSWER_MARGIN_MS,
   CONNECT_MS,
-  PROMPT_SHARE,
+  EARLY_REFUSAL_SHARE,
   headersFor,
   type RelayJob,
   type RelayParts,
   type RelayResult,
   type SendRecord,
 } from './relayParts'
-import { SendCount } from './sendCount'
+import { SendCounter } from './sendCounter'
 import { SendingPermits } from './sendingPermits'
 import { ENDS_ENDPOINTS, EVACUATED, whyNotSend } from './sendRules'
 import { AWAY_COME_BACK_MS, isAwayOnly, NOT_AT_HOME } from './homeRule'
@@ -31,12 +31,12 @@
 
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024
 const MAX_REFUSALS = 3
-const COME_BACK_MS = 400
+const RETRY_AFTER_MS = 400
 /** The share of the time to the target that a caller that came back waits for an endpoint with room. */
 const RETURN_WAIT_SHARE = 0.5
 
 /** What one sending proved. */
-type Sending =
+type SendingResult =
   | { type: 'answer'; head: AnswerHead; body: Buffer }
   | { type: 'not-run'; arrived: boolean }
   | { type: 'unknown'; reason: string }
@@ -53,15 +53,15 @@
   private exchange: Exchange | undefined
   private isOver = false
   /** Endpoints that may have run the request. */
-  private mayHaveRun = 0
-  private readonly count: SendCount
+  private possibleRuns = 0
+  private readonly sendCounter: SendCounter
   private readonly permits: SendingPermits
 
   constructor(
     private readonly parts: RelayParts,
     private readonly job: RelayJob,
   ) {
-    this.count = new SendCount(parts.allowance, job.service.name)
+    this.sendCounter = new SendCounter(parts.retryBudget, job.service.name)
     this.permits = new SendingPermits(parts, job, () => this.isOver)
   }
 
@@ -81,50 +81,50 @@
   private async tryEndpoints(): Promise<OwnResult> {
     if (isAwayOnly(this.parts.pool, this.job))
       return answerRefusal(this.job.request.response, NOT_AT_HOME, AWAY_COME_BACK_MS)
-    let failed: Sending | undefined
+    let failed: SendingResult | undefined
     for (let refusals = 0; ;) {
       const decision = await this.permits.decide()
       if (decision.type === 'refuse')
-        return this.answerWithout(failed, ENDS_ENDPOINTS, decision.refusal.leftMs)
+        return this.endWithoutAnswer(failed, ENDS_ENDPOINTS, decision.refusal.leftMs)
       const permit = await this.permits.get(decision)
       if (permit.type === 'later' && !this.isOver)
-        return this.answerWithout(failed, MUST_BE_ISOLATED, permit.retryAfterMs)
-      const to = permit.type === 'place' ? permit.at : await this.choose()
+        return this.endWithoutAnswer(failed, MUST_BE_ISOLATED, permit.retryAfterMs)
+      const to = permit.type === 'place' ? permit.at : await this.chooseEndpoint()
       if (this.isOver) return this.overResult()
-      if (to === undefined) return this.answerWithout(failed, this.whyNone())
+      if (to === undefined) return this.endWithoutAnswer(failed, this.whyNone())
       // Others that waited may have taken the room, and endpoints may have crashed under the same request meanwhile.
       if (permit.type !== 'place' && (!this.hasRoom(to) || this.permits.isOutdated(decision))) continue
       const sending = await this.sendTo(to, permit)
-      if (sending === undefined) return this.answerWithout(failed, 'no repeated sending is left')
+      if (sending === undefined) return this.endWithoutAnswer(failed, 'no repeated sending is left')
       if (this.isOver) return this.overResult()
-      if (sending.type === 'answer' && !this.isWorthRepeating(sending)) return this.pass(sending)
+      if (sending.type === 'answer' && !this.isWorthRepeating(sending)) return this.forwardAnswer(sending)
       if (sending.type !== 'not-run') failed = sending
       else refusals += 1
       if (refusals > MAX_REFUSALS || !this.mayRepeat(sending))
-        return this.answerWithout(failed, reasonOf(sending))
+        return this.endWithoutAnswer(failed, reasonOf(sending))
     }
   }
 
   /** The endpoint to try next, once one has room; undefined where none has in time. */
-  private choose(): Promise<AtHome<PooledEndpoint> | undefined> {
+  private chooseEndpoint(): Promise<AtHome<PooledEndpoint> | undefined> {
     const { clock } = this.parts
     const { request, route, isReturn } = this.job
-    const share = isReturn ? RETURN_WAIT_SHARE : PROMPT_SHARE
+    const share = isReturn ? RETURN_WAIT_SHARE : EARLY_REFUSAL_SHARE
     const left = request.arrivedAt + route.targetMs * share - clock.now()
     // Nothing is worth waiting for where every endpoint must get nothing, for nobody knows how long.
     const { pool, limits } = this.parts
     const all = pool.candidates(this.job.service.name, { regions: this.job.homes() })
     limits?.want(all)
-    const isInVain =
+    const cannotSucceed =
       pool.isEmptied(this.job.service.name) ||
       (this.coldWait() ?? 0) > left ||
       (this.closed()?.leftMs ?? 0) > left ||
       limits?.takesNone(all) === true
-    const limit = isInVain ? 0 : Math.max(0, left)
-    return waitFor(clock, limit, () => (this.isOver ? undefined : this.roomiest()))
+    const limit = cannotSucceed ? 0 : Math.max(0, left)
+    return waitFor(clock, limit, () => (this.isOver ? undefined : this.leastLoadedWithRoom()))
   }
 
-  private roomiest(): AtHome<PooledEndpoint> | undefined {
+  private leastLoadedWithRoom(): AtHome<PooledEndpoint> | undefined {
     const { pool, cold } = this.parts
     const fresh = this.usable(this.tried)
     const open = (fresh.length > 0 ? fresh : this.usable()).filter((one) => this.hasRoom(one))
@@ -172,26 +172,29 @@
     return waitMs !== undefined && waitMs > 0 ? waitMs : undefined
   }
 
-  private async sendTo(to: AtHome<PooledEndpoint>, permit: PermittedPlace): Promise<Sending | undefined> {
+  private async sendTo(
+    to: AtHome<PooledEndpoint>,
+    permit: PermittedPlace,
+  ): Promise<SendingResult | undefined> {
     if (permit.type !== 'place') return this.send(to)
-    this.job.isolatedAt = to.endpoint.id
+    this.job.isolatedId = to.endpoint.id
     const sending = await this.send(to)
-    this.job.isolatedAt = undefined
+    this.job.isolatedId = undefined
     void this.permits.endTrial(permit, to.endpoint.id)
     return sending
   }
 
   /** Sends the request to one endpoint; undefined where no repeated sending is left. */
-  private async send(to: AtHome<PooledEndpoint>): Promise<Sending | undefined> {
+  private async send(to: AtHome<PooledEndpoint>): Promise<SendingResult | undefined> {
     const { parts, job } = this
     this.tried.add(to.endpoint.id)
     if (whyNotSend(parts, job, to.endpoint, 'plain') !== undefined) return { type: 'not-run', arrived: false }
-    const counted = this.count.open('plain')
+    const counted = this.sendCounter.open('plain')
     if (counted === undefined) return undefined
     const startedAt = parts.clock.now()
     parts.pool.noteSent(to)
     let unwatch = () => {}
-    const outcome = await exchangeWhole({
+    const outcome = await fetchAnswer({
       address: to.endpoint.address,
       method: job.request.method,
       path: job.request.path,
@@ -207,67 +210,70 @@
     })
     unwatch()
     counted.close(outcome.type === 'answer' || outcome.sent ? 'taken' : 'not-arrived')
-    const { sending, note } = this.read(outcome, to)
+    const { sending, sendOutcome } = this.interpret(outcome, to)
     const tookMs = parts.clock.now() - startedAt
     if (outcome.type === 'failed' && outcome.sent) {
-      noteLost(parts, job, to, tookMs, this.isOver ? tookMs : undefined)
+      reportLostSending(parts, job, to, tookMs, this.isOver ? tookMs : undefined)
       this.permits.noteLost(to.endpoint.id)
     }
     // What a cold endpoint takes says nothing of what it bears later.
     const isCold = parts.cold?.isCold(to.endpoint.id) === true
-    if (note === 'ok' && !isCold) to.limit.noteAnswer(tookMs, job.route.targetMs)
+    if (sendOutcome === 'ok' && !isCold) to.limit.noteAnswer(tookMs, job.route.targetMs)
     // One that asked for rest has said all there is to learn: what it bears while it is well has not changed.
-    if (note === 'full' && parts.pool.isOpen(to)) to.limit.noteFull()
-    parts.pool.noteEnd(to, this.isOver ? 'cancelled' : note, tookMs)
-    this.sends.push({ to: to.endpoint.id, step: 'plain', outcome: note, tookMs: Math.round(tookMs) })
+    if (sendOutcome === 'full' && parts.pool.isOpen(to)) to.limit.noteFull()
+    parts.pool.noteEnd(to, this.isOver ? 'cancelled' : sendOutcome, tookMs)
+    this.sends.push({ to: to.endpoint.id, step: 'plain', outcome: sendOutcome, tookMs: Math.round(tookMs) })
     return sending
   }
 
-  private read(outcome: WholeOutcome, to: PooledEndpoint): { sending: Sending; note: SendOutcome } {
+  private interpret(
+    outcome: FetchOutcome,
+    to: PooledEndpoint,
+  ): { sending: SendingResult; sendOutcome: SendOutcome } {
     if (outcome.type === 'failed') {
       if (!outcome.sent)
         return {
           sending: { type: 'not-run', arrived: false },
-          note: outcome.refused ? 'unreachable' : 'failed',
+          sendOutcome: outcome.refused ? 'unreachable' : 'failed',
         }
-      this.mayHaveRun += 1
-      return { sending: { type: 'unknown', reason: outcome.reason }, note: 'failed' }
+      this.possibleRuns += 1
+      return { sending: { type: 'unknown', reason: outcome.reason }, sendOutcome: 'failed' }
     }
     const verdict = readVerdict(this.parts, this.job, to, outcome.head)
     if (verdict === 'other-instance')
-      return { sending: { type: 'not-run', arrived: true }, note: 'other-instance' }
-    if (verdict === 'not-run') return { sending: { type: 'not-run', arrived: true }, note: 'full' }
-    this.mayHaveRun += 1
+      return { sending: { type: 'not-run', arrived: true }, sendOutcome: 'other-instance' }
+    if (verdict === 'not-run') return { sending: { type: 'not-run', arrived: true }, sendOutcome: 'full' }
+    this.possibleRuns += 1
     if (verdict === 'foreign')
-      return { sending: { type: 'unknown', reason: 'not an answer to this request' }, note: 'failed' }
+      return { sending: { type: 'unknown', reason: 'not an answer to this request' }, sendOutcome: 'failed' }
     const { head, body } = outcome
-    return { sending: { type: 'answer', head, body }, note: head.status >= 500 ? 'failed' : 'ok' }
+    return { sending: { type: 'answer', head, body }, sendOutcome: head.status >= 500 ? 'failed' : 'ok' }
   }
 
   /** An endpoint's own failure of a request that may run again. */
-  private isWorthRepeating(sending: Extract<Sending, { type: 'answer' }>): boolean {
+  private isWorthRepeating(sending: Extract<SendingResult, { type: 'answer' }>): boolean {
     if (sending.head.status < 500) return false
     return this.mayRepeat(sending)
   }
 
-  private mayRepeat(sending: Sending): boolean {
+  private mayRepeat(sending: SendingResult): boolean {
     const { route, endsAt } = this.job
     if (endsAt - this.parts.clock.now() < ANSWER_MARGIN_MS * 2) return false
     if (sending.type === 'not-run' && !sending.arrived) return true
     if (sending.type !== 'not-run' && route.kind !== 'safe') return false
-    if (this.mayHaveRun >= route.attempts) return false
+    if (this.possibleRuns >= route.attempts) return false
     // One that has just refused is not asked again for the same request where there is no other.
     if (sending.type === 'not-run' && !this.hasUntried()) return false
-    return this.count.isLeft()
+    return this.sendCounter.isLeft()
   }
 
   private hasUntried(): boolean {
     return this.usable(this.tried).length > 0
   }
 
-  private pass(sending: Extract<Sending, { type: 'answer' }>): OwnResult {
+  private forwardAnswer(sending: Extract<SendingResult, { type: 'answer' }>): OwnResult {
     const { head, body } = sending
-    if (PROMISES.has(head.status))
+    if (NOT_RUN_STATUSES.has(head.status))
       return answerFailure(this.job.request.response, 502, 'the endpoint gave a promise it cannot keep')
     const rawHeaders = dropHeaders(head.rawHeaders, ['content-length'])
     sendEndpointAnswer(this.job.request.response, {
@@ -280,18 +286,22 @@
   }
 
   /** Ends a request for which there is no good answer. */
-  private answerWithout(failed: Sending | undefined, reason: string, retryAfterMs?: Millis): OwnResult {
-    if (failed?.type === 'answer') return this.pass(failed)
-    if (this.mayHaveRun > 0) return answerFailure(this.job.request.response, 502, reason)
-    const comeBackMs = retryAfterMs ?? this.coldWait() ?? this.closed()?.retryAfterMs ?? COME_BACK_MS
+  private endWithoutAnswer(
+    failed: SendingResult | undefined,
+    reason: string,
+    retryAfterMs?: Millis,
+  ): OwnResult {
+    if (failed?.type === 'answer') return this.forwardAnswer(failed)
+    if (this.possibleRuns > 0) return answerFailure(this.job.request.response, 502, reason)
+    const comeBackMs = retryAfterMs ?? this.coldWait() ?? this.closed()?.retryAfterMs ?? RETRY_AFTER_MS
     return answerRefusal(this.job.request.response, reason, comeBackMs)
   }
 
   /** The time is up: what is under way may still run. */
   private answerLate(): void {
-    if (this.mayHaveRun > 0 || this.exchange !== undefined)
+    if (this.possibleRuns > 0 || this.exchange !== undefined)
       answerFailure(this.job.request.response, 504, 'the time is up')
-    else answerRefusal(this.job.request.response, 'the time is up', COME_BACK_MS)
+    else answerRefusal(this.job.request.response, 'the time is up', RETRY_AFTER_MS)
     this.finish()
   }
 
@@ -307,7 +317,7 @@
 }
 
 /** Why a sending brought no good answer, for the log and the caller. */
-function reasonOf(sending: Sending): string {
+function reasonOf(sending: SendingResult): string {
   if (sending.type === 'unknown') return sending.reason
   if (sending.type === 'answer') return `the endpoint failed with ${sending.head.status}`
   return sending.arrived ? 'the endpoint refused' : 'the endpoint was not reached'
--- a/request/gateway/src/prefillStep.ts
+++ b/request/gateway/src/prefillStep.ts
@@ -2,34 +2,34 @@
 import { cancelWhenEnded } from './cancelWhenEnded'
 import type { PooledEndpoint, SendOutcome } from './endpointPool'
 import type { Exchange } from './exchange'
-import { exchangeWhole, type WholeOutcome } from './exchangeWhole'
+import { fetchAnswer, type FetchOutcome } from './fetchAnswer'
 import type { Verdict } from './judgeAnswer'
 import type { ModelPlace } from './modelPlacer'
 import { readVerdict } from './readVerdict'
 import { CONNECT_MS, headersFor, type RelayJob, type RelayParts } from './relayParts'
-import type { Arrival } from './sendCount'
+import type { Arrival } from './sendCounter'
 
 const MAX_ANSWER_BYTES = 64 * 1024
 /** A prefill step is given up after twice the time that it should take and this share of the target. */
 const SLACK_SHARE = 0.25
 const EXPECTED_FACTOR = 2
 /** The share of the target after which it is given up where nobody knows how long it should take. */
-const LIMIT_SHARE = 0.9
+const UNKNOWN_TIMEOUT_SHARE = 0.9
 
 /** The memory that a prefill step left at an engine. */
 export interface Prefilled {
   at: PooledEndpoint
   handle: string
-  madeAt: Millis
+  createdAt: Millis
   /** When it was asked for. */
-  askedAt: Millis
+  requestedAt: Millis
 }
 
 /** How a prefill step ended. */
 export interface PrefillResult {
   /** Absent where the prompt was not read. */
   prefilled?: Prefilled
-  note: SendOutcome
+  sendOutcome: SendOutcome
   /** Whether an engine took it, as the allowance of repeated sendings counts it. */
   arrival: Arrival
   tookMs: Millis
@@ -46,7 +46,7 @@
   const at = place.prefill!
   const startedAt = clock.now()
   let unwatch = () => {}
-  const outcome = await exchangeWhole({
+  const outcome = await fetchAnswer({
     address: at.endpoint.address,
     method: job.request.method,
     path: job.request.path,
@@ -56,7 +56,7 @@
     clock,
     maxBytes: MAX_ANSWER_BYTES,
     // An engine may take a prompt and say nothing more: the prompt is then read elsewhere.
-    withinMs: limitMs(place, job),
+    timeoutMs: prefillTimeoutMs(place, job),
     onOpen: (exchange) => {
       onOpen(exchange)
       unwatch = cancelWhenEnded(parts, at, exchange)
@@ -69,27 +69,28 @@
   const verdict =
     outcome.type === 'answer' ? readVerdict(parts, job, at, outcome.head, read !== undefined) : undefined
   const arrival = arrivalOf(outcome)
-  if (outcome.type === 'failed' && outcome.isGivenUp === true) return { note: 'silent', arrival, tookMs }
-  if (read === undefined) return { note: noteOfFailure(outcome, verdict), arrival, tookMs }
+  if (outcome.type === 'failed' && outcome.isTimedOut === true)
+    return { sendOutcome: 'silent', arrival, tookMs }
+  if (read === undefined) return { sendOutcome: failureOutcome(outcome, verdict), arrival, tookMs }
   return {
-    prefilled: { at, handle: read.handle, madeAt: clock.now(), askedAt: startedAt },
-    note: 'ok',
+    prefilled: { at, handle: read.handle, createdAt: clock.now(), requestedAt: startedAt },
+    sendOutcome: 'ok',
     arrival,
     tookMs,
   }
 }
 
-function limitMs({ readsInMs, readElsewhereInMs }: ModelPlace, { route }: RelayJob): Millis {
-  if (readsInMs === undefined) return route.targetMs * LIMIT_SHARE
+function prefillTimeoutMs({ readsInMs, readElsewhereInMs }: ModelPlace, { route }: RelayJob): Millis {
+  if (readsInMs === undefined) return route.targetMs * UNKNOWN_TIMEOUT_SHARE
   return Math.min(readsInMs * EXPECTED_FACTOR + route.targetMs * SLACK_SHARE, readElsewhereInMs ?? Infinity)
 }
 
-function arrivalOf(outcome: WholeOutcome): Arrival {
+function arrivalOf(outcome: FetchOutcome): Arrival {
   if (outcome.type === 'failed') return outcome.sent ? 'rejected' : 'not-arrived'
   return outcome.head.status === 200 ? 'taken' : 'rejected'
 }
 
-function noteOfFailure(outcome: WholeOutcome, verdict: Verdict | undefined): SendOutcome {
+function failureOutcome(outcome: FetchOutcome, verdict: Verdict | undefined): SendOutcome {
   if (outcome.type === 'failed') return outcome.refused ? 'unreachable' : 'failed'
   if (verdict === 'other-instance') return verdict
   return verdict === 'not-run' ? 'full' : 'failed'
--- a/request/gateway/src/promptParts.ts
+++ b/request/gateway/src/promptParts.ts
@@ -3,8 +3,8 @@
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 
 /** Parts travel with each question for a place and each report of it: so many at most, with names of so many letters. */
-const MOST_PARTS = 16
-const MOST_LETTERS = 64
+const MAX_PARTS = 16
+const MAX_NAME_LENGTH = 64
 
 /** The parts that a request names; undefined where it names none, or they cannot be those of its prompt. */
 export function promptPartsOf(
@@ -14,8 +14,8 @@
 ): PromptPart[] | undefined {
   const value = single(headers[wire.headers.promptParts])
   const parts = value === undefined ? undefined : wire.readPromptParts(value)
-  if (parts === undefined || tokens === undefined || parts.length > MOST_PARTS) return undefined
+  if (parts === undefined || tokens === undefined || parts.length > MAX_PARTS) return undefined
   const sum = parts.reduce((total, part) => total + part.tokens, 0)
-  const isWhole = sum === tokens.prompt && parts.every(({ id }) => id.length <= MOST_LETTERS)
+  const isWhole = sum === tokens.prompt && parts.every(({ id }) => id.length <= MAX_NAME_LENGTH)
   return isWhole ? parts : undefined
 }
--- a/request/gateway/src/promptReading.ts
+++ b/request/gateway/src/promptPrefill.ts
@@ -4,21 +4,21 @@
 import { LIMIT_REASON } from './limitGate'
 import type { Exchange } from './exchange'
 import type { ModelPlace } from './modelPlacer'
-import { noteLost } from './noteLost'
+import { reportLostSending } from './reportLostSending'
 import { prefillStep, type Prefilled } from './prefillStep'
 import { releaseHandle } from './releaseHandle'
 import type { RelayJob, RelayParts, SendRecord } from './relayParts'
-import type { SendCount } from './sendCount'
+import type { SendCounter } from './sendCounter'
 import { SUSPENDED, whyNotSend } from './sendRules'
 
 /** A handle is used for another engine only while it surely still stands. */
-const HANDLE_SHARE = 0.5
+const USABLE_HANDLE_SHARE = 0.5
 
 /** Why an engine may get nothing at the moment, though it may in the next. */
-const FOR_A_MOMENT = new Set([COLD_REASON, LIMIT_REASON, SUSPENDED, ASKED_FOR_REST])
+const TRANSIENT_REASONS = new Set([COLD_REASON, LIMIT_REASON, SUSPENDED, ASKED_FOR_REST])
 
 /** What the reading of a prompt needs of its request. */
-export interface PromptReader {
+export interface PrefillContext {
   readonly isOver: boolean
   readonly sends: SendRecord[]
   /** Instances that are not to be chosen again. */
@@ -28,51 +28,56 @@
 }
 
 /** The prompt of one request: read by a prefill engine, kept there, taken by a decode engine or freed. */
-export class PromptReading {
+export class PromptPrefill {
   private prefilled: Prefilled | undefined
 
   constructor(
     private readonly parts: RelayParts,
     private readonly job: RelayJob,
-    private readonly count: SendCount,
-    private readonly run: PromptReader,
+    private readonly sendCounter: SendCounter,
+    private readonly context: PrefillContext,
   ) {}
 
   /** Has the prompt read at a place; `none` where its decode engine is to read it. */
-  async readAt(place: ModelPlace): Promise<'read' | 'not-read' | 'none'> {
-    const { parts, job, run } = this
+  async prefillAt(place: ModelPlace): Promise<'read' | 'not-read' | 'none'> {
+    const { parts, job, context } = this
     const at = place.prefill
     if (at === undefined) return 'none'
     const withheld = whyNotSend(parts, job, at.endpoint, 'prefill')
     if (withheld !== undefined) {
       place.notePrefilled('cancelled', 0)
-      this.avoid(at, withheld)
+      this.exclude(at, withheld)
       return 'not-read'
     }
-    const sending = this.count.open('prefill')
+    const sending = this.sendCounter.open('prefill')
     // Without one the decode engine reads the prompt, which no other sending has to precede.
     if (sending === undefined) {
       place.notePrefilled('cancelled', 0)
       return 'none'
     }
-    const onOpen = (exchange: Exchange) => void (run.exchange = exchange)
-    const { prefilled, note, arrival, tookMs } = await prefillStep(parts, job, place, onOpen)
-    run.exchange = undefined
+    const onOpen = (exchange: Exchange) => void (context.exchange = exchange)
+    const { prefilled, sendOutcome, arrival, tookMs } = await prefillStep(parts, job, place, onOpen)
+    context.exchange = undefined
     sending.close(arrival)
-    if (note === 'failed' && arrival !== 'not-arrived')
-      noteLost(parts, job, at, tookMs, run.isOver ? tookMs : undefined)
-    if (note === 'silent') noteLost(parts, job, at, tookMs, tookMs)
+    if (sendOutcome === 'failed' && arrival !== 'not-arrived')
+      reportLostSending(parts, job, at, tookMs, context.isOver ? tookMs : undefined)
+    if (sendOutcome === 'silent') reportLostSending(parts, job, at, tookMs, tookMs)
     if (prefilled !== undefined) {
       // What was read before and cannot be used any more is not kept until it lapses.
       this.release()
       this.prefilled = prefilled
     }
     // What never arrived has taken none of the engine's time, however long it was waited for.
-    const busyMs = note === 'failed' && arrival === 'not-arrived' ? 0 : tookMs
-    place.notePrefilled(run.isOver ? 'cancelled' : note, busyMs)
-    run.sends.push({ to: at.endpoint.id, step: 'prefill', outcome: note, tookMs: Math.round(tookMs) })
+    const busyMs = sendOutcome === 'failed' && arrival === 'not-arrived' ? 0 : tookMs
+    place.notePrefilled(context.isOver ? 'cancelled' : sendOutcome, busyMs)
+    context.sends.push({
+      to: at.endpoint.id,
+      step: 'prefill',
+      outcome: sendOutcome,
+      tookMs: Math.round(tookMs),
+    })
     if (prefilled !== undefined) return 'read'
-    if (!run.isOver) run.except.add(at.endpoint.id)
+    if (!context.isOver) context.except.add(at.endpoint.id)
     return 'not-read'
   }
 
@@ -83,12 +88,12 @@
 
   /** Whether the memory may still be fetched by another engine. */
   isUsable(): boolean {
-    const lasts = (this.job.service.engine?.handleMs ?? 0) * HANDLE_SHARE
+    const lasts = (this.job.service.engine?.handleMs ?? 0) * USABLE_HANDLE_SHARE
     return (
       this.prefilled !== undefined &&
       this.isAtHome(this.prefilled) &&
-      this.prefilled.askedAt >= this.parts.clock.suspendedAt() &&
-      this.parts.clock.now() - this.prefilled.madeAt < lasts
+      this.prefilled.requestedAt >= this.parts.clock.suspendedAt() &&
+      this.parts.clock.now() - this.prefilled.createdAt < lasts
     )
   }
 
@@ -99,15 +104,15 @@
   whyNotDecode(at: PooledEndpoint): string | undefined {
     const { parts, job } = this
     const withheld = whyNotSend(parts, job, at.endpoint, 'decode')
-    if (withheld !== undefined) this.avoid(at, withheld)
+    if (withheld !== undefined) this.exclude(at, withheld)
     if (this.prefilled === undefined || this.isAtHome(this.prefilled)) return withheld
     this.release()
     return withheld ?? 'the prompt was read in a region that is no home any more'
   }
 
   /** Another engine is asked for, unless this one may get none just now: it may be the only one that gets some. */
-  private avoid(at: PooledEndpoint, withheld: string): void {
-    if (!FOR_A_MOMENT.has(withheld)) this.run.except.add(at.endpoint.id)
+  private exclude(at: PooledEndpoint, withheld: string): void {
+    if (!TRANSIENT_REASONS.has(withheld)) this.context.except.add(at.endpoint.id)
   }
 
   private isAtHome({ at }: Prefilled): boolean {
@@ -115,7 +120,7 @@
   }
 
   /** Notes that a decode engine has taken the memory. */
-  noteTaken(): void {
+  markTaken(): void {
     this.prefilled = undefined
   }
 
--- a/request/gateway/src/readVerdict.ts
+++ b/request/gateway/src/readVerdict.ts
@@ -2,7 +2,7 @@
 import type { PooledEndpoint } from './endpointPool'
 import type { AnswerHead } from './exchange'
 import { judgeAnswer, type Verdict } from './judgeAnswer'
-import { noteStatements } from './noteStatements'
+import { recordStatements } from './recordStatements'
 import type { RelayJob, RelayParts } from './relayParts'
 
 /**
@@ -22,7 +22,7 @@
   if (verdict === 'other-instance') return verdict
   const isOwn = verdict === 'answer' || isPrefilled
   const isSuccess = isOwn && head.status >= 200 && head.status < 300
-  noteStatements(parts, at, head, { request: request.id, isSuccess })
+  recordStatements(parts, at, head, { request: request.id, isSuccess })
   if (isOwn) parts.statements?.noteWell(at.endpoint.id)
   return verdict
 }
--- a/request/gateway/src/noteRate.ts
+++ b/request/gateway/src/recordRate.ts
@@ -8,7 +8,7 @@
  * @param isSuccess whether it has done what it was asked. Only such an answer without a word takes an earlier rate back: what
  *   answers a failure may not be what knows the rate.
  */
-export function noteRate(
+export function recordRate(
   { wire, rates }: RelayParts,
   { endpoint }: PooledEndpoint,
   head: AnswerHead,
--- a/request/gateway/src/noteStatements.ts
+++ b/request/gateway/src/recordStatements.ts
@@ -2,11 +2,11 @@
 import { single } from './callerRequest'
 import type { PooledEndpoint } from './endpointPool'
 import type { AnswerHead } from './exchange'
-import { noteRate } from './noteRate'
+import { recordRate } from './recordRate'
 import type { RelayParts } from './relayParts'
 
 /** The answer that was given. */
-export interface Told {
+export interface AnswerContext {
   /** What was asked, for the log. */
   request: string
   /** Whether its endpoint has done what it was asked. */
@@ -18,19 +18,19 @@
  * that the head is the endpoint's also where it proves nothing of the request: a failure, an answer that names no request.
  * Unheard, such an endpoint draws requests: one that turns them away at once looks idle and quick.
  */
-export function noteStatements(
+export function recordStatements(
   parts: RelayParts,
   at: PooledEndpoint,
   head: AnswerHead,
-  { request, isSuccess = false }: Told,
+  { request, isSuccess = false }: AnswerContext,
 ): void {
-  noteRate(parts, at, head, isSuccess)
+  recordRate(parts, at, head, isSuccess)
   const { wire, statements, pool } = parts
   if (statements === undefined) return
   const { id } = at.endpoint
   // A field that comes twice has both values in one.
-  const words = single(head.headers[wire.headers.leaving])?.split(',') ?? []
-  if (words.some((word) => wire.readLeaving(word.trim()))) {
+  const values = single(head.headers[wire.headers.leaving])?.split(',') ?? []
+  if (values.some((value) => wire.readLeaving(value.trim()))) {
     statements.noteLeaving(id, request)
     pool.noteLeaving(at)
   }
--- a/request/gateway/src/relayAnswers.ts
+++ b/request/gateway/src/relayAnswers.ts
@@ -6,7 +6,7 @@
 import type { RelayResult } from './relayParts'
 
 /** Answers of an endpoint that promise that nothing ran; never sent on for a request that did. */
-export const PROMISES = new Set([408, 421, 429, 503])
+export const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
 
 /** What became of a request whose caller closed its connection. */
 export const CALLER_GONE = 'caller gone'
@@ -29,8 +29,8 @@
 }
 
 /** Sends an endpoint's whole failure on, unless it promises what cannot be kept; gives the status that the caller gets. */
-export function passFailure(response: ServerResponse, head: AnswerHead, body: Buffer): number {
-  if (PROMISES.has(head.status)) {
+export function forwardFailure(response: ServerResponse, head: AnswerHead, body: Buffer): number {
+  if (NOT_RUN_STATUSES.has(head.status)) {
     answerFailure(response, 502, 'the engine gave a promise it cannot keep')
     return 502
   }
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -19,7 +19,7 @@
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 import type { LimitGate } from './limitGate'
 import type { ModelPlacer } from './modelPlacer'
-import type { RetryAllowance } from './retryAllowance'
+import type { RetryBudget } from './retryBudget'
 import type { SendRule } from './sendRules'
 
 /** What relays work with. */
@@ -27,7 +27,7 @@
   wire: GatewayWire
   pool: EndpointPool
   placer: ModelPlacer
-  allowance: RetryAllowance
+  retryBudget: RetryBudget
   /** How many entries share what an endpoint takes; that is not looked at where left out. */
   entries?: () => number
   /** What each sending must obey, asked right before it leaves; nothing where left out. */
@@ -43,17 +43,17 @@
   /** How long an endpoint goes on serving once it has said that it leaves; not counted on where left out. */
   leavingServesMs?: Millis
   /** Knows which requests end the endpoints that run them; nothing is known where left out. */
-  crashes?: CrashKnowledge
+  crashes?: CrashTracker
   clock: Clock
   random: Random
   logger: Logger
 }
 
 /** What is known of requests that end the endpoints that run them. */
-export interface CrashKnowledge {
-  noteLost(sending: LostSending): void
+export interface CrashTracker {
+  recordLoss(sending: LostSending): void
   /** A request got a whole answer. `content` is asked for only where anything is known. */
-  noteServed(content: () => ContentDigest): void
+  recordServed(content: () => ContentDigest): void
   /** What must happen before a request may leave for an endpoint, after it was lost at these. */
   decide(content: () => ContentDigest, service: string, lost: InstanceId[]): SendingDecision
   /** Resolves once it is known which of these have crashed, or after a short while. */
@@ -63,9 +63,9 @@
   /** Asks for the turn of a request's content: while it lasts no other request of it begins to run. */
   askTurn(content: ContentDigest, service: string, request: string): Promise<TrialAnswer>
   /** The turn is over. */
-  noteTurnEnd(content: ContentDigest, service: string, request: string): void
+  endTurn(content: ContentDigest, service: string, request: string): void
   /** Its run there has ended, however. */
-  noteIsolatedEnd(content: ContentDigest, service: string, endpoint: InstanceId): void
+  endIsolated(content: ContentDigest, service: string, endpoint: InstanceId): void
   /** Why a request must reach no endpoint of a service; undefined where it may. */
   refusal(content: () => ContentDigest, service: string): ContentRefusal | undefined
 }
@@ -109,9 +109,9 @@
   /** Tokens that the request declares; absent where it names none. */
   tokens?: TokenCounts
   /** The endpoint that is kept free for it at the moment; absent where none is. */
-  isolatedAt?: InstanceId
+  isolatedId?: InstanceId
   /** The engine that keeps the memory of its stopped run; absent where none does. */
-  keptAt?: InstanceId
+  retainingEngine?: InstanceId
   /** When the place was asked for that a sending is about to use; absent where none is. */
   placedAt?: Millis
   /** The order in which requests get what is scarce; 0 is the most urgent. */
@@ -124,7 +124,7 @@
 export const ANSWER_MARGIN_MS = 25
 
 /** The share of a route's target within which a request hears that there is no room for it. */
-export const PROMPT_SHARE = 0.17
+export const EARLY_REFUSAL_SHARE = 0.17
 
 /** The headers and the limit with which a request goes to an endpoint. */
 export function headersFor(
--- a/request/gateway/src/releaseHandle.ts
+++ b/request/gateway/src/releaseHandle.ts
@@ -1,6 +1,6 @@
 import type { PooledEndpoint } from './endpointPool'
-import { exchangeWhole } from './exchangeWhole'
-import { noteStatements } from './noteStatements'
+import { fetchAnswer } from './fetchAnswer'
+import { recordStatements } from './recordStatements'
 import type { RelayParts } from './relayParts'
 
 const CONNECT_MS = 1_000
@@ -9,7 +9,7 @@
 /** Frees the memory that a prefill step left at an engine. What is lost on the way lapses there by itself. */
 export function releaseHandle(parts: RelayParts, at: PooledEndpoint, handle: string): void {
   const { address } = at.endpoint
-  void exchangeWhole({
+  void fetchAnswer({
     address,
     ...parts.wire.releaseCall(handle),
     rawHeaders: ['Host', address, 'Connection', 'close'],
@@ -18,6 +18,6 @@
     clock: parts.clock,
     maxBytes: MAX_ANSWER_BYTES,
   }).then((outcome) => {
-    if (outcome.type === 'answer') noteStatements(parts, at, outcome.head, { request: handle })
+    if (outcome.type === 'answer') recordStatements(parts, at, outcome.head, { request: handle })
   })
 }
--- a/request/gateway/src/keptRun.ts
+++ b/request/gateway/src/retainedRun.ts
@@ -3,7 +3,7 @@
 import type { PooledEndpoint } from './endpointPool'
 import { releaseHandle } from './releaseHandle'
 import type { RelayJob, RelayParts } from './relayParts'
-import { leavingTakesMs, whyNotSend } from './sendRules'
+import { leavingGraceMs, whyNotSend } from './sendRules'
 
 /** Where a stopped run can go on. */
 export interface StoppedRun {
@@ -13,16 +13,16 @@
   /** The engine that has a copy; absent where there is none. */
   copiedTo?: AtHome<PooledEndpoint>
   /** Whether its engine has said that the run has stopped. Otherwise it may still be at work on it. */
-  isProved: boolean
+  isConfirmed: boolean
 }
 
 /** Engines keep the memory for a stated time and somewhat longer; a sending that comes too late is only turned away. */
-const LASTS_FACTOR = 2
+const EXPIRY_FACTOR = 2
 
 /** The memory of a run that was stopped from here: where the run may go on from it, and for how long. */
-export class KeptRun {
-  private readonly lapsesAt: Millis
-  private readonly gone = new Set<PooledEndpoint>()
+export class RetainedRun {
+  private readonly expiresAt: Millis
+  private readonly goneEngines = new Set<PooledEndpoint>()
   private tried: PooledEndpoint[] = []
   /** How often every engine that may take it has been tried. */
   rounds = 0
@@ -33,16 +33,16 @@
     readonly run: StoppedRun,
   ) {
     const keptMs = job.service.engine?.handleMs ?? 0
-    this.lapsesAt = parts.clock.now() + keptMs * LASTS_FACTOR
+    this.expiresAt = parts.clock.now() + keptMs * EXPIRY_FACTOR
   }
 
   /** Whether nothing can go on from it any more. */
-  get isLost(): boolean {
-    return this.engines().length === 0 || this.parts.clock.now() >= this.lapsesAt
+  get isExhausted(): boolean {
+    return this.engines().length === 0 || this.parts.clock.now() >= this.expiresAt
   }
 
   /** Begins another round of tries: who turned it away may take it now. */
-  startOver(): void {
+  startNextRound(): void {
     this.rounds += 1
     this.tried = []
   }
@@ -51,16 +51,16 @@
   next(): AtHome<PooledEndpoint> | undefined {
     const { parts, job } = this
     const untried = this.usable().filter((one) => !this.tried.includes(one))
-    job.keptAt = this.run.source.endpoint.id
+    job.retainingEngine = this.run.source.endpoint.id
     const at = untried.find((one) => whyNotSend(parts, job, one.endpoint, 'decode') === undefined)
-    job.keptAt = undefined
+    job.retainingEngine = undefined
     if (at !== undefined) this.tried.push(at)
     return at
   }
 
   /** An engine that has it is not there any more. */
-  noteGone(engine: PooledEndpoint): void {
-    this.gone.add(engine)
+  markGone(engine: PooledEndpoint): void {
+    this.goneEngines.add(engine)
   }
 
   /** Frees what no engine took. */
@@ -69,19 +69,19 @@
   }
 
   private usable(): AtHome<PooledEndpoint>[] {
-    return this.engines().filter((one) => this.takesWork(one))
+    return this.engines().filter((one) => this.acceptsWork(one))
   }
 
   private engines(): AtHome<PooledEndpoint>[] {
     const { copiedTo, source } = this.run
-    return [copiedTo, source].filter((one) => one !== undefined).filter((one) => !this.gone.has(one))
+    return [copiedTo, source].filter((one) => one !== undefined).filter((one) => !this.goneEngines.has(one))
   }
 
-  private takesWork(one: PooledEndpoint): boolean {
+  private acceptsWork(one: PooledEndpoint): boolean {
     const { pool, clock } = this.parts
     if (pool.get(one.endpoint.id) !== one) return false
     if (one.endpoint.state === 'ready') return true
-    const takesMs = leavingTakesMs(this.parts, one === this.run.source)
-    return clock.now() < (one.leavingSince ?? -Infinity) + takesMs
+    const graceMs = leavingGraceMs(this.parts, one === this.run.source)
+    return clock.now() < (one.leavingSince ?? -Infinity) + graceMs
   }
 }
--- a/request/gateway/src/retryAllowance.ts
+++ b/request/gateway/src/retryBudget.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@forkstage/clock'
 import type { Millis } from '@forkstage/types'
 
-/** Options of {@link RetryAllowance}. */
-export interface RetryAllowanceOptions {
+/** Options of {@link RetryBudget}. */
+export interface RetryBudgetOptions {
   clock: Clock
   /** Second sendings for each request, over all entries. */
   share: number
@@ -14,32 +14,32 @@
 }
 
 /** A restarted entry has forgotten what it spent, so that half of the slack is all that may be planned with. */
-const SLACK_USED = 0.5
+const USABLE_SLACK_SHARE = 0.5
 
-interface Marks {
+interface SendTimes {
   requests: Millis[]
-  extras: Millis[]
+  repeats: Millis[]
 }
 
 /** This entry's part of each service's allowance of second sendings, over a sliding window. */
-export class RetryAllowance {
-  private readonly services = new Map<string, Marks>()
+export class RetryBudget {
+  private readonly services = new Map<string, SendTimes>()
   /** Second sendings that were made, and those for which nothing was left. */
   readonly counts = { taken: 0, denied: 0 }
 
-  constructor(private readonly options: RetryAllowanceOptions) {}
+  constructor(private readonly options: RetryBudgetOptions) {}
 
   /** Counts a caller's request for a service. */
-  noteRequest(service: string): void {
-    this.marksOf(service).requests.push(this.options.clock.now())
+  recordRequest(service: string): void {
+    this.timesOf(service).requests.push(this.options.clock.now())
   }
 
   /** Whether a second sending is left; counts as denied where none is. */
   isLeft(service: string): boolean {
     const { share, slack, entries } = this.options
-    const marks = this.marksOf(service)
-    const own = share * marks.requests.length + (slack * SLACK_USED) / Math.max(1, entries())
-    const isLeft = marks.extras.length + 1 <= own
+    const times = this.timesOf(service)
+    const own = share * times.requests.length + (slack * USABLE_SLACK_SHARE) / Math.max(1, entries())
+    const isLeft = times.repeats.length + 1 <= own
     if (!isLeft) this.counts.denied += 1
     return isLeft
   }
@@ -47,24 +47,24 @@
   /** Takes one second sending, where one is left. */
   take(service: string): boolean {
     if (!this.isLeft(service)) return false
-    this.marksOf(service).extras.push(this.options.clock.now())
+    this.timesOf(service).repeats.push(this.options.clock.now())
     this.counts.taken += 1
     return true
   }
 
   /** Gives back a second sending that turned out to be none. */
-  giveBack(service: string): void {
-    if (this.marksOf(service).extras.pop() === undefined) return
+  refund(service: string): void {
+    if (this.timesOf(service).repeats.pop() === undefined) return
     this.counts.taken -= 1
   }
 
-  private marksOf(service: string): Marks {
-    const marks = this.services.get(service) ?? { requests: [], extras: [] }
-    this.services.set(service, marks)
+  private timesOf(service: string): SendTimes {
+    const times = this.services.get(service) ?? { requests: [], repeats: [] }
+    this.services.set(service, times)
     const since = this.options.clock.now() - this.options.windowMs
-    dropBefore(marks.requests, since)
-    dropBefore(marks.extras, since)
-    return marks
+    dropBefore(times.requests, since)
+    dropBefore(times.repeats, since)
+    return times
   }
 }
 
--- a/request/gateway/src/firstDeadlines.ts
+++ b/request/gateway/src/returnDetector.ts
@@ -14,18 +14,18 @@
  * Callers that are sent away come back with at least this share of their time less, since they are told to wait for 0.24
  * of it: first tries whose deadlines differ by no more are told apart from them by that alone.
  */
-const MOST_SPREAD = 0.2
+const MAX_FIRST_SPREAD = 0.2
 /** Deadlines that one judgement of whether they differ takes. */
-const WINDOW = 30
+const DEADLINES_PER_MEDIAN = 30
 /** One of so many windows suffices: while many come back, deadlines differ also where those of first tries do not. */
-const WINDOWS = 8
+const MAX_MEDIANS = 8
 /** Half of the first tries name more than this share of the longest deadline: they all name the same. */
-const ALIKE = 0.99
+const SAME_DEADLINE_SHARE = 0.99
 /** The longest deadline of a route is known well enough after so many of its requests. */
-const KNOWN_AFTER = 10
+const MIN_REQUESTS_SEEN = 10
 
 /** What the requests of one route have named. */
-interface KnownRoute {
+interface RouteDeadlines {
   /** The longest deadline since the last but one judgement, and since the last: callers may come to name shorter ones. */
   longest: [Millis, Millis]
   seen: number
@@ -40,13 +40,13 @@
  * differ among each other, only what lies below all of them is a return: taken for returns, 9 of 10 first tries of callers
  * whose deadlines differ by 15 in 100 waited behind others, and were refused after 3 s instead of 0.15 s.
  */
-export class FirstDeadlines {
-  private readonly routes = new Map<string, KnownRoute>()
+export class ReturnDetector {
+  private readonly routes = new Map<string, RouteDeadlines>()
 
   /** Judges the caller of a request by its deadline. */
   judge(route: string, deadlineMs: Millis, targetMs: Millis): CallerAge {
     if (!Number.isFinite(deadlineMs)) return { isReturn: false, elapsedMs: 0 }
-    const known = this.note(route, deadlineMs)
+    const known = this.record(route, deadlineMs)
     const longest = Math.max(...known.longest)
     const elapsedMs = longest - deadlineMs
     const spreadMs = longest * spreadOf(known)
@@ -54,26 +54,26 @@
     return { isReturn, elapsedMs: isReturn || spreadMs === 0 ? elapsedMs : 0 }
   }
 
-  private note(route: string, deadlineMs: Millis): KnownRoute {
+  private record(route: string, deadlineMs: Millis): RouteDeadlines {
     const known = this.routes.get(route) ?? { longest: [0, 0], seen: 0, shares: [], medians: [] }
     this.routes.set(route, known)
     known.longest[1] = Math.max(known.longest[1], deadlineMs)
     known.seen += 1
-    if (known.seen > KNOWN_AFTER) noteShare(known, deadlineMs / Math.max(...known.longest))
+    if (known.seen > MIN_REQUESTS_SEEN) recordShare(known, deadlineMs / Math.max(...known.longest))
     return known
   }
 }
 
 /** By how much first tries may differ, as a share of the longest deadline. */
-function spreadOf({ medians }: KnownRoute): number {
-  return medians.some((median) => median > ALIKE) ? 0 : MOST_SPREAD
+function spreadOf({ medians }: RouteDeadlines): number {
+  return medians.some((median) => median > SAME_DEADLINE_SHARE) ? 0 : MAX_FIRST_SPREAD
 }
 
-function noteShare(known: KnownRoute, share: number): void {
+function recordShare(known: RouteDeadlines, share: number): void {
   known.shares.push(share)
-  if (known.shares.length < WINDOW) return
-  known.medians.push(known.shares.sort((left, right) => left - right)[WINDOW >> 1]!)
-  if (known.medians.length > WINDOWS) known.medians.shift()
+  if (known.shares.length < DEADLINES_PER_MEDIAN) return
+  known.medians.push(known.shares.sort((left, right) => left - right)[DEADLINES_PER_MEDIAN >> 1]!)
+  if (known.medians.length > MAX_MEDIANS) known.medians.shift()
   known.shares = []
   known.longest = [known.longest[1], 0]
 }
--- a/request/gateway/src/runMove.ts
+++ b/request/gateway/src/runMigration.ts
@@ -1,9 +1,9 @@
 import type { AtHome } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PooledEndpoint } from './endpointPool'
-import { exchangeWhole, type WholeOutcome } from './exchangeWhole'
-import type { StoppedRun } from './keptRun'
-import { noteStatements } from './noteStatements'
+import { fetchAnswer, type FetchOutcome } from './fetchAnswer'
+import type { StoppedRun } from './retainedRun'
+import { recordStatements } from './recordStatements'
 import { releaseHandle } from './releaseHandle'
 import type { RelayParts } from './relayParts'
 
@@ -14,7 +14,7 @@
 const OK = 200
 
 /** A run that moves from one engine to another: first what it holds is copied while it goes on, then it stops. */
-export class RunMove {
+export class RunMigration {
   private handle: string | undefined
   private stopping: Promise<StoppedRun | undefined> | undefined
   private readonly startedAt: Millis
@@ -44,9 +44,9 @@
   stop(): void {
     this.stopping ??= this.call(true).then(({ outcome, handle }) => {
       // Where the answer is lost the engine may have stopped all the same: what was copied before is still there.
-      if (handle === undefined) return this.copied()
+      if (handle === undefined) return this.unconfirmedCopy()
       const isCopied = outcome.type === 'answer' && outcome.head.status === OK
-      return { source: this.source, handle, copiedTo: isCopied ? this.to : undefined, isProved: true }
+      return { source: this.source, handle, copiedTo: isCopied ? this.to : undefined, isConfirmed: true }
     })
   }
 
@@ -55,9 +55,9 @@
     return this.stopping ?? Promise.resolve(undefined)
   }
 
-  private copied(): StoppedRun | undefined {
+  private unconfirmedCopy(): StoppedRun | undefined {
     const { source, to, handle } = this
-    return handle === undefined ? undefined : { source, handle, copiedTo: to, isProved: false }
+    return handle === undefined ? undefined : { source, handle, copiedTo: to, isConfirmed: false }
   }
 
   /** Frees a copy that nobody takes. */
@@ -76,12 +76,12 @@
     })
   }
 
-  private async call(isLast: boolean): Promise<{ outcome: WholeOutcome; handle: string | undefined }> {
+  private async call(isLast: boolean): Promise<{ outcome: FetchOutcome; handle: string | undefined }> {
     const { wire, clock } = this.parts
     const { address } = this.source.endpoint
     const { method, path, body } = wire.moveCall(this.request, this.to.endpoint.address, isLast)
     const rawHeaders = ['Host', address, 'Content-Type', 'application/json']
-    const outcome = await exchangeWhole({
+    const outcome = await fetchAnswer({
       address,
       method,
       path,
@@ -90,10 +90,10 @@
       connectMs: CONNECT_MS,
       clock,
       maxBytes: MAX_ANSWER_BYTES,
-      withinMs: COPY_WITHIN_MS,
+      timeoutMs: COPY_WITHIN_MS,
     })
     if (outcome.type === 'answer')
-      noteStatements(this.parts, this.source, outcome.head, { request: this.request })
+      recordStatements(this.parts, this.source, outcome.head, { request: this.request })
     const handle = outcome.type === 'answer' ? wire.readMoveAnswer(outcome.body)?.handle : undefined
     return { outcome, handle }
   }
--- a/request/gateway/src/sendCount.ts
+++ b/request/gateway/src/sendCounter.ts
@@ -1,4 +1,4 @@
-import type { RetryAllowance } from './retryAllowance'
+import type { RetryBudget } from './retryBudget'
 
 /** What a request asks of an endpoint. */
 export type SendStep = 'plain' | 'prefill' | 'decode'
@@ -20,13 +20,13 @@
  * entries' common allowance before it leaves. Free are one arrival a request and, beside it, the first prefill
  * step that an engine takes; a prefill step that is rejected counts like any other arrival.
  */
-export class SendCount {
+export class SendCounter {
   /** Arrivals but for a prefill step that is free. */
   private arrivals = 0
-  private hasRead = false
+  private hasFreePrefill = false
 
   constructor(
-    private readonly allowance: RetryAllowance,
+    private readonly retryBudget: RetryBudget,
     private readonly service: string,
   ) {}
 
@@ -37,20 +37,20 @@
 
   /** Whether one more sending may leave now. */
   isLeft(): boolean {
-    return this.arrivals === 0 || this.allowance.isLeft(this.service)
+    return this.arrivals === 0 || this.retryBudget.isLeft(this.service)
   }
 
   /** Opens a sending; undefined where the allowance is used up. */
   open(step: SendStep): CountedSending | undefined {
-    const isDrawn = this.isRepeat
-    if (isDrawn && !this.allowance.take(this.service)) return undefined
-    return { close: (arrival) => this.close(step, arrival, isDrawn) }
+    const isCharged = this.isRepeat
+    if (isCharged && !this.retryBudget.take(this.service)) return undefined
+    return { close: (arrival) => this.close(step, arrival, isCharged) }
   }
 
-  private close(step: SendStep, arrival: Arrival, isDrawn: boolean): void {
-    const isFreeReading = step === 'prefill' && arrival === 'taken' && !this.hasRead
-    if (isFreeReading) this.hasRead = true
-    if (!isFreeReading && arrival !== 'not-arrived') this.arrivals += 1
-    else if (isDrawn) this.allowance.giveBack(this.service)
+  private close(step: SendStep, arrival: Arrival, isCharged: boolean): void {
+    const isFreePrefill = step === 'prefill' && arrival === 'taken' && !this.hasFreePrefill
+    if (isFreePrefill) this.hasFreePrefill = true
+    if (!isFreePrefill && arrival !== 'not-arrived') this.arrivals += 1
+    else if (isCharged) this.retryBudget.refund(this.service)
   }
 }
--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -2,7 +2,7 @@
 import { LEAVING_TAKES_MS, SAYS_IT_LEAVES } from '@forkstage/statements'
 import type { Millis } from '@forkstage/types'
 import type { RelayJob, RelayParts } from './relayParts'
-import type { SendStep } from './sendCount'
+import type { SendStep } from './sendCounter'
 
 /**
  * Says why a request must not leave for an endpoint now; undefined where it may. Asked right before each sending, after
@@ -37,8 +37,9 @@
     parts.crashes?.refusal(request.content, service.name) === undefined ? undefined : ENDS_ENDPOINTS
   const cold: SendRule = (endpoint, { request }, one) => parts.cold?.whyNot(endpoint, request.id, one)
   const limited: SendRule = (endpoint, { request }, one) => parts.limits?.whyNot(endpoint, request.id, one)
-  const told: SendRule = ({ id }, { keptAt }) => whyNotByWord(parts, id, keptAt === id)
-  for (const rule of [suspended, ...(parts.sendRules ?? []), ends, told, cold, limited]) {
+  const stated: SendRule = ({ id }, { retainingEngine }) =>
+    whyNotByStatement(parts, id, retainingEngine === id)
+  for (const rule of [suspended, ...(parts.sendRules ?? []), ends, stated, cold, limited]) {
     const reason = rule(to, job, step)
     if (reason === undefined) continue
     parts.logger.info('send.withheld', { request: job.request.id, endpoint: to.id, step, reason })
@@ -48,23 +49,23 @@
 }
 
 /** Of the time that a leaving endpoint goes on serving, the part in which a stopped run goes back to it; the rest is for its way. */
-const GOES_BACK_SHARE = 0.75
+const RESUME_SHARE = 0.75
 
 /** How long what an endpoint that leaves had before may be sent there: what it keeps a stopped run's memory of, for longer. */
-export function leavingTakesMs({ leavingServesMs = 0 }: RelayParts, keepsRun: boolean): Millis {
-  return keepsRun ? Math.max(LEAVING_TAKES_MS, leavingServesMs * GOES_BACK_SHARE) : LEAVING_TAKES_MS
+export function leavingGraceMs({ leavingServesMs = 0 }: RelayParts, retainsRun: boolean): Millis {
+  return retainsRun ? Math.max(LEAVING_TAKES_MS, leavingServesMs * RESUME_SHARE) : LEAVING_TAKES_MS
 }
 
 /**
  * Why an endpoint's own word forbids it; where it does not, a sending leaves. A place that was given before the word is no
  * excuse, but what was to go on at one that leaves is let there for a moment.
  */
-function whyNotByWord(parts: RelayParts, id: InstanceId, keepsRun: boolean): string | undefined {
+function whyNotByStatement(parts: RelayParts, id: InstanceId, retainsRun: boolean): string | undefined {
   const { statements, clock } = parts
   const bound = statements?.notBefore(id)
   const leavingSince = statements?.leavingSince(id) ?? -Infinity
   const isJustLeaving =
-    bound?.reason === SAYS_IT_LEAVES && clock.now() < leavingSince + leavingTakesMs(parts, keepsRun)
+    bound?.reason === SAYS_IT_LEAVES && clock.now() < leavingSince + leavingGraceMs(parts, retainsRun)
   if (bound !== undefined && !isJustLeaving) return bound.reason
   statements?.noteSent(id)
   return undefined
--- a/request/gateway/src/sendingPermits.ts
+++ b/request/gateway/src/sendingPermits.ts
@@ -57,7 +57,7 @@
     if (!this.hasAskedTurn) return
     const { request, service } = this.job
     await this.parts.crashes?.confirmed(this.lost)
-    this.parts.crashes?.noteTurnEnd(request.content(), service.name, request.id)
+    this.parts.crashes?.endTurn(request.content(), service.name, request.id)
   }
 
   private decideNow(): SendingDecision {
--- a/request/gateway/src/streamRelay.ts
+++ b/request/gateway/src/streamRelay.ts
@@ -1,7 +1,7 @@
 import { delay } from '@forkstage/clock'
 import type { AtHome } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
-import { afterTry, type AfterTry } from './afterTry'
+import { decideRetry, type RetryDecision } from './decideRetry'
 import { cancelWhenEnded } from './cancelWhenEnded'
 import { withoutFirst } from './callerRequest'
 import { CallerStream } from './callerStream'
@@ -9,7 +9,7 @@
   EngineStream,
   type Attempt,
   type KvSource,
-  type StreamOwner,
+  type StreamContext,
   type StreamResult,
 } from './engineStream'
 import type { StreamEvent } from './eventSplitter'
@@ -17,9 +17,9 @@
 import type { PooledEndpoint, SendOutcome } from './endpointPool'
 import type { ModelPlace, ModelWork } from './modelPlacer'
 import { modelWork } from './modelWork'
-import { noteLost } from './noteLost'
-import { PromptReading, type PromptReader } from './promptReading'
-import { answerFailure, answerRefusal, passFailure, type OwnResult } from './relayAnswers'
+import { reportLostSending } from './reportLostSending'
+import { PromptPrefill, type PrefillContext } from './promptPrefill'
+import { answerFailure, answerRefusal, forwardFailure, type OwnResult } from './relayAnswers'
 import {
   ANSWER_MARGIN_MS,
   CONNECT_MS,
@@ -29,16 +29,16 @@
   type RelayResult,
   type SendRecord,
 } from './relayParts'
-import { RunMoves, type MovingRun } from './runMoves'
+import { RunMigrations, type MigrationContext } from './runMigrations'
 import { readVerdict } from './readVerdict'
-import { SendCount, type CountedSending } from './sendCount'
+import { SendCounter, type CountedSending } from './sendCounter'
 import { ENDS_ENDPOINTS } from './sendRules'
 import { AWAY_COME_BACK_MS, isAwayOnly, NOT_AT_HOME } from './homeRule'
-import { comeBackMs, reasonOf, type Tried, type Unanswered } from './streamTry'
+import { retryAfterOf, reasonOf, type AttemptResult, type FailedAttempt } from './streamAttempt'
 import { untilEngineIsKnown } from './untilEngineIsKnown'
 
 const OK = 200
-const NOT_READ = 'the prompt was not read'
+const PROMPT_NOT_READ = 'the prompt was not read'
 
 /** Relays a streaming request: a place, the prefill step, the stream, and another engine where allowed. */
 export async function relayStream(parts: RelayParts, job: RelayJob): Promise<RelayResult> {
@@ -46,32 +46,32 @@
 }
 
 /** Why an answer does not go on that was stopped to go on elsewhere. */
-const STOPPED_IN_VAIN = 'nothing goes on from the memory of the stopped run'
+const NOT_RESUMED = 'nothing goes on from the memory of the stopped run'
 
-class StreamRun implements StreamOwner, PromptReader, MovingRun {
+class StreamRun implements StreamContext, PrefillContext, MigrationContext {
   readonly sends: SendRecord[] = []
   readonly except = new Set<string>()
   exchange: Exchange | undefined
   isOver = false
-  private mayHaveRun = 0
+  private possibleRuns = 0
   private readonly caller: CallerStream
   /** Events of the engine at work now. */
-  private madeEvents = 0
+  private eventCount = 0
   /** Waits in a row for a way to go on. */
   private waits = 0
   /** When the request was sent to it. */
   private sentAt: Millis = 0
-  private readonly count: SendCount
-  private readonly prompt: PromptReading
-  private readonly moves: RunMoves
+  private readonly sendCounter: SendCounter
+  private readonly prompt: PromptPrefill
+  private readonly migrations: RunMigrations
 
   constructor(
     private readonly parts: RelayParts,
     private readonly job: RelayJob,
   ) {
-    this.count = new SendCount(parts.allowance, job.service.name)
-    this.prompt = new PromptReading(parts, job, this.count, this)
-    this.moves = new RunMoves(parts, job, this.count, this)
+    this.sendCounter = new SendCounter(parts.retryBudget, job.service.name)
+    this.prompt = new PromptPrefill(parts, job, this.sendCounter, this)
+    this.migrations = new RunMigrations(parts, job, this.sendCounter, this)
     this.caller = new CallerStream(job, parts.clock, parts.wire, {
       pause: () => this.exchange?.pause(),
       resume: () => this.exchange?.resume(),
@@ -97,21 +97,21 @@
     for (let refusals = 0; ;) {
       const { request, service } = this.job
       const refused = this.parts.crashes?.refusal(request.content, service.name)
-      if (refused !== undefined) return this.answerWithout(ENDS_ENDPOINTS, refused.leftMs)
-      const attempt = await this.tryOnce()
+      if (refused !== undefined) return this.endWithoutAnswer(ENDS_ENDPOINTS, refused.leftMs)
+      const attempt = await this.attemptOnce()
       if (attempt.type === 'over' || this.isOver) return this.caller.overResult()
       if (attempt.type === 'done' || attempt.type === 'passed')
         return { status: attempt.type === 'done' ? OK : attempt.status, outcome: 'answered' }
       if (attempt.type === 'not-run') refusals += 1
-      const next = this.afterTry(attempt, refusals)
-      if (next.type === 'end') return this.answerWithout(reasonOf(attempt), comeBackMs(attempt))
-      if (next.afterMs > 0) await this.waitToGoOn(attempt, next.afterMs)
+      const next = this.decideRetry(attempt, refusals)
+      if (next.type === 'end') return this.endWithoutAnswer(reasonOf(attempt), retryAfterOf(attempt))
+      if (next.afterMs > 0) await this.waitBeforeRetry(attempt, next.afterMs)
       if (this.isOver) return this.caller.overResult()
     }
   }
 
   /** Asks for a place and has the answer made there. */
-  private async tryOnce(): Promise<Tried> {
+  private async attemptOnce(): Promise<AttemptResult> {
     const { pool, placer, clock } = this.parts
     await untilEngineIsKnown(this.parts, this.job)
     if (isAwayOnly(pool, this.job, 'decode'))
@@ -119,26 +119,26 @@
     this.job.placedAt = clock.now()
     const answer = await placer.place(this.work())
     if (answer.type === 'refused') return answer
-    if (!this.isOver) return this.runAt(answer.place)
+    if (!this.isOver) return this.runAtPlace(answer.place)
     answer.place.release('cancelled', 0, 0)
     return { type: 'over' }
   }
 
-  private afterTry(attempt: Unanswered, refusals: number): AfterTry {
+  private decideRetry(attempt: FailedAttempt, refusals: number): RetryDecision {
     const { route, endsAt } = this.job
-    return afterTry(attempt.type === 'denied' ? { type: 'refused' } : attempt, {
+    return decideRetry(attempt.type === 'denied' ? { type: 'refused' } : attempt, {
       hasBegun: this.hasBegun,
       isResumable: route.resumable,
       leftMs: endsAt - this.parts.clock.now(),
       refusals,
-      hasEngineLeft: this.mayHaveRun < route.attempts,
-      hasSendingLeft: () => this.count.isLeft(),
+      hasEngineLeft: this.possibleRuns < route.attempts,
+      hasSendingLeft: () => this.sendCounter.isLeft(),
       waits: this.waits,
     })
   }
 
   /** An answer that has begun was turned away: it is still owed. */
-  private async waitToGoOn(attempt: Unanswered, afterMs: Millis): Promise<void> {
+  private async waitBeforeRetry(attempt: FailedAttempt, afterMs: Millis): Promise<void> {
     const { clock, logger } = this.parts
     const leftMs = Math.round(this.job.endsAt - clock.now())
     const line = { request: this.job.request.id, reason: reasonOf(attempt), leftMs }
@@ -157,83 +157,83 @@
     return this.hasBegun ? { ...work, ...found, isBegun: true, promptMs: 0 } : { ...work, ...found }
   }
 
-  private async runAt(place: ModelPlace): Promise<Attempt> {
+  private async runAtPlace(place: ModelPlace): Promise<Attempt> {
     const startedAt = this.parts.clock.now()
     // Drawn before the prompt is read, which would be in vain without it.
-    const drawn = this.count.isRepeat ? this.count.open('decode') : undefined
-    if (this.count.isRepeat && drawn === undefined) return this.unused(place, { type: 'denied' })
-    const step = await this.prompt.readAt(place)
-    if (this.isOver) return this.unused(place, { type: 'over' }, drawn)
+    const drawn = this.sendCounter.isRepeat ? this.sendCounter.open('decode') : undefined
+    if (this.sendCounter.isRepeat && drawn === undefined) return this.releaseUnused(place, { type: 'denied' })
+    const step = await this.prompt.prefillAt(place)
+    if (this.isOver) return this.releaseUnused(place, { type: 'over' }, drawn)
     // Whoever places knows whether another engine reads it, or whether the decode engine can do so itself.
-    const withheld = step === 'not-read' ? NOT_READ : this.prompt.whyNotDecode(place.decode)
+    const withheld = step === 'not-read' ? PROMPT_NOT_READ : this.prompt.whyNotDecode(place.decode)
     if (withheld !== undefined)
-      return this.unused(place, { type: 'not-run', arrived: false, reason: withheld }, drawn)
-    this.madeEvents = 0
-    const sending = drawn ?? this.count.open('decode')
-    if (sending === undefined) return this.unused(place, { type: 'denied' })
+      return this.releaseUnused(place, { type: 'not-run', arrived: false, reason: withheld }, drawn)
+    this.eventCount = 0
+    const sending = drawn ?? this.sendCounter.open('decode')
+    if (sending === undefined) return this.releaseUnused(place, { type: 'denied' })
     // The place is used; what the run does later hangs on no promise of it.
     this.job.placedAt = undefined
     place.madeTokens = () => this.madeTokens()
-    place.moveTo = (to) => void this.moves.begin(place, to)
+    place.moveTo = (to) => void this.migrations.start(place, to)
     const stall = this.watchStall(place)
-    const { attempt, note } = await this.streamOn(
+    const { attempt, sendOutcome } = await this.followMigrations(
       place,
       await this.streamAt(place.decode, sending, this.prompt.held),
     )
     stall.cancel()
     const tookMs = this.parts.clock.now() - startedAt
-    const used: SendOutcome = stall.hasLeft() ? 'silent' : note
+    const used: SendOutcome = stall.hasLeft() ? 'silent' : sendOutcome
     place.release(this.isOver && used !== 'ok' ? 'cancelled' : used, tookMs, this.madeTokens())
     this.sends.push({
       to: place.decode.endpoint.id,
       step: 'decode',
-      outcome: note,
+      outcome: sendOutcome,
       tookMs: Math.round(tookMs),
     })
     return attempt
   }
 
   /** Gives a place back at which no engine was asked to make the answer. */
-  private unused(place: ModelPlace, attempt: Attempt, drawn?: CountedSending): Attempt {
+  private releaseUnused(place: ModelPlace, attempt: Attempt, drawn?: CountedSending): Attempt {
     place.release('cancelled', 0, 0)
     drawn?.close('not-arrived')
     return attempt
   }
 
   /** Goes on at other engines for as long as the run is moved. */
-  private async streamOn(place: ModelPlace, ended: StreamResult): Promise<StreamResult> {
-    const { attempt, note } = ended
-    const next = await this.moves.next(place.decode, attempt)
+  private async followMigrations(place: ModelPlace, ended: StreamResult): Promise<StreamResult> {
+    const { attempt, sendOutcome } = ended
+    const next = await this.migrations.next(place.decode, attempt)
     // An engine that was told to stop has not run it in vain, and goes on counting as the same run.
-    if (attempt.type === 'lost' && this.moves.isStopped) this.mayHaveRun -= 1
-    if (next === undefined) return this.endHere(place, ended)
+    if (attempt.type === 'lost' && this.migrations.isStopped) this.possibleRuns -= 1
+    if (next === undefined) return this.finishStream(place, ended)
     const from = place.decode
-    const outcome = attempt.type === 'not-run' ? note : 'moved'
+    const outcome = attempt.type === 'not-run' ? sendOutcome : 'moved'
     this.sends.push({ to: from.endpoint.id, step: 'decode', outcome, tookMs: 0 })
     if (next.at !== from) place.noteMoved(next.at)
     const { at, sending, source, handle } = next
-    return this.streamOn(place, await this.streamAt(at, sending, { at: source, handle }))
+    return this.followMigrations(place, await this.streamAt(at, sending, { at: source, handle }))
   }
 
   /** Nothing goes on from the memory of the run, if it was stopped. */
-  private endHere(place: ModelPlace, ended: StreamResult): StreamResult {
-    if (!this.moves.isStopped) {
-      this.noteLoss(place.decode, ended)
+  private finishStream(place: ModelPlace, ended: StreamResult): StreamResult {
+    if (!this.migrations.isStopped) {
+      this.reportLoss(place.decode, ended)
       return ended
     }
-    this.moves.giveUp()
+    this.migrations.abandon()
     if (ended.attempt.type !== 'lost') return ended
     // The engine did as it was told: that is no failure of its own.
-    return { attempt: { type: 'not-run', arrived: true, reason: STOPPED_IN_VAIN }, note: 'cancelled' }
+    return { attempt: { type: 'not-run', arrived: true, reason: NOT_RESUMED }, sendOutcome: 'cancelled' }
   }
 
   /** An engine that was told to stop a run that moves has lost nothing; any other that ended it early may have crashed. */
-  private noteLoss(at: PooledEndpoint, { attempt }: StreamResult): void {
+  private reportLoss(at: PooledEndpoint, { attempt }: StreamResult): void {
     const now = this.parts.clock.now()
     const afterMs = now - this.sentAt
-    if (attempt.type === 'lost') noteLost(this.parts, this.job, at, afterMs)
+    if (attempt.type === 'lost') reportLostSending(this.parts, this.job, at, afterMs)
     if (attempt.type !== 'over') return
-    noteLost(this.parts, this.job, at, afterMs, Math.min(afterMs, this.caller.pauses.silentMs(now)))
+    reportLostSending(this.parts, this.job, at, afterMs, Math.min(afterMs, this.caller.pauses.silentMs(now)))
   }
 
   /** Tells the placement of an engine that has made nothing for too long, and leaves it where that is allowed. */
@@ -241,9 +241,9 @@
     const { route } = this.job
     let hasLeft = false
     const cancel = this.parts.clock.after(route.targetMs, () => {
-      if (this.madeEvents > 0 || this.isOver) return
+      if (this.eventCount > 0 || this.isOver) return
       place.noteStalled(route.targetMs)
-      hasLeft = route.resumable && this.mayHaveRun + 1 < route.attempts
+      hasLeft = route.resumable && this.possibleRuns + 1 < route.attempts
       if (!hasLeft) return
       this.except.add(place.decode.endpoint.id)
       this.exchange?.cancel('no event in time')
@@ -252,7 +252,7 @@
   }
 
   private madeTokens(): number {
-    return this.madeEvents * (this.job.service.engine?.tokensPerEvent ?? 1)
+    return this.eventCount * (this.job.service.engine?.tokensPerEvent ?? 1)
   }
 
   private streamAt(
@@ -279,17 +279,17 @@
         body: job.request.body,
         connectMs: CONNECT_MS,
         clock: parts.clock,
-        onHead: (head) => stream.takeHead(head),
-        onData: (chunk) => stream.takeData(chunk),
+        onHead: (head) => stream.onHead(head),
+        onData: (chunk) => stream.onData(chunk),
         onEnd: (end) => {
           this.exchange = undefined
           unwatch()
           sending.close(end.complete || end.sent ? 'taken' : 'not-arrived')
           const result = this.isOver
-            ? { attempt: { type: 'over' as const }, note: stream.noteIfOver() }
+            ? { attempt: { type: 'over' as const }, sendOutcome: stream.outcomeIfCancelled() }
             : stream.end(end)
           if (result.attempt.type === 'not-run') this.except.add(to.endpoint.id)
-          else this.prompt.noteTaken()
+          else this.prompt.markTaken()
           resolve(result)
         },
       })
@@ -302,8 +302,8 @@
     return readVerdict(this.parts, this.job, at, head)
   }
 
-  noteMayHaveRun(): void {
-    this.mayHaveRun += 1
+  countPossibleRun(): void {
+    this.possibleRuns += 1
   }
 
   get hasBegun(): boolean {
@@ -314,20 +314,21 @@
     return this.caller.head
   }
 
-  passEvents(head: AnswerHead, events: StreamEvent[]): void {
-    this.madeEvents += events.length
+  forwardEvents(head: AnswerHead, events: StreamEvent[]): void {
+    this.eventCount += events.length
     this.waits = 0
     this.caller.passEvents(head, events)
   }
 
-  passEnd = (head: AnswerHead, rest: Buffer): void => this.caller.passEnd(head, rest)
+  forwardEnd = (head: AnswerHead, rest: Buffer): void => this.caller.passEnd(head, rest)
 
-  passFailure = (head: AnswerHead, body: Buffer): number => passFailure(this.job.request.response, head, body)
+  forwardFailure = (head: AnswerHead, body: Buffer): number =>
+    forwardFailure(this.job.request.response, head, body)
 
-  private answerWithout(reason: string, retryAfterMs: Millis): OwnResult {
+  private endWithoutAnswer(reason: string, retryAfterMs: Millis): OwnResult {
     const { response } = this.job.request
     if (this.head !== undefined) return this.caller.cut(this.head, reason)
-    if (this.mayHaveRun > 0) return answerFailure(response, 502, reason)
+    if (this.possibleRuns > 0) return answerFailure(response, 502, reason)
     return answerRefusal(response, reason, retryAfterMs)
   }
 
@@ -335,7 +336,7 @@
     if (this.isOver) return
     if (this.exchange !== undefined && !this.hasBegun)
       answerFailure(this.job.request.response, 504, 'the time is up')
-    else this.answerWithout('the time is up', comeBackMs())
+    else this.endWithoutAnswer('the time is up', retryAfterOf())
     this.finish('the time is up')
   }
 
--- a/request/gateway/src/tokenCounts.ts
+++ b/request/gateway/src/tokenCounts.ts
@@ -2,7 +2,7 @@
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 
 /** More than any engine holds by far; what declares more is an error, and would empty a quota at once. */
-const MOST_TOKENS = 100_000_000
+const MAX_TOKENS = 100_000_000
 
 /** The tokens that a request declares; undefined where it names none, `malformed` where they cannot be meant. */
 export function tokenCountsOf(
@@ -12,6 +12,6 @@
   const value = single(request.headers[wire.headers.tokenCounts])
   if (value === undefined) return undefined
   const counts = wire.readTokenCounts(value)
-  if (counts === undefined || counts.prompt + counts.most > MOST_TOKENS) return 'malformed'
+  if (counts === undefined || counts.prompt + counts.most > MAX_TOKENS) return 'malformed'
   return counts
 }
--- a/request/gateway/test/begunAnswers.test.ts
+++ b/request/gateway/test/begunAnswers.test.ts
@@ -15,10 +15,10 @@
   events,
   isStream,
   runsWith,
-  startMoving,
+  startMigration,
   stopsWith,
   type Engine,
-} from './movingWorld'
+} from './migrationHarness'
 
 const turnsAway: Engine['stream'] = ({ socket }) =>
   void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
@@ -50,7 +50,7 @@
 
 describe('an answer that has begun', () => {
   it('goes on where its memory is though that engine turns it away at first', async () => {
-    const { workers, answer, move, world } = await startMoving([
+    const { workers, answer, move, world } = await startMigration([
       { stream: runsFirst(turnsAway), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
       { stream: turnsAwayFirst(2, 3) },
       { stream: endsWith(9) },
@@ -67,7 +67,7 @@
 
   it('goes on once an engine takes it, though all turn it away for a while', async () => {
     const away = turnsAwayFirst(6, 3)
-    const { answer, move } = await startMoving(
+    const { answer, move } = await startMigration(
       [
         {
           stream: runsFirst(away),
@@ -84,7 +84,7 @@
   })
 
   it('goes on once there is a place, though the first ones are refused', async () => {
-    const one = await startMoving(
+    const one = await startMigration(
       [
         {
           stream: runsFirst(turnsAway),
@@ -113,7 +113,7 @@
 
   it('goes on once a second sending is left, though none is at first', async () => {
     let running: SeenRequest | undefined
-    const { world, answer } = await startMoving(
+    const { world, answer } = await startMigration(
       [
         {
           stream: runsFirst(turnsAwayFirst(0, 3), (request) => (running = request)),
@@ -126,7 +126,7 @@
     const { denied } = world.allowance.counts
     running!.socket.destroy()
     await eventually(() => world.allowance.counts.denied > denied)
-    world.allowance.giveBack('model')
+    world.allowance.refund('model')
     expect(await answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
   })
 })
@@ -139,7 +139,7 @@
 
   it('ends as cut, not open for ever, when the next engine fails it', async () => {
     let running: SeenRequest | undefined
-    const { answer, world } = await startMoving(
+    const { answer, world } = await startMigration(
       [{ stream: runsFirst(fails, (request) => (running = request)) }, { stream: fails }],
       { resumable: true, attempts: 2 },
       { 'x-deadline': '60000' },
@@ -150,7 +150,7 @@
   })
 
   it('is blamed on no engine that was told to stop', async () => {
-    const { answer, move, world } = await startMoving(
+    const { answer, move, world } = await startMigration(
       [
         { stream: runsFirst(turnsAway), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
         { stream: turnsAwayFirst(1, 3) },
@@ -167,7 +167,7 @@
 describe('an answer whose events still come', () => {
   it('goes on at an endpoint that a list says has ended', async () => {
     let running: SeenRequest | undefined
-    const { world, answer } = await startMoving([
+    const { world, answer } = await startMigration([
       {
         stream: runsFirst(turnsAway, (request) => (running = request)),
       },
@@ -232,7 +232,7 @@
   )
 
   it('is told from one whose caller has gone, where the entry ends in the middle of it', async () => {
-    const { world, answer } = await startMoving([{ stream: runsWith(1) }])
+    const { world, answer } = await startMigration([{ stream: runsWith(1) }])
     answer.catch(() => undefined)
     world.stop()
     await eventually(() => world.reports.length === 1)
--- a/request/gateway/test/choiceWorld.ts
+++ b/request/gateway/test/choiceSimulation.ts
@@ -6,7 +6,7 @@
 const TARGET_MS = 300
 /** How long a caller waits for an endpoint with room. */
 const WAIT_MS = 51
-const LOOK_MS = 10
+const POLL_MS = 10
 const QUEUE = 24
 
 export interface ChoiceOptions {
@@ -36,7 +36,7 @@
 }
 
 /** Entries that choose by themselves among plain endpoints with places and a queue, on one clock. */
-export function playChoices(options: ChoiceOptions): ChoiceResult {
+export function simulateChoices(options: ChoiceOptions): ChoiceResult {
   const { seed, perSecond, workMs, slots, entries = 4, forMs = 20_000 } = options
   const clock = new ManualClock()
   const random = createSeededRandom(seed)
@@ -87,7 +87,7 @@
     const open = pool.candidates('plain').filter((one) => one.inFlight < one.limit.value)
     const to = pool.leastLoaded(open)
     if (to !== undefined) return send(pool, to, sentAt)
-    if (clock.now() - sentAt < WAIT_MS) clock.after(LOOK_MS, () => call(pool, sentAt))
+    if (clock.now() - sentAt < WAIT_MS) clock.after(POLL_MS, () => call(pool, sentAt))
   }
   const next = () => {
     if (clock.now() >= forMs) return
--- a/request/gateway/test/coldRelay.test.ts
+++ b/request/gateway/test/coldRelay.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { COLD_PER_SECOND, type GatewayWorld, type GotAnswer } from './gatewayWorld'
-import { answers, reads, startRelay, streams } from './relayWorld'
+import { answers, reads, startRelay, streams } from './relayHarness'
 
 /** Sends so many requests at once, each with an id of its own. */
 function sendMany(world: GatewayWorld, count: number): Promise<GotAnswer[]> {
--- a/request/gateway/test/connectionShare.test.ts
+++ b/request/gateway/test/connectionShare.test.ts
@@ -16,17 +16,17 @@
     const world = await LimitWorld.start(entries, 1)
     open.push(world)
     world.maxConnections = most
-    await world.play(2_000, 500)
+    await world.runLoad(2_000, 500)
     await world.drain()
-    expect(world.mostHeld).toBeLessThanOrEqual(most)
-    expect(world.mostHeld).toBeGreaterThan(most / 2)
+    expect(world.maxHeld).toBeLessThanOrEqual(most)
+    expect(world.maxHeld).toBeGreaterThan(most / 2)
   })
 
   it('leave each entry one where there are fewer than entries: it could serve nobody otherwise', async () => {
     const world = await LimitWorld.start(8, 1)
     open.push(world)
     world.maxConnections = 4
-    await world.play(20, 2_000)
+    await world.runLoad(20, 2_000)
     await world.drain()
     expect(world.servedInTime()).toBeGreaterThan(0.9)
   })
--- a/request/gateway/test/afterTry.test.ts
+++ b/request/gateway/test/decideRetry.test.ts
@@ -1,7 +1,13 @@
 import { describe, expect, it } from 'vitest'
-import { afterTry, waitMs, type AfterTry, type FailedTry, type TryState } from '../src/afterTry'
+import {
+  decideRetry,
+  retryDelayMs,
+  type RetryDecision,
+  type AttemptFailure,
+  type RetryState,
+} from '../src/decideRetry'
 
-const state = (fields: Partial<TryState> = {}): TryState => ({
+const state = (fields: Partial<RetryState> = {}): RetryState => ({
   hasBegun: false,
   isResumable: true,
   leftMs: 5_000,
@@ -11,15 +17,15 @@
   waits: 0,
   ...fields,
 })
-const refused: FailedTry = { type: 'refused' }
-const full: FailedTry = { type: 'not-run', arrived: true }
-const unreached: FailedTry = { type: 'not-run', arrived: false }
-const lost: FailedTry = { type: 'lost' }
-const end: AfterTry = { type: 'end' }
-const atOnce: AfterTry = { type: 'again', afterMs: 0 }
+const refused: AttemptFailure = { type: 'refused' }
+const full: AttemptFailure = { type: 'not-run', arrived: true }
+const unreached: AttemptFailure = { type: 'not-run', arrived: false }
+const lost: AttemptFailure = { type: 'lost' }
+const end: RetryDecision = { type: 'end' }
+const atOnce: RetryDecision = { type: 'again', afterMs: 0 }
 
 describe('afterTry, before an answer has begun', () => {
-  const cases: [string, FailedTry, Partial<TryState>, AfterTry][] = [
+  const cases: [string, AttemptFailure, Partial<RetryState>, RetryDecision][] = [
     ['refused', refused, {}, end],
     ['not reached', unreached, { hasSendingLeft: () => false, hasEngineLeft: false }, atOnce],
     ['turned away', full, {}, atOnce],
@@ -30,12 +36,12 @@
     ['lost at the last engine', lost, { hasEngineLeft: false }, end],
   ]
   it.each(cases)('%s', (_name, failed, fields, next) => {
-    expect(afterTry(failed, state(fields))).toEqual(next)
+    expect(decideRetry(failed, state(fields))).toEqual(next)
   })
 })
 
 describe('afterTry, once an answer has begun', () => {
-  const begun = (fields: Partial<TryState> = {}) =>
+  const begun = (fields: Partial<RetryState> = {}) =>
     state({ hasBegun: true, refusals: 99, hasSendingLeft: () => false, ...fields })
 
   it.each([
@@ -44,23 +50,23 @@
     ['not reached', unreached],
   ])('goes on asking when %s, however often, while there is time', (_name, failed) => {
     for (const waits of [0, 1, 5, 100]) {
-      const next = afterTry(failed, begun({ waits, hasEngineLeft: false }))
-      expect(next).toEqual({ type: 'again', afterMs: waitMs(waits) })
+      const next = decideRetry(failed, begun({ waits, hasEngineLeft: false }))
+      expect(next).toEqual({ type: 'again', afterMs: retryDelayMs(waits) })
     }
-    expect(afterTry(failed, begun({ leftMs: 40 }))).toEqual(end)
+    expect(decideRetry(failed, begun({ leftMs: 40 }))).toEqual(end)
   })
 
   it('goes on at once after a loss, as long as its route has an engine left', () => {
-    expect(afterTry(lost, begun())).toEqual(atOnce)
-    expect(afterTry(lost, begun({ hasEngineLeft: false }))).toEqual(end)
+    expect(decideRetry(lost, begun())).toEqual(atOnce)
+    expect(decideRetry(lost, begun({ hasEngineLeft: false }))).toEqual(end)
   })
 
   it('ends where it may not be made anew', () => {
     for (const failed of [refused, full, unreached, lost])
-      expect(afterTry(failed, begun({ isResumable: false }))).toEqual(end)
+      expect(decideRetry(failed, begun({ isResumable: false }))).toEqual(end)
   })
 
   it('asks soon at first, and then no more often than its progress is reported', () => {
-    expect([0, 1, 2, 3, 9].map(waitMs)).toEqual([50, 100, 200, 400, 400])
+    expect([0, 1, 2, 3, 9].map(retryDelayMs)).toEqual([50, 100, 200, 400, 400])
   })
 })
--- a/request/gateway/test/equalParts.test.ts
+++ b/request/gateway/test/equalParts.test.ts
@@ -1,13 +1,13 @@
 // Before, of six plain endpoints that answer alike in 20 ms, the busiest got 2.17 times the mean of all in some 4 s (eight seeds, four entries, 50
 // requests a second); now 1.31, which is what chance alone gives. Past the knee and where endpoints differ fourfold as many are served in time as before.
 import { describe, expect, it } from 'vitest'
-import { playChoices, type ChoiceOptions } from './choiceWorld'
+import { simulateChoices, type ChoiceOptions } from './choiceSimulation'
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
 const alike = (count: number, ms: number) => Array.from({ length: count }, () => ms)
 
 function play(options: Omit<ChoiceOptions, 'seed'>) {
-  const results = SEEDS.map((seed) => playChoices({ ...options, seed }))
+  const results = SEEDS.map((seed) => simulateChoices({ ...options, seed }))
   const mean = (of: (one: (typeof results)[number]) => number) =>
     results.reduce((sum, one) => sum + of(one), 0) / results.length
   return { inTime: mean(({ inTime }) => inTime), busiest: mean(({ busiest }) => busiest) }
--- a/request/gateway/test/gatewayWorld.ts
+++ b/request/gateway/test/gatewayWorld.ts
@@ -16,7 +16,7 @@
   Ingress,
   KEPT_FREE,
   LocalPlacer,
-  RetryAllowance,
+  RetryBudget,
   WorkspaceGate,
   type ModelPlace,
   type RequestReport,
@@ -120,7 +120,7 @@
     /** Failure domains that get nothing. */
     readonly evacuated: Set<string>,
     /** The entry's part of second sendings. */
-    readonly allowance: RetryAllowance,
+    readonly allowance: RetryBudget,
     /** What endpoints have said in their answers of what they want from the entry. */
     readonly statements: StatementBook,
   ) {}
@@ -201,7 +201,7 @@
     })
     later = RUN_FOR_MS
     const local = new LocalPlacer({ pool, kvTokens: () => 100_000, entries: () => 1, cold })
-    const allowance = new RetryAllowance({
+    const allowance = new RetryBudget({
       clock,
       share: 0.2,
       slack: 20,
@@ -224,11 +224,11 @@
             return answer
           },
         },
-        allowance,
+        retryBudget: allowance,
         sendRules: [
           ({ id }) => world.withheld.get(id),
           (to) => (isEvacuated(to) ? 'evacuated' : undefined),
-          (to, { isolatedAt }) => (isKeptFree(to) && isolatedAt !== to.id ? KEPT_FREE : undefined),
+          (to, { isolatedId }) => (isKeptFree(to) && isolatedId !== to.id ? KEPT_FREE : undefined),
           homeRule(TOPOLOGY),
         ],
         cold,
@@ -239,14 +239,14 @@
         statements,
         leavingServesMs: LEAVING_SERVES_MS,
         crashes: {
-          noteLost: (sending) => void world.lost.push(sending),
-          noteServed: (content) => void world.served.push(content()),
+          recordLoss: (sending) => void world.lost.push(sending),
+          recordServed: (content) => void world.served.push(content()),
           decide: (content, _service, lost) => world.decide(content(), lost),
           confirmed: (lost) => world.confirmed(lost),
           askIsolated: () => Promise.resolve(world.alone()),
           askTurn: (_content, _service, request) => Promise.resolve(world.turn(request)),
-          noteTurnEnd: (_content, _service, request) => void world.turnEnds.push(request),
-          noteIsolatedEnd: (_content, _service, endpoint) => void world.isolatedEnds.push(endpoint),
+          endTurn: (_content, _service, request) => void world.turnEnds.push(request),
+          endIsolated: (_content, _service, endpoint) => void world.isolatedEnds.push(endpoint),
           refusal: (content) => (world.refused.has(content()) ? { ends: 3, leftMs: 60_000 } : undefined),
         },
         clock: {
--- a/request/gateway/test/holdTime.test.ts
+++ b/request/gateway/test/holdTime.test.ts
@@ -14,7 +14,7 @@
 
   it('counts from the last event where a stream is to go on elsewhere', () => {
     const pauses = new EventPauses(1_000)
-    pauses.note(6_000)
+    pauses.recordEvents(6_000)
     expect(holdTime(900, 13_000, pauses.silentMs(6_200))).toBe(900 * 3.4 - 200)
     expect(holdTime(900, 13_000, pauses.silentMs(20_000))).toBe(0)
   })
--- a/request/gateway/test/limitWorld.ts
+++ b/request/gateway/test/limitWorld.ts
@@ -3,7 +3,7 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { LimitGate, type RelayParts } from '../src'
 import { goodAnswer, type SeenRequest } from './fakeWorker'
-import { PlainWorld, type Work } from './plainWorld'
+import { PlainHarness, type Work } from './plainHarness'
 
 const WORK_MS = 60
 const REPORT_MS = 500
@@ -76,7 +76,7 @@
 }
 
 /** Entries on one clock before plain endpoints that answer after a while, and name rates. */
-export class LimitWorld extends PlainWorld {
+export class LimitWorld extends PlainHarness {
   readonly workers: LimitedWorker[] = []
   /** Entries that do not hear the leader. */
   readonly cutOff = new Set<number>()
--- a/request/gateway/test/lostSendings.test.ts
+++ b/request/gateway/test/lostSendings.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { chunk, event, goodAnswer, type SeenRequest } from './fakeWorker'
-import { answers, startRelay, streams } from './relayWorld'
+import { answers, startRelay, streams } from './relayHarness'
 
 /** Ends its connection in the middle of a stream. */
 const breaksOff = (request: SeenRequest) => {
--- a/request/gateway/test/movingWorld.ts
+++ b/request/gateway/test/migrationHarness.ts
@@ -58,7 +58,7 @@
   }
 
 /** An entry before decode engines, with a request whose stream has begun at the first. */
-export async function startMoving(
+export async function startMigration(
   engines: Engine[],
   route: Partial<Route> = {},
   headers: Record<string, string> = {},
--- a/request/gateway/test/namedRates.test.ts
+++ b/request/gateway/test/namedRates.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import type { Stage } from '@forkstage/directory'
 import { goodAnswer, type SeenRequest } from './fakeWorker'
-import { startRelay, streams } from './relayWorld'
+import { startRelay, streams } from './relayHarness'
 
 const answering =
   (...rows: string[]) =>
--- a/request/gateway/test/parts.test.ts
+++ b/request/gateway/test/parts.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '@forkstage/clock'
 import { Topology } from '@forkstage/topology'
 import { createSilentLogger } from '@forkstage/logger'
-import { EndpointPool, EventSplitter, judgeAnswer, RetryAllowance } from '../src'
+import { EndpointPool, EventSplitter, judgeAnswer, RetryBudget } from '../src'
 import { TEST_WIRE } from './testWire'
 
 describe('EventSplitter', () => {
@@ -16,7 +16,7 @@
         const sorted = [0, ...[...places].sort((left, right) => left - right), text.length]
         const events = sorted
           .slice(1)
-          .flatMap((end, index) => splitter.take(Buffer.from(text.slice(sorted[index], end))))
+          .flatMap((end, index) => splitter.push(Buffer.from(text.slice(sorted[index], end))))
         expect(events.map((event) => event.id)).toEqual([1, 2, undefined])
         expect(Buffer.concat([...events.map((event) => event.bytes), splitter.unfinished]).toString()).toBe(
           text,
@@ -54,9 +54,9 @@
 describe('RetryAllowance', () => {
   it('counts what it gave and what it did not', () => {
     const clock = new ManualClock()
-    const allowance = new RetryAllowance({ clock, share: 0, slack: 4, windowMs: 10_000, entries: () => 1 })
-    for (let count = 0; count < 5; count += 1) allowance.take('s')
-    expect(allowance.counts).toEqual({ taken: 2, denied: 3 })
+    const budget = new RetryBudget({ clock, share: 0, slack: 4, windowMs: 10_000, entries: () => 1 })
+    for (let count = 0; count < 5; count += 1) budget.take('s')
+    expect(budget.counts).toEqual({ taken: 2, denied: 3 })
   })
 
   it('never lets entries together exceed share and slack in any window', () => {
@@ -65,13 +65,13 @@
       fc.property(gaps, (steps) => {
         const clock = new ManualClock()
         const options = { clock, share: 0.2, slack: 20, windowMs: 10_000, entries: () => 4 }
-        const entries = Array.from({ length: 4 }, () => new RetryAllowance(options))
+        const entries = Array.from({ length: 4 }, () => new RetryBudget(options))
         const requests: number[] = []
         const extras: number[] = []
         steps.forEach((gap, index) => {
           clock.advance(gap)
           const entry = entries[index % 4]!
-          entry.noteRequest('s')
+          entry.recordRequest('s')
           requests.push(clock.now())
           while (entry.take('s')) extras.push(clock.now())
         })
@@ -87,14 +87,14 @@
 
   it('gives a new entry no more than its part of the slack', () => {
     const clock = new ManualClock()
-    const allowance = new RetryAllowance({
+    const budget = new RetryBudget({
       clock,
       share: 0.2,
       slack: 40,
       windowMs: 10_000,
       entries: () => 10,
     })
-    expect([1, 2, 3].map(() => allowance.take('s'))).toEqual([true, true, false])
+    expect([1, 2, 3].map(() => budget.take('s'))).toEqual([true, true, false])
   })
 })
 
--- a/request/gateway/test/plainWorld.ts
+++ b/request/gateway/test/plainHarness.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom, ManualClock } from '@forkstage/clock'
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import { createSilentLogger } from '@forkstage/logger'
-import { EndpointPool, RetryAllowance, type RelayParts } from '../src'
+import { EndpointPool, RetryBudget, type RelayParts } from '../src'
 import { relayPlain } from '../src/plainRelay'
 import type { RelayJob } from '../src/relayParts'
 import { FakeWorker, type SeenRequest } from './fakeWorker'
@@ -37,7 +37,7 @@
 }
 
 /** Entries on one clock before plain endpoints; sockets carry requests, no timer is real. */
-export abstract class PlainWorld {
+export abstract class PlainHarness {
   readonly clock = new ManualClock(100_000)
   readonly random = createSeededRandom(40)
   readonly outcomes: Outcome[] = []
@@ -49,7 +49,7 @@
   private count = 0
   private running = 0
   /** The most requests that endpoints held at once. */
-  mostHeld = 0
+  maxHeld = 0
 
   constructor(protected readonly entryCount: number) {}
 
@@ -61,7 +61,7 @@
 
   protected async open(endpointCount: number): Promise<void> {
     for (let index = 0; index < endpointCount; index += 1)
-      this.listeners.push(await FakeWorker.start((request) => this.take(index, request)))
+      this.listeners.push(await FakeWorker.start((request) => this.onRequest(index, request)))
     for (let index = 0; index < this.entryCount; index += 1) this.entries.push(this.createEntry(index))
     this.clock.advance(SETTLED_MS)
   }
@@ -71,7 +71,7 @@
   }
 
   /** Callers come for a time, so many a second, each at any entry, or at those given. */
-  async play(
+  async runLoad(
     perSecond: number,
     forMs: number,
     at: (draw: number) => number = (draw) => Math.floor(draw * this.entries.length),
@@ -87,7 +87,7 @@
   }
 
   /** Lets time pass in which nobody calls. */
-  async rest(forMs: number): Promise<void> {
+  async advanceIdle(forMs: number): Promise<void> {
     for (let passed = 0; passed < forMs; passed += REST_STEP_MS) {
       this.clock.advance(REST_STEP_MS)
       await this.settle()
@@ -114,7 +114,7 @@
     const parts = this.partsOf(index)
     const pool = new EndpointPool({ zone: 'z', statements: parts.statements, clock, random, logger })
     pool.update(this.endpoints())
-    const allowance = new RetryAllowance({
+    const retryBudget = new RetryBudget({
       clock,
       share: 0.2,
       slack: 50,
@@ -126,7 +126,7 @@
       wire: TEST_WIRE,
       pool,
       placer,
-      allowance,
+      retryBudget,
       entries: () => this.entryCount,
       clock,
       random,
@@ -139,10 +139,10 @@
     return this.listeners.map(({ address }, index) => fullEndpoint({ address, slots: SLOTS }, index))
   }
 
-  private take(index: number, request: SeenRequest): void {
+  private onRequest(index: number, request: SeenRequest): void {
     const entry = Number(request.headers['x-id']!.split('-')[0])
     this.held += 1
-    this.mostHeld = Math.max(this.mostHeld, this.held)
+    this.maxHeld = Math.max(this.maxHeld, this.held)
     const { answer, inMs } = this.work(index, request, entry)
     this.clock.after(inMs, () => {
       this.held -= 1
@@ -154,8 +154,8 @@
     const { clock } = this
     const sentAt = clock.now()
     const parts = this.entries[entry]!
-    const response = new TakenAnswer()
-    parts.allowance.noteRequest('plain')
+    const response = new FakeResponse()
+    parts.retryBudget.recordRequest('plain')
     this.count += 1
     this.running += 1
     void relayPlain(parts, this.toJob(`${entry}-${this.count}`, sentAt, response)).then(({ status }) => {
@@ -165,7 +165,7 @@
     })
   }
 
-  private toJob(id: string, arrivedAt: number, response: TakenAnswer): RelayJob {
+  private toJob(id: string, arrivedAt: number, response: FakeResponse): RelayJob {
     const request = {
       id,
       method: 'GET',
@@ -205,7 +205,7 @@
 }
 
 /** Takes an answer in place of a caller's connection. */
-class TakenAnswer extends EventEmitter {
+class FakeResponse extends EventEmitter {
   headersSent = false
   destroyed = false
   statusCode = 0
--- a/request/gateway/test/refusedContent.test.ts
+++ b/request/gateway/test/refusedContent.test.ts
@@ -2,7 +2,7 @@
 import { contentDigest } from '@forkstage/crashes'
 import type { SeenRequest } from './fakeWorker'
 import type { GatewayWorld } from './gatewayWorld'
-import { answers, startRelay, streams } from './relayWorld'
+import { answers, startRelay, streams } from './relayHarness'
 
 const BODY = 'ends engines'
 
--- a/request/gateway/test/restWorld.ts
+++ b/request/gateway/test/restHarness.ts
@@ -3,7 +3,7 @@
 import { StatementBook } from '@forkstage/statements'
 import type { RelayParts } from '../src'
 import { goodAnswer, type SeenRequest } from './fakeWorker'
-import { PlainWorld, type Work } from './plainWorld'
+import { PlainHarness, type Work } from './plainHarness'
 
 const WORK_MS = 60
 /** An endpoint that turns away needs no place for that. */
@@ -18,7 +18,7 @@
 }
 
 /** An endpoint told an entry that it wants nothing from it for a while, or that it leaves. */
-interface Told extends Arrival {
+interface Notice extends Arrival {
   untilMs: number
 }
 
@@ -30,12 +30,12 @@
   says: ((leftMs: number) => string | undefined) | undefined
   leaves = false
   readonly arrivals: Arrival[] = []
-  readonly rests: Told[] = []
+  readonly rests: Notice[] = []
   /** When each entry first got an answer that says that it leaves. */
   readonly toldLeaving = new Map<number, number>()
 
   /** The most requests that reached it from one entry within one rest, once what was on its way had arrived. */
-  mostInRest(): number {
+  maxInRest(): number {
     const counts = this.rests.map(
       ({ at: from, untilMs, entry }) =>
         this.arrivals.filter(
@@ -58,11 +58,11 @@
 }
 
 /** Entries on one clock before plain endpoints that ask for rest, or leave. */
-export class RestWorld extends PlainWorld {
+export class RestHarness extends PlainHarness {
   readonly workers: RestingWorker[] = []
 
-  static async start(entryCount: number, workerCount = 3): Promise<RestWorld> {
-    const world = new RestWorld(entryCount)
+  static async start(entryCount: number, workerCount = 3): Promise<RestHarness> {
+    const world = new RestHarness(entryCount)
     for (let index = 0; index < workerCount; index += 1) world.workers.push(new RestingWorker())
     await world.open(workerCount)
     return world
--- a/request/gateway/test/startedAnew.test.ts
+++ b/request/gateway/test/restartedEndpoint.test.ts
@@ -2,7 +2,7 @@
 import { lifeId, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
 import { GatewayWorld } from './gatewayWorld'
-import { streams } from './relayWorld'
+import { streams } from './relayHarness'
 
 /** Takes the request and says nothing, as a process that has vanished without a reset. */
 const silent = () => undefined
@@ -14,12 +14,12 @@
   request.socket.write(chunk(event(1)))
 }
 
-function life(born: number, address: string, stage?: Stage): Partial<RegisteredEndpoint> {
+function incarnation(born: number, address: string, stage?: Stage): Partial<RegisteredEndpoint> {
   const service = stage === undefined ? 'plain' : 'model'
   return { id: lifeId('i-1', born), name: 'i-1', born, address, service, stage }
 }
 
-async function startWorld(
+async function startHarness(
   answer: (request: SeenRequest) => void,
   kind: 'unsafe' | 'safe' | 'streaming',
   resumable = false,
@@ -28,18 +28,18 @@
   const worker = await FakeWorker.start(answer)
   const service = stage === undefined ? 'plain' : 'model'
   const route = { kind, resumable, attempts: 2, shares: [{ service, weight: 1 }] }
-  const world = await GatewayWorld.start([life(100, worker.address, stage)], [route])
+  const world = await GatewayWorld.start([incarnation(100, worker.address, stage)], [route])
   /** The directory hears of another life, at an address of its own. */
-  const startAnew = async (next: (request: SeenRequest) => void) => {
+  const restart = async (next: (request: SeenRequest) => void) => {
     const other = await FakeWorker.start(next)
     const over = { ...world.pool.get(lifeId('i-1', 100))!.endpoint, state: 'ended' as const }
     world.pool.update([
-      { ...over, ...life(200, other.address, stage), state: 'ready' } as RegisteredEndpoint,
+      { ...over, ...incarnation(200, other.address, stage), state: 'ready' } as RegisteredEndpoint,
       over,
     ])
     return other
   }
-  return { world, worker, startAnew }
+  return { world, worker, restart }
 }
 
 const answers = (request: SeenRequest) => void request.socket.end(goodAnswer(request, 'hello'))
@@ -47,10 +47,10 @@
 
 describe('what runs at an endpoint that starts again under its id', () => {
   it('is answered at once that it may have run, where it must not run twice', async () => {
-    const { world, worker, startAnew } = await startWorld(silent, 'unsafe')
+    const { world, worker, restart } = await startHarness(silent, 'unsafe')
     const answer = world.send('/p/a', sent)
     await worker.sees(1)
-    const other = await startAnew(answers)
+    const other = await restart(answers)
     expect((await answer).status).toBe(502)
     expect(other.seen).toEqual([])
     expect(world.reports[0]!.outcome).toContain('started anew')
@@ -59,10 +59,10 @@
   })
 
   it('runs again at the new life where it may, and the new life begins with nothing of the earlier', async () => {
-    const { world, worker, startAnew } = await startWorld(silent, 'safe')
+    const { world, worker, restart } = await startHarness(silent, 'safe')
     const answer = world.send('/p/a', sent)
     await worker.sees(1)
-    const other = await startAnew(answers)
+    const other = await restart(answers)
     expect(await answer).toMatchObject({ status: 200, body: 'hello' })
     expect(other.seen[0]!.headers['x-expect']).toBe('i-1')
     expect(world.pool.get(lifeId('i-1', 200))).toMatchObject({ inFlight: 0, failures: 0, ejectedUntil: 0 })
@@ -73,7 +73,7 @@
     [false, false],
     [true, true],
   ])('goes on in the middle of a stream only where it is resumable (%s)', async (resumable, isWhole) => {
-    const { world, worker, startAnew } = await startWorld(begins, 'streaming', resumable)
+    const { world, worker, restart } = await startHarness(begins, 'streaming', resumable)
     const { request, answer } = world.open('/p/a', { ...sent, method: 'POST' })
     request.end('b')
     await worker.sees(1)
@@ -81,7 +81,7 @@
     await new Promise<void>((resolve) =>
       request.on('response', (response) => response.once('data', () => resolve())),
     )
-    const other = await startAnew(streams)
+    const other = await restart(streams)
     const got = await answer
     expect(got.isWhole).toBe(isWhole)
     expect(other.seen).toHaveLength(resumable ? 1 : 0)
@@ -89,12 +89,12 @@
   })
 
   it('gets a new place at the new life where the old one was given a place that was not used yet', async () => {
-    const { world, worker, startAnew } = await startWorld(streams, 'streaming')
+    const { world, worker, restart } = await startHarness(streams, 'streaming')
     let other: FakeWorker | undefined
     world.onPlace = () => {
       if (world.places.length > 1) return
       void worker.stop()
-      void startAnew(streams).then((started) => (other = started))
+      void restart(streams).then((started) => (other = started))
     }
     const answer = await world.send('/p/a', sent)
     expect(answer).toMatchObject({ status: 200, isWhole: true })
--- a/request/gateway/test/restingEndpoints.test.ts
+++ b/request/gateway/test/restingEndpoints.test.ts
@@ -6,13 +6,13 @@
 // all eight entries, through five seconds; no source read the name.
 import { afterEach, describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { RestWorld } from './restWorld'
+import { RestHarness } from './restHarness'
 
-const open: RestWorld[] = []
+const open: RestHarness[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((world) => world.stop()))))
 
-async function start(entries: number, workers?: number): Promise<RestWorld> {
-  const world = await RestWorld.start(entries, workers)
+async function start(entries: number, workers?: number): Promise<RestHarness> {
+  const world = await RestHarness.start(entries, workers)
   open.push(world)
   return world
 }
@@ -23,46 +23,46 @@
 describe('endpoints that ask for rest', () => {
   it('get two more requests at most from each entry in that time, and its callers are served elsewhere', async () => {
     const world = await start(8)
-    await world.play(30, 3_000)
+    await world.runLoad(30, 3_000)
     const since = world.clock.now()
     world.turnAway(2, 9_000, () => '3')
-    await world.play(30, 9_000)
+    await world.runLoad(30, 9_000)
     await world.drain()
-    expect(world.workers[2]!.mostInRest()).toBeLessThanOrEqual(MOST_IN_REST)
+    expect(world.workers[2]!.maxInRest()).toBeLessThanOrEqual(MOST_IN_REST)
     expect(world.servedInTime(since)).toBeGreaterThan(0.97)
   })
 
   it('turn away no more than a request of each entry and rest, beside those that were on their way', async () => {
     const world = await start(8)
-    await world.play(30, 3_000)
+    await world.runLoad(30, 3_000)
     world.turnAway(2, 9_000, () => '3')
     const from = world.clock.now()
-    await world.play(30, 9_000)
+    await world.runLoad(30, 9_000)
     // Eight entries, three rests each.
     expect(world.workers[2]!.rateWithin(from, world.clock.now()) * 9).toBeLessThanOrEqual(8 * 4)
   })
 
   it('get as much as before within 2 s of being well', async () => {
     const world = await start(8)
-    await world.play(30, 5_000)
+    await world.runLoad(30, 5_000)
     const before = world.workers[2]!.rateWithin(world.clock.now() - 4_000, world.clock.now())
     world.turnAway(2, 6_000, (leftMs) => String(Math.max(0.1, leftMs / 1_000)))
-    await world.play(30, 8_000)
+    await world.runLoad(30, 8_000)
     const from = world.clock.now()
-    await world.play(30, 6_000)
+    await world.runLoad(30, 6_000)
     expect(world.workers[2]!.rateWithin(from, world.clock.now())).toBeGreaterThan(before * 0.7)
   })
 
   it('are beyond reach where all rest: callers hear at once that nothing ran, and to come back when one is well', async () => {
     const world = await start(4, 2)
-    await world.play(20, 1_000)
+    await world.runLoad(20, 1_000)
     world.turnAway(0, 4_000, (leftMs) => String(leftMs / 1_000))
     world.turnAway(1, 6_000, (leftMs) => String(leftMs / 1_000))
     const wellAt = world.clock.now() + 4_000
-    await world.play(20, 1_000)
+    await world.runLoad(20, 1_000)
     const since = world.clock.now()
     const before = world.workers.map(({ arrivals }) => arrivals.length)
-    await world.play(20, 2_000)
+    await world.runLoad(20, 2_000)
     await world.drain()
     expect(world.workers.map(({ arrivals }) => arrivals.length)).toEqual(before)
     const refused = world.outcomes.filter(({ sentAt }) => sentAt >= since)
@@ -90,19 +90,19 @@
     for (let second = 0; second < 20; second += 1) {
       const word = words[Math.floor(random() * words.length)]!
       if (random() < 0.5) world.turnAway(Math.floor(random() * 4), random() * 6_000, word)
-      await world.play(60, 1_000)
+      await world.runLoad(60, 1_000)
     }
-    expect(world.workers.map((one) => Math.max(0, one.mostInRest() - MOST_IN_REST))).toEqual([0, 0, 0, 0])
+    expect(world.workers.map((one) => Math.max(0, one.maxInRest() - MOST_IN_REST))).toEqual([0, 0, 0, 0])
   })
 })
 
 describe('endpoints that say in their answers that they leave', () => {
   it('get nothing more from the entries that they told, whose callers are served elsewhere', async () => {
     const world = await start(8)
-    await world.play(30, 3_000)
+    await world.runLoad(30, 3_000)
     world.workers[1]!.leaves = true
     const since = world.clock.now()
-    await world.play(30, 6_000)
+    await world.runLoad(30, 6_000)
     await world.drain()
     expect(world.workers[1]!.toldLeaving.size).toBe(8)
     expect(world.workers[1]!.afterLeaving()).toBe(0)
--- a/request/gateway/test/restingEngines.test.ts
+++ b/request/gateway/test/restingEngines.test.ts
@@ -2,7 +2,7 @@
 // from memory, or after its place was given.
 import { describe, expect, it } from 'vitest'
 import { chunk, event, goodAnswer, type SeenRequest } from './fakeWorker'
-import { reads, startRelay, streams } from './relayWorld'
+import { reads, startRelay, streams } from './relayHarness'
 
 const MODEL = { headers: { 'x-tokens': '10,10' }, body: 'x' }
 
--- a/request/gateway/test/firstDeadlines.test.ts
+++ b/request/gateway/test/returnDetector.test.ts
@@ -1,6 +1,6 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { describe, expect, it } from 'vitest'
-import { FirstDeadlines } from '../src/firstDeadlines'
+import { ReturnDetector } from '../src/returnDetector'
 
 const LONGEST = 14_000
 const TARGET = 900
@@ -21,7 +21,7 @@
 /** Plays requests of which a share are returns; counts who was taken for what, the first ones left out. */
 function play(spread: number, shareOfReturns: number, requests = 400, calmFirst = 100) {
   const { deadline, later, random } = createCallers(spread)
-  const deadlines = new FirstDeadlines()
+  const deadlines = new ReturnDetector()
   for (let count = 0; count < calmFirst; count += 1) deadlines.judge('r', deadline(), TARGET)
   const counts = { first: 0, firstAsReturn: 0, returns: 0, returnAsFirst: 0 }
   for (let count = 0; count < requests; count += 1) {
@@ -43,7 +43,7 @@
 
   it('is told from the first request on, before anything was learned', () => {
     const { deadline } = createCallers(0.15)
-    const deadlines = new FirstDeadlines()
+    const deadlines = new ReturnDetector()
     for (let count = 0; count < 12; count += 1)
       expect(deadlines.judge('r', deadline(), TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
   })
@@ -55,14 +55,14 @@
   })
 
   it('is told to a third of the target where all name the same deadline', () => {
-    const deadlines = new FirstDeadlines()
+    const deadlines = new ReturnDetector()
     for (let count = 0; count < 100; count += 1) deadlines.judge('r', LONGEST - (count % 3), TARGET)
     expect(deadlines.judge('r', LONGEST - 200, TARGET)).toEqual({ isReturn: false, elapsedMs: 200 })
     expect(deadlines.judge('r', LONGEST - 400, TARGET)).toEqual({ isReturn: true, elapsedMs: 400 })
   })
 
   it('is told apart by route', () => {
-    const deadlines = new FirstDeadlines()
+    const deadlines = new ReturnDetector()
     for (let count = 0; count < 60; count += 1)
       deadlines.judge(count % 2 === 0 ? 'a' : 'b', count % 2 === 0 ? 14_000 : 3_000, TARGET)
     expect(deadlines.judge('b', 3_000, TARGET).isReturn).toBe(false)
@@ -71,7 +71,7 @@
 
   it('is told for a route whose deadlines differ beside one where all name the same', () => {
     const { deadline } = createCallers(0.15)
-    const deadlines = new FirstDeadlines()
+    const deadlines = new ReturnDetector()
     for (let count = 0; count < 200; count += 1) {
       deadlines.judge('same', 3_000, TARGET)
       expect(deadlines.judge('differ', deadline(), TARGET).isReturn).toBe(false)
@@ -79,7 +79,7 @@
   })
 
   it('is told again after callers have come to name shorter deadlines', () => {
-    const deadlines = new FirstDeadlines()
+    const deadlines = new ReturnDetector()
     deadlines.judge('r', 60_000, TARGET)
     for (let count = 0; count < 100; count += 1) deadlines.judge('r', LONGEST, TARGET)
     expect(deadlines.judge('r', LONGEST, TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
@@ -87,6 +87,6 @@
   })
 
   it('is nobody who names no deadline', () => {
-    expect(new FirstDeadlines().judge('r', Infinity, TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
+    expect(new ReturnDetector().judge('r', Infinity, TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
   })
 })
--- a/request/gateway/test/runAlone.test.ts
+++ b/request/gateway/test/runAlone.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it, vi } from 'vitest'
 import { contentDigest } from '@forkstage/crashes'
 import type { Route } from '@forkstage/routes'
-import { answers, startRelay } from './relayWorld'
+import { answers, startRelay } from './relayHarness'
 import type { SeenRequest } from './fakeWorker'
 
 const SUSPECT = 'may end its endpoint'
--- a/request/gateway/test/runMoves.test.ts
+++ b/request/gateway/test/runMigrations.test.ts
@@ -6,17 +6,17 @@
   events,
   isStream,
   runsWith,
-  startMoving,
+  startMigration,
   stopsWith,
   type Engine,
   type Running,
-} from './movingWorld'
+} from './migrationHarness'
 
 const ENDS = '0\r\n\r\n'
 
 describe('an answer that runs', () => {
   it('goes on at another engine with its memory, as one answer', async () => {
-    const { world, workers, answer, move } = await startMoving([
+    const { world, workers, answer, move } = await startMigration([
       { stream: runsWith(1, 2), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
       { stream: endsWith(3, 4) },
     ])
@@ -37,7 +37,7 @@
 
   it('goes on where it is when it cannot be copied', async () => {
     const running: Running = {}
-    const { workers, answer, move } = await startMoving([
+    const { workers, answer, move } = await startMigration([
       {
         stream: (request) => {
           runsWith(1, 2)(request, running)
@@ -57,7 +57,7 @@
 
   it('goes on at its own engine when the last copy found no room', async () => {
     let streams = 0
-    const { workers, answer, move } = await startMoving([
+    const { workers, answer, move } = await startMigration([
       {
         stream: (request, engine) => {
           streams += 1
@@ -76,7 +76,7 @@
 
   it('goes on at its own engine when the other one must not get it any more once it is copied', async () => {
     let streams = 0
-    const one = await startMoving([
+    const one = await startMigration([
       {
         stream: (request, engine) => {
           streams += 1
@@ -97,7 +97,7 @@
   })
 
   it('does not go back to its own engine when that must get nothing any more', async () => {
-    const one = await startMoving([
+    const one = await startMigration([
       {
         stream: runsWith(1),
         copy: (request) => {
@@ -123,7 +123,7 @@
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     let streams = 0
-    const one = await startMoving(
+    const one = await startMigration(
       [
         {
           stream: (request, engine) => {
@@ -162,7 +162,7 @@
   it('is asked for where its memory is as long as that lasts, then cut, and never made anew, where nothing may run twice', async () => {
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
-    const one = await startMoving(
+    const one = await startMigration(
       [
         { stream: runsWith(1), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
         { stream: refuses },
@@ -189,7 +189,7 @@
   ])(
     'goes on from what was copied before, without word of the stop, only where it is resumable (%s)',
     async (resumable, streams) => {
-      const { workers, answer, move } = await startMoving(
+      const { workers, answer, move } = await startMigration(
         [
           { stream: runsWith(1), copy: answers(200, 'h1'), last: stopsWith(500, '') },
           { stream: endsWith(2, 3) },
@@ -209,7 +209,7 @@
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     let streams = 0
-    const { workers, answer, move, world } = await startMoving([
+    const { workers, answer, move, world } = await startMigration([
       {
         stream: (request, engine) => {
           streams += 1
@@ -230,7 +230,7 @@
 
   it('is freed at its engine when its caller leaves while it is stopped', async () => {
     let leave = () => undefined as unknown
-    const { workers, request, move, answer } = await startMoving([
+    const { workers, request, move, answer } = await startMigration([
       {
         stream: runsWith(1),
         copy: answers(200, 'h1'),
@@ -251,7 +251,7 @@
 
   it('is not moved where its end cannot be told from a stop', async () => {
     const running: Running = {}
-    const { workers, answer, move } = await startMoving([
+    const { workers, answer, move } = await startMigration([
       {
         stream: (request) => {
           request.socket.write(goodAnswer(request, '', ['Connection: close']) + event(1))
--- a/request/gateway/test/sendCount.test.ts
+++ b/request/gateway/test/sendCounter.test.ts
@@ -1,17 +1,17 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
-import { RetryAllowance } from '../src'
-import { SendCount, type Arrival, type SendStep } from '../src/sendCount'
+import { RetryBudget } from '../src'
+import { SendCounter, type Arrival, type SendStep } from '../src/sendCounter'
 
 /** An allowance of so many repeated sendings, whatever the number of requests. */
-function allowanceOf(extras: number): RetryAllowance {
+function budgetOf(repeats: number): RetryBudget {
   const clock = new ManualClock()
   // Half of the slack is planned with.
-  return new RetryAllowance({ clock, share: 0, slack: extras * 2, windowMs: 10_000, entries: () => 1 })
+  return new RetryBudget({ clock, share: 0, slack: repeats * 2, windowMs: 10_000, entries: () => 1 })
 }
 
-function send(count: SendCount, step: SendStep, arrival: Arrival): boolean {
+function send(count: SendCounter, step: SendStep, arrival: Arrival): boolean {
   const sending = count.open(step)
   sending?.close(arrival)
   return sending !== undefined
@@ -32,20 +32,20 @@
     ['reading twice', [taken, full, taken, decoded], 2],
     ['rejected, then read', [rejected, taken, decoded], 1],
   ] as const)('draws for %s', (_name, sendings, drawn) => {
-    const allowance = allowanceOf(10)
-    const count = new SendCount(allowance, 's')
+    const budget = budgetOf(10)
+    const count = new SendCounter(budget, 's')
     for (const { step, arrival } of sendings) expect(send(count, step, arrival)).toBe(true)
-    expect(allowance.counts.taken).toBe(drawn)
+    expect(budget.counts.taken).toBe(drawn)
   })
 
   it('lets nothing more leave once the allowance is used up, but each request has its first run', () => {
-    const allowance = allowanceOf(1)
-    const first = new SendCount(allowance, 's')
+    const budget = budgetOf(1)
+    const first = new SendCounter(budget, 's')
     expect(send(first, 'decode', 'rejected')).toBe(true)
     expect(send(first, 'decode', 'rejected')).toBe(true)
     expect(first.isLeft()).toBe(false)
     expect(send(first, 'decode', 'taken')).toBe(false)
-    const second = new SendCount(allowance, 's')
+    const second = new SendCounter(budget, 's')
     expect(send(second, 'prefill', 'taken')).toBe(true)
     expect(send(second, 'decode', 'taken')).toBe(true)
   })
@@ -55,16 +55,16 @@
     const arrival = fc.constantFrom<Arrival>('taken', 'rejected', 'not-arrived')
     const requests = fc.array(fc.array(fc.tuple(step, arrival), { maxLength: 8 }), { maxLength: 12 })
     fc.assert(
-      fc.property(requests, fc.nat(6), (all, extras) => {
-        const allowance = allowanceOf(extras)
+      fc.property(requests, fc.nat(6), (all, repeats) => {
+        const budget = budgetOf(repeats)
         let beyond = 0
         for (const sendings of all) {
-          const count = new SendCount(allowance, 's')
+          const count = new SendCounter(budget, 's')
           const arrived = sendings.filter(([kind, end]) => send(count, kind, end) && end !== 'not-arrived')
           const hasRead = arrived.some(([kind, end]) => kind === 'prefill' && end === 'taken')
           beyond += Math.max(0, arrived.length - 1 - Number(hasRead))
         }
-        expect(beyond).toBeLessThanOrEqual(extras)
+        expect(beyond).toBeLessThanOrEqual(repeats)
       }),
     )
   })
--- a/request/gateway/test/sendRules.test.ts
+++ b/request/gateway/test/sendRules.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { answers, reads, startRelay, streams } from './relayWorld'
+import { answers, reads, startRelay, streams } from './relayHarness'
 
 describe('a sending that must not leave', () => {
   it('goes to another plain endpoint, also for a request that may run once', async () => {
--- a/request/gateway/test/statements.test.ts
+++ b/request/gateway/test/statements.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { chunk, event, goodAnswer, type SeenRequest } from './fakeWorker'
-import { answers, endsWith, runsWith, startMoving, type Engine } from './movingWorld'
-import { reads, startRelay, streams } from './relayWorld'
+import { answers, endsWith, runsWith, startMigration, type Engine } from './migrationHarness'
+import { reads, startRelay, streams } from './relayHarness'
 
 const MODEL = { headers: { 'x-tokens': '10,10' }, body: 'x' }
 const REST = 'Retry-After: 30'
@@ -82,13 +82,13 @@
       (row: string, body: string): NonNullable<Engine['copy']> =>
       (request) =>
         answers(200, body)({ ...request, socket: withRow(request.socket, row) })
-    const copied = await startMoving([
+    const copied = await startMigration([
       { stream: runsWith(1), copy: bare(503, REST) },
       { stream: endsWith(1, 2) },
     ])
     copied.move()
     await eventually(() => copied.world.statements.notBefore('i-0') !== undefined)
-    const stopped = await startMoving(
+    const stopped = await startMigration(
       [
         {
           stream: runsWith(1),
--- a/request/gateway/test/suspended.test.ts
+++ b/request/gateway/test/suspended.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
 import { ColdGate } from '../src'
-import { reads, startRelay, streams } from './relayWorld'
+import { reads, startRelay, streams } from './relayHarness'
 
 const SENT = { body: 'b', headers: { 'x-tokens': '5,5' } }
 
