--- a/daemon/fleet/src/controlCrashes.ts
+++ b/daemon/fleet/src/controlCrashes.ts
@@ -2,15 +2,15 @@
 import {
   CRASH_REPORT,
   readCrashRecords,
-  readTrialAsk,
+  readTrialRequest,
   readTrialEnd,
-  TRIAL_ASK,
+  TRIAL_REQUEST,
   TRIAL_END,
-  TrialBook,
-  type CrashBook,
+  TrialScheduler,
+  type CrashTracker,
   type CrashRecord,
   type TrialAnswer,
-  type TrialAsk,
+  type TrialRequest,
 } from '@forkstage/crashes'
 import type { InstanceId, RegisteredEndpoint } from '@forkstage/directory'
 import { ForkstageError } from '@forkstage/error'
@@ -22,7 +22,7 @@
 
 /** Options of {@link ControlCrashes}. */
 export interface ControlCrashesOptions {
-  book: CrashBook
+  book: CrashTracker
   /** The folder of this machine's disk. */
   folder: string
   files: FileSystem
@@ -54,14 +54,14 @@
  */
 export class ControlCrashes {
   private readonly file: KeptFile
-  private readonly trials: TrialBook
+  private readonly trials: TrialScheduler
   private cancelTick: CancelTimer = () => undefined
 
   constructor(private readonly options: ControlCrashesOptions) {
     const { clock, book } = options
-    const content = () => ({ savedAt: clock.wallNow(), records: book.since(0) })
+    const content = () => ({ savedAt: clock.wallNow(), records: book.changesSince(0) })
     this.file = new KeptFile({ ...options, file: FILE, content })
-    this.trials = new TrialBook({
+    this.trials = new TrialScheduler({
       now: () => clock.now(),
       random: options.random,
       registered: (service) => this.registered(service),
@@ -88,7 +88,7 @@
         if (await this.file.keep()) return true
         throw new NotKeptError()
       },
-      [TRIAL_ASK]: (raw: unknown) => this.askTrial(readTrialAsk(raw)),
+      [TRIAL_REQUEST]: (raw: unknown) => this.askTrial(readTrialRequest(raw)),
       [TRIAL_END]: (raw: unknown) => {
         const end = readTrialEnd(raw)
         if (end === undefined) return
@@ -121,7 +121,7 @@
     this.cancelTick()
   }
 
-  private askTrial(ask: TrialAsk | undefined): TrialAnswer | undefined {
+  private askTrial(ask: TrialRequest | undefined): TrialAnswer | undefined {
     if (ask === undefined || !this.options.isLeader()) return undefined
     this.apply(ask.records)
     return this.trials.ask(ask)
--- a/daemon/fleet/src/controlLimits.ts
+++ b/daemon/fleet/src/controlLimits.ts
@@ -2,8 +2,8 @@
 import { every, type CancelTimer, type Clock } from '@forkstage/clock'
 import {
   LIMIT_REPORT,
-  LimitLedger,
-  RateBook,
+  PermitAllocator,
+  RateTable,
   readLimitReport,
   type LimitAnswer,
   type LimitReport,
@@ -27,14 +27,14 @@
 
 /** The rates that endpoints name, at a control machine: what entries report, divided between them while it leads. */
 export class ControlLimits {
-  private readonly book: RateBook
-  private readonly ledger: LimitLedger
+  private readonly book: RateTable
+  private readonly ledger: PermitAllocator
   private cancelLook: CancelTimer = () => undefined
 
   constructor(private readonly options: ControlLimitsOptions) {
     const { clock, logger, term } = options
-    this.book = new RateBook({ clock, logger })
-    this.ledger = new LimitLedger({ clock, book: this.book, term })
+    this.book = new RateTable({ clock, logger })
+    this.ledger = new PermitAllocator({ clock, rates: this.book, term })
   }
 
   /** How many endpoints name a rate. */
@@ -58,7 +58,7 @@
 
   start(): void {
     this.cancelLook = every(this.options.clock, LOOK_EVERY_MS, () =>
-      this.ledger.keepOnly(this.options.isRegistered),
+      this.ledger.sweep(this.options.isRegistered),
     )
   }
 
@@ -67,6 +67,6 @@
   }
 
   private take(report: LimitReport | undefined): LimitAnswer {
-    return report !== undefined && this.options.isLeader() ? this.ledger.take(report) : {}
+    return report !== undefined && this.options.isLeader() ? this.ledger.allocate(report) : {}
   }
 }
--- a/daemon/fleet/src/createCrashBook.ts
+++ b/daemon/fleet/src/createCrashBook.ts
@@ -1,10 +1,10 @@
 import type { Clock } from '@forkstage/clock'
-import { CrashBook } from '@forkstage/crashes'
+import { CrashTracker } from '@forkstage/crashes'
 import type { FleetSettings } from '@forkstage/fleet-settings'
 
 const SECOND_MS = 1_000
 
 /** The book of contents that end their endpoints, by a machine's settings. */
-export function createCrashBook({ ends, keep_s }: FleetSettings['crashes'], clock: Clock): CrashBook {
-  return new CrashBook({ now: () => clock.now(), ends, keepMs: keep_s * SECOND_MS })
+export function createCrashBook({ ends, keep_s }: FleetSettings['crashes'], clock: Clock): CrashTracker {
+  return new CrashTracker({ now: () => clock.now(), ends, keepMs: keep_s * SECOND_MS })
 }
--- a/daemon/fleet/src/entryCrashes.ts
+++ b/daemon/fleet/src/entryCrashes.ts
@@ -1,19 +1,19 @@
 import { delay, type Clock } from '@forkstage/clock'
 import {
   CRASH_REPORT,
-  TRIAL_ASK,
+  TRIAL_REQUEST,
   TRIAL_END,
   CrashReporter,
-  CrashWatch,
+  CrashDetector,
   decideSending,
   hasIsolatedTrials,
   refusalOf,
-  tryAddress,
+  probeAddress,
   type ContentDigest,
   type ContentRefusal,
-  type CrashBook,
+  type CrashTracker,
   type CrashRecord,
-  type LostSending,
+  type LostAttempt,
   type SendingDecision,
   type TrialAnswer,
 } from '@forkstage/crashes'
@@ -30,7 +30,7 @@
 
 /** Options of {@link EntryCrashes}. */
 export interface EntryCrashesOptions {
-  book: CrashBook
+  book: CrashTracker
   directory: Directory
   /** Whether an endpoint must get nothing now, though it is registered. */
   isBarred: (endpoint: RegisteredEndpoint) => boolean
@@ -49,39 +49,39 @@
 
 /** What an entry knows of requests that end their endpoints: what it sees itself and what the others have seen. */
 export class EntryCrashes implements NonNullable<RelayParts['crashes']> {
-  private readonly watch: CrashWatch
+  private readonly watch: CrashDetector
   private readonly reporter: CrashReporter
 
   constructor(private readonly options: EntryCrashesOptions) {
     const { book, directory, way, clock, logger } = options
-    this.watch = new CrashWatch({
+    this.watch = new CrashDetector({
       clock,
       logger,
-      tryAddress: (address) => tryAddress(address, clock),
+      probeAddress: (address) => probeAddress(address, clock),
       current: (id) => directory.get(id),
       isReplaced: (endpoint) => this.isReplaced(endpoint),
       onCrash: (life, under, service) => this.noteOwn(book.recordCrash(life, under, service)),
     })
     this.reporter = new CrashReporter({
       clock,
-      book,
+      tracker: book,
       report: (records) => way.askThrough<true>(CRASH_REPORT, { records }, REPORT_WITHIN_MS),
       leader: () => way.leader(),
     })
   }
 
-  noteLost(sending: LostSending): void {
-    this.watch.noteLost(sending)
+  noteLost(sending: LostAttempt): void {
+    this.watch.recordLoss(sending)
   }
 
   noteServed(content: () => ContentDigest): void {
-    this.noteOwn(this.options.book.noteServed(content()))
+    this.noteOwn(this.options.book.recordServed(content()))
   }
 
   refusal(content: () => ContentDigest, service: string): ContentRefusal | undefined {
     const { book } = this.options
     if (book.size === 0) return undefined
-    return refusalOf({ book, content: content(), hasTrials: () => this.hasTrials(service) })
+    return refusalOf({ tracker: book, content: content(), hasTrials: () => this.hasTrials(service) })
   }
 
   decide(content: () => ContentDigest, service: string, lost: InstanceId[]): SendingDecision {
@@ -89,7 +89,7 @@
     const unconfirmed = lost.filter((id) => this.watch.isUnconfirmed(id)).length
     if (book.size === 0 && unconfirmed === 0) return { type: 'send' }
     const hasTrials = () => this.hasTrials(service)
-    return decideSending({ book, content: content(), service, hasTrials, unconfirmed })
+    return decideSending({ tracker: book, content: content(), service, hasTrials, unconfirmed })
   }
 
   async confirmed(lost: InstanceId[]): Promise<void> {
@@ -101,7 +101,7 @@
 
   async askIsolated(content: ContentDigest, service: string): Promise<TrialAnswer> {
     const answer = await this.options.way.askThrough<TrialAnswer>(
-      TRIAL_ASK,
+      TRIAL_REQUEST,
       { service, content, records: this.options.book.recordsOf([content]) },
       REPORT_WITHIN_MS,
     )
@@ -111,7 +111,7 @@
 
   async askTurn(content: ContentDigest, service: string, request: string): Promise<TrialAnswer> {
     const ask = { service, content, turnOf: request, records: this.options.book.recordsOf([content]) }
-    const answer = await this.options.way.askThrough<TrialAnswer>(TRIAL_ASK, ask, TURN_WITHIN_MS)
+    const answer = await this.options.way.askThrough<TrialAnswer>(TRIAL_REQUEST, ask, TURN_WITHIN_MS)
     this.options.logger.info('content.turn', { request, content, service, ...answerLine(answer) })
     // Nobody is refused for want of a leader: a turn only spares endpoints.
     return answer ?? { type: 'anywhere' }
@@ -143,7 +143,7 @@
 
   private noteOwn(news: CrashRecord[]): void {
     logCrashes(this.options.logger, this.options.book, news)
-    this.reporter.note(news)
+    this.reporter.enqueue(news)
   }
 
   /** Whether a service has plain endpoints enough that what may end them runs where nothing else does, as the leader sees it. */
--- a/daemon/fleet/src/entryLimits.ts
+++ b/daemon/fleet/src/entryLimits.ts
@@ -1,23 +1,23 @@
 import { LimitGate, type LeaderWay } from '@forkstage/gateway'
-import { LIMIT_REPORT, LimitKeeper, RateBook, type LimitAnswer } from '@forkstage/limits'
+import { LIMIT_REPORT, PermitClient, RateTable, type LimitAnswer } from '@forkstage/limits'
 import type { MachineBasics } from './machineBasics'
 
 const SECOND_MS = 1_000
 
 /** What an entry knows of the rates that endpoints name, and may send them. */
 export class EntryLimits {
-  readonly book: RateBook
+  readonly book: RateTable
   readonly gate: LimitGate
-  private readonly keeper: LimitKeeper
+  private readonly keeper: PermitClient
 
   /** @param entries how many entries there are, as control machines count them; 0 where none has said. */
   constructor({ settings, clock, random, logger }: MachineBasics, way: LeaderWay, entries: () => number) {
     const { window_s: windowS, over, slack, report_ms: reportMs } = settings.limits
-    this.book = new RateBook({ clock, logger })
-    this.keeper = new LimitKeeper({
+    this.book = new RateTable({ clock, logger })
+    this.keeper = new PermitClient({
       entry: settings.machine.name,
       clock,
-      book: this.book,
+      rates: this.book,
       report: (report) => way.askThrough<LimitAnswer>(LIMIT_REPORT, report, reportMs),
       leader: () => way.leader(),
       reportEveryMs: reportMs,
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -1,6 +1,6 @@
 import { PLACE } from '@forkstage/allocator'
 import { every, type CancelTimer } from '@forkstage/clock'
-import { CRASH_REPORT, TRIAL_ASK, TRIAL_END } from '@forkstage/crashes'
+import { CRASH_REPORT, TRIAL_REQUEST, TRIAL_END } from '@forkstage/crashes'
 import { Directory, type RegisteredEndpoint } from '@forkstage/directory'
 import { seedAddresses, type FleetSettings } from '@forkstage/fleet-settings'
 import {
@@ -21,7 +21,7 @@
 import { startPeerServer, type PeerServer } from '@forkstage/peer-rpc'
 import { QUOTA_REPORT, QuotaKeeper, type QuotaAnswer } from '@forkstage/quota'
 import { RouteBook, type RouteSheet } from '@forkstage/routes'
-import { StatementBook } from '@forkstage/statements'
+import { AvailabilityTracker } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import { ControlFollower, type WatchedSheet } from '@forkstage/watch'
 import { ColdEndpoints } from './coldEndpoints'
@@ -63,7 +63,7 @@
   private readonly cold: ColdEndpoints
   private readonly coldGate: ColdGate
   private readonly limits: EntryLimits
-  private readonly statements: StatementBook
+  private readonly statements: AvailabilityTracker
   private readonly belief: EvacuationBelief
   private readonly pool: EndpointPool
   private readonly crashes: EntryCrashes
@@ -99,7 +99,7 @@
       perSecond: (service) => this.cold.perSecond(service),
       entries: () => this.follower.entries(),
     })
-    this.statements = new StatementBook({ clock, random, logger })
+    this.statements = new AvailabilityTracker({ clock, random, logger })
     this.belief = new EvacuationBelief({ logger, onWithdrawn: (domain) => this.cold.doubt(domain) })
     const isEvacuated = ({ zone }: RegisteredEndpoint) => this.belief.view.isEvacuated(zone)
     const isKeptFree = ({ id }: RegisteredEndpoint) => this.follower.isKeptFree(id)
@@ -144,7 +144,14 @@
       peers,
       clock,
       logger,
-      forwarded: [...Object.values(PLACE), QUOTA_REPORT, LIMIT_REPORT, CRASH_REPORT, TRIAL_ASK, TRIAL_END],
+      forwarded: [
+        ...Object.values(PLACE),
+        QUOTA_REPORT,
+        LIMIT_REPORT,
+        CRASH_REPORT,
+        TRIAL_REQUEST,
+        TRIAL_END,
+      ],
     })
     const crashBook = createCrashBook(settings.crashes, clock)
     const { directory, way } = this
@@ -214,7 +221,7 @@
         countBy(this.directory.list().map(({ state, stage }) => `${state} ${stage ?? 'plain'}`)),
       endpoints_cold: () => this.cold.count,
       endpoints_limited: () => this.limits.book.count,
-      endpoints_resting: () => this.statements.restingCount,
+      endpoints_resting: () => this.statements.backoffCount,
       endpoints_leaving: () => this.statements.leavingCount,
       evacuated_domains: () => this.belief.view.current.domains.length,
       contents_refused: () => crashBook.countRefused(),
@@ -312,7 +319,7 @@
     this.coldGate.look()
     const isRegistered = (id: string) => this.directory.get(id) !== undefined
     this.limits.gate.look(isRegistered)
-    this.statements.look(isRegistered)
+    this.statements.sweep(isRegistered)
   }
 
   private wait(milliseconds: number): Promise<void> {
--- a/daemon/fleet/test/controlCrashes.test.ts
+++ b/daemon/fleet/test/controlCrashes.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path'
 import { afterEach, describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
-import { CRASH_REPORT, CrashBook, TRIAL_ASK, TRIAL_END } from '@forkstage/crashes'
+import { CRASH_REPORT, CrashTracker, TRIAL_REQUEST, TRIAL_END } from '@forkstage/crashes'
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import { createSilentLogger } from '@forkstage/logger'
 import { createFileSystem } from '@forkstage/storage'
@@ -23,7 +23,7 @@
 
 /** A control machine's part over a disk. */
 function machine(folder: string, clock = new ManualClock()) {
-  const book = new CrashBook({ now: () => clock.now(), ends: 3, keepMs: KEEP_MS })
+  const book = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: KEEP_MS })
   let changes = 0
   const leads = { value: true }
   const endpoints: RegisteredEndpoint[] = []
@@ -50,7 +50,7 @@
   expect(await report({ records: [BAD, { content: 7 }] })).toBe(true)
   expect(await report({ records: [BAD] })).toBe(true)
   expect(changes()).toBe(1)
-  expect(book.refusal('bad')).toMatchObject({ ends: 3 })
+  expect(book.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it('knows after a start what it knew before, as old as it is by then', async () => {
@@ -65,7 +65,7 @@
   })
   const later = machine(folder, new ManualClock(21_000))
   await later.crashes.recall()
-  expect(later.book.refusal('bad')).toEqual({ ends: 3, leftMs: KEEP_MS - 1_000 - 21_000 })
+  expect(later.book.refusalByBlame('bad')).toEqual({ ends: 3, leftMs: KEEP_MS - 1_000 - 21_000 })
 })
 
 /**
@@ -79,7 +79,7 @@
   expect(await report({ records: [BAD] })).toBe(true)
   const again = machine(folder)
   await again.crashes.recall()
-  expect(again.book.refusal('bad')).toMatchObject({ ends: 3 })
+  expect(again.book.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it('answers for nothing while its disk takes nothing, and takes it in all the same', async () => {
@@ -87,7 +87,7 @@
   const report = crashes.methods()[CRASH_REPORT] as (params: unknown) => Promise<unknown>
   await expect(report({ records: [BAD] })).rejects.toThrow('not on disk')
   await expect(report({ records: [BAD] })).rejects.toThrow('not on disk')
-  expect(book.refusal('bad')).toMatchObject({ ends: 3 })
+  expect(book.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it.each(['', '{"savedAt":1', '[]', '{"savedAt":"x","records":[{"content":{}}]}', 'null'])(
@@ -107,7 +107,7 @@
     return { id, state: 'ready', ...base, ...fields }
   }
   const asking = (one: ReturnType<typeof machine>) => (raw: unknown) =>
-    one.crashes.methods()[TRIAL_ASK]!(raw as never, NOBODY)
+    one.crashes.methods()[TRIAL_REQUEST]!(raw as never, NOBODY)
   const ASK = { service: 's', content: 'maybe' }
 
   it('get an endpoint that is kept free, by the word of the machine that leads, and only of such as take work', async () => {
--- a/daemon/fleet/test/entryCrashes.test.ts
+++ b/daemon/fleet/test/entryCrashes.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
-import { CrashBook, type ContentDigest } from '@forkstage/crashes'
+import { CrashTracker, type ContentDigest } from '@forkstage/crashes'
 import { Directory, type Stage } from '@forkstage/directory'
 import { LeaderWay } from '@forkstage/gateway'
 import { createSilentLogger } from '@forkstage/logger'
@@ -11,7 +11,7 @@
 function start(endpoints: number, stage?: Stage, barred?: string) {
   const clock = new ManualClock()
   const logger = createSilentLogger()
-  const book = new CrashBook({ now: () => clock.now(), ends: 3, keepMs: 60_000 })
+  const book = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: 60_000 })
   const directory = new Directory(() => clock.now())
   for (let index = 0; index < endpoints; index += 1)
     directory.merge([fullEndpoint({ stage, address: `10.0.0.${index}:1` }, index)])
@@ -64,7 +64,7 @@
   const decide = (content: string, lost: string[] = []) =>
     crashes.decide(() => content as ContentDigest, 'plain', lost).type
   expect(decide('bad')).toBe('refuse')
-  book.noteServed('other' as ContentDigest)
+  book.recordServed('other' as ContentDigest)
   expect(decide('other')).toBe('send')
   // Four endpoints have crashed within a moment: what nobody was served lately takes turns.
   expect(decide('never seen')).toBe('serialize')
--- a/engine/client/src/engineClient.ts
+++ b/engine/client/src/engineClient.ts
@@ -1,6 +1,6 @@
 import { Agent, request as httpRequest, type Dispatcher } from 'undici'
 import type { Clock } from '@forkstage/clock'
-import { flatFields, readRest } from '@forkstage/statements'
+import { flattenHeaders, readRetryAfter } from '@forkstage/statements'
 import type { EndpointName, Millis } from '@forkstage/types'
 import { EndpointError, NOT_RUN_HEADER, NOT_RUN_VALUE } from './engineErrors'
 import type {
@@ -204,7 +204,7 @@
 ): EndpointError {
   const notRun = response.headers[NOT_RUN_HEADER] === NOT_RUN_VALUE
   const { statusCode, headers } = response
-  const rest = readRest({ status: statusCode, rawHeaders: flatFields(headers) })
+  const rest = readRetryAfter({ status: statusCode, rawHeaders: flattenHeaders(headers) })
   return new EndpointError(engine.endpoint, step, reasonIn(text) ?? `status ${statusCode}`, notRun, { rest })
 }
 
--- a/engine/client/src/engineErrors.ts
+++ b/engine/client/src/engineErrors.ts
@@ -1,5 +1,5 @@
 import { ForkstageError } from '@forkstage/error'
-import type { Rest } from '@forkstage/statements'
+import type { RetryAfter } from '@forkstage/statements'
 
 /** The header by which an endpoint proves that it did not run a request it refuses. */
 export const NOT_RUN_HEADER = 'x-endpoint-ran'
@@ -13,14 +13,14 @@
   /** The endpoint's own code, where it answered. */
   readonly reason: string
   /** When it wants to be asked again, where it answered so. */
-  readonly rest: Rest
+  readonly rest: RetryAfter
 
   constructor(
     peer: string,
     step: string,
     reason: string,
     notRun: boolean,
-    { cause, rest = { type: 'none' } }: { cause?: unknown; rest?: Rest } = {},
+    { cause, rest = { type: 'none' } }: { cause?: unknown; rest?: RetryAfter } = {},
   ) {
     super(
       'FORKSTAGE_ENDPOINT',
--- a/membership/watch/src/watchHub.ts
+++ b/membership/watch/src/watchHub.ts
@@ -1,5 +1,5 @@
 import type { CancelTimer, Clock } from '@forkstage/clock'
-import type { CrashBook } from '@forkstage/crashes'
+import type { CrashTracker } from '@forkstage/crashes'
 import type { Directory, InstanceId } from '@forkstage/directory'
 import { UNHEARD_INDEX, type EvacuationSet } from '@forkstage/evacuation'
 import type { Address, FailureDomain, Millis } from '@forkstage/types'
@@ -16,7 +16,7 @@
   /** The domains that may be evacuated, for as long as no set is known for certain. */
   supposedEvacuations: () => FailureDomain[]
   /** Contents that end their endpoints; none are passed on where left out. */
-  crashes?: CrashBook
+  crashes?: CrashTracker
   /** Endpoints that this machine keeps free; none where left out. */
   keptFree?: () => InstanceId[]
   members: () => Address[]
@@ -160,7 +160,7 @@
     const { crashes } = this.options
     if (crashes === undefined || crashPosition === undefined) return {}
     const known = epoch === this.options.epoch ? crashPosition : 0
-    return { crashPosition: crashes.position, crashes: crashes.since(known) }
+    return { crashPosition: crashes.position, crashes: crashes.changesSince(known) }
   }
 
   private evacuationsFor(question: WatchQuestion): Partial<WatchAnswer> {
--- a/placement/load/src/endpointBook.ts
+++ b/placement/load/src/endpointBook.ts
@@ -2,7 +2,7 @@
 import type { CacheEvent, EngineReport } from '@forkstage/engine-client'
 import type { Logger } from '@forkstage/logger'
 import type { ClosedReason, EndpointView, LinkView, PlacementView } from '@forkstage/place'
-import { StatementBook, type Rest } from '@forkstage/statements'
+import { AvailabilityTracker, type RetryAfter } from '@forkstage/statements'
 import type { EndpointName, EndpointRow, Millis, RequestId, Table } from '@forkstage/types'
 import { Ejection, type EjectionChange } from './ejection'
 import { PrefixIndex } from './prefixIndex'
@@ -69,10 +69,10 @@
   private readonly linkRates = new Map<string, number>()
   private readonly linkQueues = new Map<string, Map<RequestId, number>>()
   private leaving = new Set<string>()
-  private readonly statements: StatementBook
+  private readonly statements: AvailabilityTracker
 
   constructor(private readonly options: EndpointBookOptions) {
-    this.statements = new StatementBook(options)
+    this.statements = new AvailabilityTracker(options)
   }
 
   /** Takes a new table. @returns whether it has endpoints that were not there before. */
@@ -80,12 +80,12 @@
     let hasNew = false
     const names = new Set(table.endpoints.map((row) => row.endpoint))
     for (const name of this.entries.keys()) if (!names.has(name)) this.entries.delete(name)
-    this.statements.look((name) => names.has(name))
+    this.statements.sweep((name) => names.has(name))
     for (const row of table.endpoints) {
       const known = this.entries.get(row.endpoint)
       if (known?.row.address === row.address) known.row = row
       else {
-        this.statements.look((name) => name !== row.endpoint)
+        this.statements.sweep((name) => name !== row.endpoint)
         this.entries.set(row.endpoint, this.createEntry(row))
         hasNew = true
       }
@@ -166,7 +166,7 @@
     entry.sent.set(request, { ...work, at: now })
     entry.prefixes.noteSent(blocks)
     entry.ejection.noteSent(now)
-    this.statements.noteSent(endpoint)
+    this.statements.recordSent(endpoint)
     entry.promptBudget = this.promptBudget(entry, now) - work.promptTokens
     entry.promptBudgetAt = now
     this.shares.add(endpoint, 1, now)
@@ -193,7 +193,7 @@
     const entry = this.entries.get(endpoint)
     if (entry === undefined) return
     const { clock, random } = this.options
-    if (failed === undefined) this.statements.noteWell(endpoint)
+    if (failed === undefined) this.statements.recordSuccess(endpoint)
     const change =
       failed === undefined ? entry.ejection.noteSuccess() : entry.ejection.noteFailure(clock.now(), random)
     this.logChange(endpoint, change, failed)
@@ -203,14 +203,14 @@
    * Takes a refusal, or a failure that says when to come back. One that does has said what it can do, which is no failure:
    * it gets nothing until then, and is not put out.
    */
-  noteRefused(endpoint: EndpointName, rest: Rest, request: RequestId, reason: string): void {
-    if (rest.type === 'rest') this.statements.noteRest(endpoint, rest, request)
+  noteRefused(endpoint: EndpointName, rest: RetryAfter, request: RequestId, reason: string): void {
+    if (rest.type === 'rest') this.statements.recordRetryAfter(endpoint, rest, request)
     else this.noteResult(endpoint, reason)
   }
 
   /** Until some endpoints that all want nothing may be asked again, in milliseconds; undefined where one may be now. */
   restLeft(endpoints: EndpointName[]): Millis | undefined {
-    const bound = this.statements.firstFree(endpoints)
+    const bound = this.statements.earliestAvailable(endpoints)
     return bound && bound.untilMs - this.options.clock.now()
   }
 
@@ -285,7 +285,7 @@
     if (row.weight <= 0) return 'weight'
     if (entry.report?.leaving || this.leaving.has(row.endpoint)) return 'leaving'
     if (!entry.ejection.isOpen(now)) return 'ejected'
-    if (this.statements.notBefore(row.endpoint) !== undefined) return 'resting'
+    if (this.statements.unavailability(row.endpoint) !== undefined) return 'resting'
     if (now >= entry.shareUntil || entry.sent.size >= entry.share) return 'no-credit'
     if (this.promptBudget(entry, now) <= 0) return 'rate-limit'
     return undefined
--- a/request/crashes/src/crashReporter.ts
+++ b/request/crashes/src/crashReporter.ts
@@ -1,85 +1,88 @@
 import type { CancelTimer, Clock } from '@forkstage/clock'
 import type { Address, Millis } from '@forkstage/types'
 import type { ContentDigest } from './contentDigest'
-import type { CrashBook } from './crashBook'
+import type { CrashTracker } from './crashTracker'
 import type { CrashRecord } from './crashTypes'
 
 /** Options of {@link CrashReporter}. */
 export interface CrashReporterOptions {
   clock: Clock
-  book: CrashBook
+  tracker: CrashTracker
   /** Tells the leader; undefined where it does not answer in time. */
   report: (records: CrashRecord[]) => Promise<true | undefined>
   /** Who leads, as far as this entry hears. */
   leader: () => Address | undefined
 }
 
-const RETRY_MS: Millis = 400
-const LOOK_EVERY_MS: Millis = 1_000
+const REPORT_RETRY_MS: Millis = 400
+const LEADER_CHECK_MS: Millis = 1_000
 /** What an entry tells a new leader; the oldest are left out. */
-const MOST_OWN = 256
+const MAX_OWN_CONTENTS = 256
 
 /** Tells the leader what ended here under which content, until it has answered, and each new leader once more. */
 export class CrashReporter {
-  private readonly own = new Set<ContentDigest>()
-  private readonly untold = new Set<ContentDigest>()
-  private toldLeader: Address | undefined
-  private isTelling = false
-  private cancelLook: CancelTimer | undefined
+  private readonly ownContents = new Set<ContentDigest>()
+  private readonly unreported = new Set<ContentDigest>()
+  private reportedLeader: Address | undefined
+  private isFlushing = false
+  private cancelLeaderCheck: CancelTimer | undefined
   private cancelRetry: CancelTimer | undefined
 
   constructor(private readonly options: CrashReporterOptions) {}
 
   /** Takes what this entry has seen itself. */
-  note(records: CrashRecord[]): void {
+  enqueue(records: CrashRecord[]): void {
     for (const { content } of records) {
-      this.own.delete(content)
-      this.own.add(content)
-      this.untold.add(content)
+      this.ownContents.delete(content)
+      this.ownContents.add(content)
+      this.unreported.add(content)
     }
-    for (const content of [...this.own].slice(0, Math.max(0, this.own.size - MOST_OWN)))
-      this.own.delete(content)
-    if (records.length > 0) void this.tell()
-    if (this.own.size > 0) this.cancelLook ??= this.lookLater()
+    for (const content of [...this.ownContents].slice(
+      0,
+      Math.max(0, this.ownContents.size - MAX_OWN_CONTENTS),
+    ))
+      this.ownContents.delete(content)
+    if (records.length > 0) void this.flush()
+    if (this.ownContents.size > 0) this.cancelLeaderCheck ??= this.scheduleLeaderCheck()
   }
 
   stop(): void {
-    this.cancelLook?.()
+    this.cancelLeaderCheck?.()
     this.cancelRetry?.()
-    this.own.clear()
-    this.untold.clear()
+    this.ownContents.clear()
+    this.unreported.clear()
   }
 
   /** A new leader may have heard nothing: the machine that led may have ended before it passed on what it was told. */
-  private look(): void {
+  private checkLeader(): void {
     const leader = this.options.leader()
-    if (leader === undefined || leader === this.toldLeader) return
-    this.own.forEach((content) => this.untold.add(content))
-    void this.tell()
+    if (leader === undefined || leader === this.reportedLeader) return
+    this.ownContents.forEach((content) => this.unreported.add(content))
+    void this.flush()
   }
 
-  private lookLater(): CancelTimer {
-    return this.options.clock.after(LOOK_EVERY_MS, () => {
-      this.look()
-      this.cancelLook = this.own.size > 0 ? this.lookLater() : undefined
+  private scheduleLeaderCheck(): CancelTimer {
+    return this.options.clock.after(LEADER_CHECK_MS, () => {
+      this.checkLeader()
+      this.cancelLeaderCheck = this.ownContents.size > 0 ? this.scheduleLeaderCheck() : undefined
     })
   }
 
-  private async tell(): Promise<void> {
-    if (this.isTelling || this.untold.size === 0) return
-    this.isTelling = true
-    const { book, report, leader, clock } = this.options
-    const told = [...this.untold]
-    const to = leader()
-    this.untold.clear()
-    const answer = await report(book.recordsOf(told))
-    this.isTelling = false
+  private async flush(): Promise<void> {
+    if (this.isFlushing || this.unreported.size === 0) return
+    this.isFlushing = true
+    const { tracker, report, leader, clock } = this.options
+    const batch = [...this.unreported]
+    const reportedTo = leader()
+    this.unreported.clear()
+    const answer = await report(tracker.recordsOf(batch))
+    this.isFlushing = false
     if (answer === true) {
-      this.toldLeader = to
-      return void this.tell()
+      this.reportedLeader = reportedTo
+      return void this.flush()
     }
-    told.forEach((content) => this.untold.add(content))
+    batch.forEach((content) => this.unreported.add(content))
     this.cancelRetry?.()
-    this.cancelRetry = clock.after(RETRY_MS, () => void this.tell())
+    this.cancelRetry = clock.after(REPORT_RETRY_MS, () => void this.flush())
   }
 }
--- a/request/crashes/src/crashBook.ts
+++ b/request/crashes/src/crashTracker.ts
@@ -1,10 +1,10 @@
 import type { Millis } from '@forkstage/types'
 import type { ContentDigest } from './contentDigest'
-import { ServedLately } from './servedLately'
-import type { ContentRefusal, CrashRecord, EndedUnder, Incarnation } from './crashTypes'
+import { RecentlyServed } from './recentlyServed'
+import type { ContentRefusal, CrashRecord, ContentAtCrash, Incarnation } from './crashTypes'
 
-/** Options of {@link CrashBook}. */
-export interface CrashBookOptions {
+/** Options of {@link CrashTracker}. */
+export interface CrashTrackerOptions {
   /** A steady clock. */
   now: () => Millis
   /** A content that is blamed for so many lives is refused. */
@@ -30,15 +30,15 @@
  * Bounds the memory. An engine's end may name a hundred contents, so that this holds those of the last twenty ends; the
  * oldest that are not refused are forgotten first.
  */
-const MOST_CONTENTS = 2_000
+const MAX_CONTENTS = 2_000
 /** For so long after its last end what is not proved is held back. */
-const UNPROVED_MS: Millis = 60_000
+const UNPROVED_REFUSAL_MS: Millis = 60_000
 /** So many crashes of a service within so long, each with requests at work, are hardly chance. */
 const STORM_CRASHES = 2
-const STORM_MS: Millis = 10_000
-const MOST_RECENT = 64
+const STORM_WINDOW_MS: Millis = 10_000
+const MAX_RECENT_CRASHES = 64
 /** More prove no more. */
-const MOST_INCARNATIONS = 16
+const MAX_INCARNATIONS = 16
 
 /**
  * Which contents were at work at endpoints that ended, from all that any machine has seen, and which of them is to
@@ -49,22 +49,22 @@
  * contents come at once, two of them may be at work at one endpoint: a content that lacks one end to be refused runs only
  * where nothing else does ({@link isSuspect}), so that its last end has no other explanation, and a good answer clears it.
  */
-export class CrashBook {
+export class CrashTracker {
   private readonly entries = new Map<ContentDigest, Entry>()
   private readonly byIncarnation = new Map<Incarnation, Set<ContentDigest>>()
-  private readonly served: ServedLately
+  private readonly served: RecentlyServed
   /** When each life ended, the newest last. */
-  private readonly recent = new Map<Incarnation, { at: Millis; service?: string }>()
-  private changes = 0
-  private worked: { at: number; counts: Map<ContentDigest, number> } = { at: -1, counts: new Map() }
+  private readonly recentCrashes = new Map<Incarnation, { at: Millis; service?: string }>()
+  private changeCount = 0
+  private blameCache: { at: number; counts: Map<ContentDigest, number> } = { at: -1, counts: new Map() }
 
-  constructor(private readonly options: CrashBookOptions) {
-    this.served = new ServedLately(options.now)
+  constructor(private readonly options: CrashTrackerOptions) {
+    this.served = new RecentlyServed(options.now)
   }
 
   /** Counts the changes of this book; rises with each. */
   get position(): number {
-    return this.changes
+    return this.changeCount
   }
 
   get size(): number {
@@ -72,12 +72,12 @@
   }
 
   /** Notes what was at work when a life of a service's endpoint ended; gives the records that changed. */
-  recordCrash(life: Incarnation, under: EndedUnder[], service?: string): CrashRecord[] {
-    const records = under.map(({ content, isEarly }) => ({
+  recordCrash(incarnation: Incarnation, contents: ContentAtCrash[], service?: string): CrashRecord[] {
+    const records = contents.map(({ content, isEarly }) => ({
       content,
       service,
-      ended: [life],
-      early: isEarly ? [life] : [],
+      ended: [incarnation],
+      early: isEarly ? [incarnation] : [],
       served: [],
       wasServed: this.served.has(content) || undefined,
       ageMs: 0,
@@ -86,8 +86,8 @@
   }
 
   /** Notes that a content got a whole answer: what ended before did not end for it. */
-  noteServed(content: ContentDigest): CrashRecord[] {
-    this.served.note(content)
+  recordServed(content: ContentDigest): CrashRecord[] {
+    this.served.record(content)
     const entry = this.entries.get(content)
     if (entry === undefined || entry.served.size === entry.ended.size) return []
     const record = toRecord(entry, this.options.now())
@@ -96,14 +96,14 @@
 
   /** Takes what another machine knows; gives what was new. */
   merge(records: CrashRecord[]): CrashRecord[] {
-    const news = records.filter((record) => this.apply(record))
-    if (news.length > 0) this.forgetOldest()
-    return news
+    const changed = records.filter((record) => this.apply(record))
+    if (changed.length > 0) this.evictOldest()
+    return changed
   }
 
   /** What changed after a position, oldest first. */
-  since(position: number): CrashRecord[] {
-    if (position === this.changes) return []
+  changesSince(position: number): CrashRecord[] {
+    if (position === this.changeCount) return []
     const now = this.options.now()
     const changed = [...this.entries.values()].filter((entry) => entry.changedAt > position)
     changed.sort((left, right) => left.changedAt - right.changedAt)
@@ -118,10 +118,10 @@
   }
 
   /** Why a content is refused; undefined where it may be sent. */
-  refusal(content: ContentDigest): ContentRefusal | undefined {
+  refusalByBlame(content: ContentDigest): ContentRefusal | undefined {
     const entry = this.entries.get(content)
     if (entry === undefined || !this.isRefused(entry)) return undefined
-    return { ends: this.blamedFor(entry), leftMs: this.leftMs(entry) }
+    return { ends: this.countBlamedCrashes(entry), leftMs: this.leftMs(entry) }
   }
 
   /**
@@ -131,27 +131,27 @@
    * answers does not end each endpoint that runs it, so that only ends count at which it was alone. Where it was alone at none,
    * it is held back for a minute only, and then runs alone: an innocent one that nobody was served before would have no way back.
    */
-  refusalByEnds(content: ContentDigest): ContentRefusal | undefined {
+  refusalByCrashCount(content: ContentDigest): ContentRefusal | undefined {
     const entry = this.entries.get(content)
     if (entry === undefined) return undefined
-    const ends = this.countEnds(entry)
+    const ends = this.countCrashes(entry)
     const { keepMs, now } = this.options
-    const leftMs = entry.at + (this.isProved(entry) ? keepMs : Math.min(keepMs, UNPROVED_MS)) - now()
+    const leftMs = entry.at + (this.isProved(entry) ? keepMs : Math.min(keepMs, UNPROVED_REFUSAL_MS)) - now()
     return ends >= this.options.ends && leftMs > 0 ? { ends, leftMs } : undefined
   }
 
-  private countEnds(entry: Entry): number {
-    const open = openIncarnations(entry)
-    return (entry.wasServed ? open.filter((life) => this.wasAlone(entry, life)) : open).length
+  private countCrashes(entry: Entry): number {
+    const open = unclearedIncarnations(entry)
+    return (entry.wasServed ? open.filter((incarnation) => this.wasAlone(entry, incarnation)) : open).length
   }
 
   private isProved(entry: Entry): boolean {
-    return openIncarnations(entry).some((life) => this.wasAlone(entry, life))
+    return unclearedIncarnations(entry).some((incarnation) => this.wasAlone(entry, incarnation))
   }
 
   /** Whether it is known of an endpoint's life that it has ended. */
-  hasCrashed(life: Incarnation): boolean {
-    return this.byIncarnation.has(life)
+  hasCrashed(incarnation: Incarnation): boolean {
+    return this.byIncarnation.has(incarnation)
   }
 
   /**
@@ -162,14 +162,14 @@
     const entry = this.entries.get(content)
     const isKnown = entry !== undefined && this.leftMs(entry) > 0
     if (!isKnown && unconfirmed === 0) return false
-    const open = isKnown ? openIncarnations(entry).length : 0
-    return open + unconfirmed >= this.options.ends - 1 && this.refusalByEnds(content) === undefined
+    const open = isKnown ? unclearedIncarnations(entry).length : 0
+    return open + unconfirmed >= this.options.ends - 1 && this.refusalByCrashCount(content) === undefined
   }
 
   /** Lives that ended under a content, and that no good answer has cleared it of. */
-  openCrashes(content: ContentDigest): number {
+  countUnclearedCrashes(content: ContentDigest): number {
     const entry = this.entries.get(content)
-    return entry === undefined || this.leftMs(entry) <= 0 ? 0 : openIncarnations(entry).length
+    return entry === undefined || this.leftMs(entry) <= 0 ? 0 : unclearedIncarnations(entry).length
   }
 
   /** Whether a content got a good answer lately, as far as is known here. */
@@ -178,10 +178,10 @@
   }
 
   /** Whether so many endpoints of a service crashed lately that contents nobody was served may be at work in several places. */
-  isStorm(service: string): boolean {
-    const since = this.options.now() - STORM_MS
-    const lately = [...this.recent.values()].filter((one) => one.at >= since)
-    return lately.filter((one) => (one.service ?? service) === service).length >= STORM_CRASHES
+  isCrashStorm(service: string): boolean {
+    const since = this.options.now() - STORM_WINDOW_MS
+    const recent = [...this.recentCrashes.values()].filter((one) => one.at >= since)
+    return recent.filter((one) => (one.service ?? service) === service).length >= STORM_CRASHES
   }
 
   /** How many contents are refused now. */
@@ -195,7 +195,7 @@
   }
 
   private isRefused(entry: Entry): boolean {
-    return this.leftMs(entry) > 0 && this.blamedFor(entry) >= this.options.ends
+    return this.leftMs(entry) > 0 && this.countBlamedCrashes(entry) >= this.options.ends
   }
 
   private leftMs({ at }: Entry): Millis {
@@ -203,36 +203,41 @@
   }
 
   /** Ends that a content is to blame for. Worked out once for each state of the book: asked for each request. */
-  private blamedFor(entry: Entry): number {
-    if (this.worked.at !== this.changes) this.worked = { at: this.changes, counts: new Map() }
-    const known = this.worked.counts.get(entry.content)
+  private countBlamedCrashes(entry: Entry): number {
+    if (this.blameCache.at !== this.changeCount) this.blameCache = { at: this.changeCount, counts: new Map() }
+    const known = this.blameCache.counts.get(entry.content)
     if (known !== undefined) return known
-    const open = openIncarnations(entry)
-    const isProved = open.length > this.options.ends || open.some((life) => this.wasAlone(entry, life))
-    const count = isProved ? open.length : open.filter((life) => !this.isExplained(entry, life)).length
-    this.worked.counts.set(entry.content, count)
+    const open = unclearedIncarnations(entry)
+    const isProved =
+      open.length > this.options.ends || open.some((incarnation) => this.wasAlone(entry, incarnation))
+    const count = isProved
+      ? open.length
+      : open.filter((incarnation) => !this.isExplained(entry, incarnation)).length
+    this.blameCache.counts.set(entry.content, count)
     return count
   }
 
   /** Whether nothing else was at work there that has not got a good answer since. */
-  private wasAlone(entry: Entry, life: Incarnation): boolean {
-    const there = [...(this.byIncarnation.get(life) ?? [])].map((content) => this.entries.get(content)!)
-    return there.every((one) => one === entry || one.served.has(life))
+  private wasAlone(entry: Entry, incarnation: Incarnation): boolean {
+    const contents = [...(this.byIncarnation.get(incarnation) ?? [])].map((content) =>
+      this.entries.get(content)!,
+    )
+    return contents.every((one) => one === entry || one.served.has(incarnation))
   }
 
   /**
    * A refused content that was at more ends is to blame for those that others were at too; among equals whatever had only
    * just begun. Asks of contents with more ends only, so that it comes to an end.
    */
-  private isExplained(entry: Entry, life: Incarnation): boolean {
-    const own = openIncarnations(entry).length
-    const isEarly = entry.early.has(life)
-    for (const content of this.byIncarnation.get(life) ?? []) {
+  private isExplained(entry: Entry, incarnation: Incarnation): boolean {
+    const own = unclearedIncarnations(entry).length
+    const isEarly = entry.early.has(incarnation)
+    for (const content of this.byIncarnation.get(incarnation) ?? []) {
       const other = this.entries.get(content)!
-      if (other === entry || other.served.has(life)) continue
-      const others = openIncarnations(other).length
+      if (other === entry || other.served.has(incarnation)) continue
+      const others = unclearedIncarnations(other).length
       if (others > own && this.isRefused(other)) return true
-      if (others === own && !isEarly && other.early.has(life)) return true
+      if (others === own && !isEarly && other.early.has(incarnation)) return true
     }
     return false
   }
@@ -249,45 +254,45 @@
     const isServed = wasServed || this.served.has(content)
     if (!grew.includes(true) && (entry.wasServed || !isServed)) return false
     entry.wasServed ||= isServed
-    this.changes += 1
-    entry.changedAt = this.changes
+    this.changeCount += 1
+    entry.changedAt = this.changeCount
     entry.at = Math.max(entry.at, this.options.now() - ageMs)
     // Set anew, so that the map stays in order of change.
     this.entries.delete(content)
     this.entries.set(content, entry)
     entry.service ??= record.service
-    for (const life of entry.ended) {
-      if (!this.byIncarnation.has(life)) this.noteRecent(life, entry)
-      const there = this.byIncarnation.get(life) ?? new Set()
-      this.byIncarnation.set(life, there.add(content))
+    for (const incarnation of entry.ended) {
+      if (!this.byIncarnation.has(incarnation)) this.recordRecentCrash(incarnation, entry)
+      const contents = this.byIncarnation.get(incarnation) ?? new Set()
+      this.byIncarnation.set(incarnation, contents.add(content))
     }
     return true
   }
 
-  private noteRecent(life: Incarnation, { at, service }: Entry): void {
-    this.recent.set(life, { at, service })
-    const [oldest] = this.recent.keys()
-    if (this.recent.size > MOST_RECENT) this.recent.delete(oldest!)
+  private recordRecentCrash(incarnation: Incarnation, { at, service }: Entry): void {
+    this.recentCrashes.set(incarnation, { at, service })
+    const [oldest] = this.recentCrashes.keys()
+    if (this.recentCrashes.size > MAX_RECENT_CRASHES) this.recentCrashes.delete(oldest!)
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     const { now, keepMs } = this.options
-    for (const entry of this.entries.values()) if (entry.at + keepMs <= now()) this.forget(entry)
-    const tooMany = this.entries.size - MOST_CONTENTS
+    for (const entry of this.entries.values()) if (entry.at + keepMs <= now()) this.evict(entry)
+    const tooMany = this.entries.size - MAX_CONTENTS
     if (tooMany <= 0) return
     const open = [...this.entries.values()].filter((entry) => !this.isRefused(entry))
-    open.slice(0, tooMany).forEach((entry) => this.forget(entry))
-    const rest = this.entries.size - MOST_CONTENTS
-    if (rest > 0) [...this.entries.values()].slice(0, rest).forEach((entry) => this.forget(entry))
+    open.slice(0, tooMany).forEach((entry) => this.evict(entry))
+    const rest = this.entries.size - MAX_CONTENTS
+    if (rest > 0) [...this.entries.values()].slice(0, rest).forEach((entry) => this.evict(entry))
   }
 
-  private forget(entry: Entry): void {
-    this.worked.at = -1
+  private evict(entry: Entry): void {
+    this.blameCache.at = -1
     this.entries.delete(entry.content)
-    for (const life of entry.ended) {
-      const there = this.byIncarnation.get(life)
-      there?.delete(entry.content)
-      if (there?.size === 0) this.byIncarnation.delete(life)
+    for (const incarnation of entry.ended) {
+      const contents = this.byIncarnation.get(incarnation)
+      contents?.delete(entry.content)
+      if (contents?.size === 0) this.byIncarnation.delete(incarnation)
     }
   }
 }
@@ -305,14 +310,14 @@
 }
 
 /** Lives that still say something against a content. */
-function openIncarnations({ ended, served }: Entry): Incarnation[] {
-  return [...ended].filter((life) => !served.has(life))
+function unclearedIncarnations({ ended, served }: Entry): Incarnation[] {
+  return [...ended].filter((incarnation) => !served.has(incarnation))
 }
 
 /** Adds what is not there yet, as far as there is room; says whether anything was. */
-function addAll(set: Set<Incarnation>, lives: Incarnation[]): boolean {
+function addAll(set: Set<Incarnation>, incarnations: Incarnation[]): boolean {
   const before = set.size
-  for (const life of lives) if (set.size < MOST_INCARNATIONS) set.add(life)
+  for (const incarnation of incarnations) if (set.size < MAX_INCARNATIONS) set.add(incarnation)
   return set.size > before
 }
 
--- a/request/crashes/src/crashTypes.ts
+++ b/request/crashes/src/crashTypes.ts
@@ -30,7 +30,7 @@
 }
 
 /** What an entry found out at one endpoint that has ended. */
-export interface EndedUnder {
+export interface ContentAtCrash {
   content: ContentDigest
   /** Whether it had only just begun there. */
   isEarly: boolean
--- a/request/crashes/src/decideSending.ts
+++ b/request/crashes/src/decideSending.ts
@@ -1,10 +1,10 @@
 import type { ContentDigest } from './contentDigest'
-import type { CrashBook } from './crashBook'
+import type { CrashTracker } from './crashTracker'
 import type { ContentRefusal } from './crashTypes'
 
 /** What {@link decideSending} goes by. */
 export interface SendingState {
-  book: CrashBook
+  tracker: CrashTracker
   content: ContentDigest
   service: string
   /** Whether the service has endpoints enough that one may be reserved for isolated trials; asked only where it matters. */
@@ -26,25 +26,25 @@
 
 /** Decides right before each sending whether it may leave. Relays of entries and the model of them in tests call it. */
 export function decideSending(state: SendingState): SendingDecision {
-  const { book, content, service, unconfirmed } = state
+  const { tracker, content, service, unconfirmed } = state
   const refusal = refusalOf(state)
   if (refusal !== undefined) return { type: 'refuse', refusal }
   // A repeat that does not wait takes one more endpoint down, beside others, so that its crash proves nothing.
-  if (unconfirmed > 0 && book.isSuspect(content, unconfirmed)) return { type: 'await-confirmation' }
-  if (book.isSuspect(content)) return { type: 'isolate' }
+  if (unconfirmed > 0 && tracker.isSuspect(content, unconfirmed)) return { type: 'await-confirmation' }
+  if (tracker.isSuspect(content)) return { type: 'isolate' }
   // Runs side by side would come to three crashes before the first is confirmed. What was served lately is no such content.
-  const isDoubtful = book.openCrashes(content) + unconfirmed > 0 || book.isStorm(service)
-  return isDoubtful && !book.wasServed(content) ? { type: 'serialize' } : { type: 'send' }
+  const isDoubtful = tracker.countUnclearedCrashes(content) + unconfirmed > 0 || tracker.isCrashStorm(service)
+  return isDoubtful && !tracker.wasServed(content) ? { type: 'serialize' } : { type: 'send' }
 }
 
 /** Why a content must reach no endpoint of its service; undefined where it may. */
 export function refusalOf({
-  book,
+  tracker,
   content,
   hasTrials,
-}: Pick<SendingState, 'book' | 'content' | 'hasTrials'>): ContentRefusal | undefined {
-  const byEnds = book.refusalByEnds(content)
-  const byBlame = book.refusal(content)
-  if (byEnds === undefined && byBlame === undefined) return undefined
-  return hasTrials() ? byEnds : byBlame
+}: Pick<SendingState, 'tracker' | 'content' | 'hasTrials'>): ContentRefusal | undefined {
+  const byCrashCount = tracker.refusalByCrashCount(content)
+  const byBlame = tracker.refusalByBlame(content)
+  if (byCrashCount === undefined && byBlame === undefined) return undefined
+  return hasTrials() ? byCrashCount : byBlame
 }
--- a/request/crashes/src/readCrashRecords.ts
+++ b/request/crashes/src/readCrashRecords.ts
@@ -1,15 +1,15 @@
 import * as z from 'zod'
 import type { CrashRecord } from './crashTypes'
 
-const MOST_RECORDS = 4_000
+const MAX_RECORDS = 4_000
 const name = z.string().min(1).max(200)
-const lives = z.array(name).max(64)
+const incarnations = z.array(name).max(64)
 const recordSchema = z.object({
   content: name,
   service: name.optional(),
-  ended: lives,
-  early: lives,
-  served: lives,
+  ended: incarnations,
+  early: incarnations,
+  served: incarnations,
   wasServed: z.boolean().optional(),
   ageMs: z.number().min(0),
 })
@@ -17,7 +17,7 @@
 /** The records that another machine sent or a file holds; what is none is left out. */
 export function readCrashRecords(raw: unknown): CrashRecord[] {
   if (!Array.isArray(raw)) return []
-  return raw.slice(0, MOST_RECORDS).flatMap((one) => {
+  return raw.slice(0, MAX_RECORDS).flatMap((one) => {
     const read = recordSchema.safeParse(one, { jitless: true })
     return read.success ? [read.data] : []
   })
--- a/request/crashes/src/trialBook.ts
+++ b/request/crashes/src/trialScheduler.ts
@@ -2,11 +2,11 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
 import type { ContentDigest } from './contentDigest'
-import { LEAST_OTHERS, hasIsolatedTrials } from './hasIsolatedTrials'
-import type { TrialAnswer, TrialAsk, TrialEnd } from './trialTypes'
+import { MIN_OTHER_ENDPOINTS, hasIsolatedTrials } from './hasIsolatedTrials'
+import type { TrialAnswer, TrialRequest, TrialEnd } from './trialTypes'
 
-/** Options of {@link TrialBook}. */
-export interface TrialBookOptions {
+/** Options of {@link TrialScheduler}. */
+export interface TrialSchedulerOptions {
   /** A steady clock. */
   now: () => Millis
   random: Random
@@ -38,13 +38,13 @@
  * Entries hear of it within some milliseconds, and what had been sent there before has ended: 98 in 100 plain answers of
  * the deployments played take less.
  */
-const EMPTIES_MS: Millis = 500
+const DRAIN_MS: Millis = 500
 /** An entry that has not told of an end by then may have ended itself. */
-const RUNS_MS: Millis = 2_000
+const RUN_TIMEOUT_MS: Millis = 2_000
 /** Where nobody has asked for so long, the endpoint serves all again. */
-const IDLE_MS: Millis = 1_500
+const IDLE_RELEASE_MS: Millis = 1_500
 /** A poison request has crashed its endpoint by then, and that is confirmed. */
-const TURN_MS: Millis = 1_000
+const TURN_TIMEOUT_MS: Millis = 1_000
 const TURN_RETRY_MS: Millis = 50
 /** While too few endpoints stand. */
 const TOO_FEW_RETRY_MS: Millis = 1_000
@@ -53,11 +53,11 @@
  * Keeps one endpoint of a service free at a time, at the machine that leads, so that contents that may end their endpoints
  * run alone there, one after the other; and lets contents that may turn out to be such run once at a time.
  */
-export class TrialBook {
+export class TrialScheduler {
   private readonly reservations = new Map<string, Reservation>()
   private readonly turns = new Map<ContentDigest, Turn>()
 
-  constructor(private readonly options: TrialBookOptions) {}
+  constructor(private readonly options: TrialSchedulerOptions) {}
 
   /** Endpoints that must get nothing else. */
   get endpoints(): InstanceId[] {
@@ -65,13 +65,13 @@
   }
 
   /** Where a content may run now, or when to ask again. */
-  ask({ service, content, turnOf }: TrialAsk): TrialAnswer {
+  ask({ service, content, turnOf }: TrialRequest): TrialAnswer {
     const now = this.options.now()
     const turn = this.turns.get(content)
     if (turn !== undefined && now < turn.untilMs && turn.request !== turnOf) return later(TURN_RETRY_MS)
     if (turnOf !== undefined) {
       if (this.options.isSuspect(content)) return { type: 'isolate' }
-      this.turns.set(content, { request: turnOf, untilMs: now + TURN_MS })
+      this.turns.set(content, { request: turnOf, untilMs: now + TURN_TIMEOUT_MS })
       return { type: 'anywhere' }
     }
     const known = this.reservation(service)
@@ -79,9 +79,9 @@
     known.askedAt = now
     if (now < known.freeAt) return later(known.freeAt - now)
     if (known.running !== undefined && now < known.running.untilMs)
-      return later(known.running.untilMs - now, EMPTIES_MS)
-    known.running = { content, untilMs: now + RUNS_MS }
-    return { type: 'granted', endpoint: known.endpoint, forMs: RUNS_MS }
+      return later(known.running.untilMs - now, DRAIN_MS)
+    known.running = { content, untilMs: now + RUN_TIMEOUT_MS }
+    return { type: 'granted', endpoint: known.endpoint, forMs: RUN_TIMEOUT_MS }
   }
 
   /** A content's run has ended. */
@@ -97,7 +97,7 @@
     const now = this.options.now()
     for (const [content, { untilMs }] of this.turns) if (now >= untilMs) this.turns.delete(content)
     for (const [service, { askedAt, running }] of [...this.reservations]) {
-      const isIdle = now - askedAt >= IDLE_MS && (running === undefined || now >= running.untilMs)
+      const isIdle = now - askedAt >= IDLE_RELEASE_MS && (running === undefined || now >= running.untilMs)
       if (isIdle || this.reservation(service) === undefined) this.release(service)
     }
   }
@@ -114,22 +114,22 @@
   private reservation(service: string): Reservation | undefined {
     const known = this.reservations.get(service)
     if (known === undefined) return undefined
-    if (this.standing(service).includes(known.endpoint)) return known
+    if (this.aliveEndpoints(service).includes(known.endpoint)) return known
     this.release(service)
     return undefined
   }
 
   private reserve(service: string, now: Millis): TrialAnswer {
     if (!hasIsolatedTrials(this.options.registered(service).length)) return { type: 'anywhere' }
-    const standing = this.standing(service)
-    if (standing.length <= LEAST_OTHERS) return later(TOO_FEW_RETRY_MS)
-    const endpoint = standing[Math.floor(this.options.random() * standing.length)]!
-    this.reservations.set(service, { endpoint, freeAt: now + EMPTIES_MS, askedAt: now })
+    const alive = this.aliveEndpoints(service)
+    if (alive.length <= MIN_OTHER_ENDPOINTS) return later(TOO_FEW_RETRY_MS)
+    const endpoint = alive[Math.floor(this.options.random() * alive.length)]!
+    this.reservations.set(service, { endpoint, freeAt: now + DRAIN_MS, askedAt: now })
     this.options.onChange()
-    return later(EMPTIES_MS)
+    return later(DRAIN_MS)
   }
 
-  private standing(service: string): InstanceId[] {
+  private aliveEndpoints(service: string): InstanceId[] {
     const { registered, hasCrashed } = this.options
     return registered(service).filter((id) => !hasCrashed(id))
   }
--- a/request/crashes/src/trialTypes.ts
+++ b/request/crashes/src/trialTypes.ts
@@ -3,12 +3,12 @@
 import type { ContentDigest } from './contentDigest'
 
 /** The method by which an entry asks the leader for an endpoint where a content runs alone. */
-export const TRIAL_ASK = 'crashes.trial'
+export const TRIAL_REQUEST = 'crashes.trial'
 /** The method by which it tells that the run has ended there, however. */
 export const TRIAL_END = 'crashes.trial-end'
 
 /** What an entry asks. */
-export interface TrialAsk {
+export interface TrialRequest {
   service: string
   content: ContentDigest
   /**
@@ -30,7 +30,7 @@
   | { type: 'isolate' }
 
 /** What an entry tells once its run has ended. */
-export interface TrialEnd extends TrialAsk {
+export interface TrialEnd extends TrialRequest {
   /** Where it ran isolated; absent at the end of a turn. */
   endpoint?: InstanceId
 }
--- a/request/crashes/test/crashReporter.test.ts
+++ b/request/crashes/test/crashReporter.test.ts
@@ -1,18 +1,18 @@
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
-import { CrashBook, CrashReporter, type CrashRecord } from '../src'
+import { CrashTracker, CrashReporter, type CrashRecord } from '../src'
 
 /** An entry before a leader that answers or does not. */
-class ReportWorld {
+class ReporterFixture {
   readonly clock = new ManualClock()
-  readonly book = new CrashBook({ now: () => this.clock.now(), ends: 3, keepMs: 60_000 })
+  readonly tracker = new CrashTracker({ now: () => this.clock.now(), ends: 3, keepMs: 60_000 })
   readonly heard: CrashRecord[] = []
   leader: string | undefined = 'c1'
   answers = true
   calls = 0
   readonly reporter = new CrashReporter({
     clock: this.clock,
-    book: this.book,
+    tracker: this.tracker,
     leader: () => this.leader,
     report: (records) => {
       this.calls += 1
@@ -22,11 +22,11 @@
     },
   })
 
-  end(life: string, content: string): void {
-    this.reporter.note(this.book.recordCrash(life, [{ content, isEarly: true }]))
+  crash(incarnation: string, content: string): void {
+    this.reporter.enqueue(this.tracker.recordCrash(incarnation, [{ content, isEarly: true }]))
   }
 
-  async pass(milliseconds: number): Promise<void> {
+  async advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 50) {
       this.clock.advance(50)
       await Promise.resolve()
@@ -37,49 +37,49 @@
 
 describe('CrashReporter', () => {
   it('tells the leader at once, and nothing twice', async () => {
-    const world = new ReportWorld()
-    world.end('l1', 'a')
-    await world.pass(3_000)
-    expect(world.heard).toMatchObject([{ content: 'a', ended: ['l1'] }])
-    expect(world.calls).toBe(1)
+    const fixture = new ReporterFixture()
+    fixture.crash('l1', 'a')
+    await fixture.advance(3_000)
+    expect(fixture.heard).toMatchObject([{ content: 'a', ended: ['l1'] }])
+    expect(fixture.calls).toBe(1)
   })
 
   it('tells until it is answered, with what has come meanwhile', async () => {
-    const world = new ReportWorld()
-    world.answers = false
-    world.end('l1', 'a')
-    await world.pass(1_000)
-    world.end('l2', 'a')
-    world.end('l2', 'b')
-    world.answers = true
-    await world.pass(1_000)
-    expect(world.heard.sort((one, other) => one.content.localeCompare(other.content))).toMatchObject([
+    const fixture = new ReporterFixture()
+    fixture.answers = false
+    fixture.crash('l1', 'a')
+    await fixture.advance(1_000)
+    fixture.crash('l2', 'a')
+    fixture.crash('l2', 'b')
+    fixture.answers = true
+    await fixture.advance(1_000)
+    expect(fixture.heard.sort((one, other) => one.content.localeCompare(other.content))).toMatchObject([
       { content: 'a', ended: ['l1', 'l2'] },
       { content: 'b', ended: ['l2'] },
     ])
   })
 
   it('tells each new leader once more what this entry has seen', async () => {
-    const world = new ReportWorld()
-    world.end('l1', 'a')
-    await world.pass(200)
-    world.leader = undefined
-    await world.pass(2_000)
-    expect(world.calls).toBe(1)
-    world.leader = 'c2'
-    await world.pass(3_000)
-    expect(world.heard.map(({ content }) => content)).toEqual(['a', 'a'])
+    const fixture = new ReporterFixture()
+    fixture.crash('l1', 'a')
+    await fixture.advance(200)
+    fixture.leader = undefined
+    await fixture.advance(2_000)
+    expect(fixture.calls).toBe(1)
+    fixture.leader = 'c2'
+    await fixture.advance(3_000)
+    expect(fixture.heard.map(({ content }) => content)).toEqual(['a', 'a'])
   })
 
   it('begins nothing more once it has stopped', async () => {
-    const world = new ReportWorld()
-    world.answers = false
-    world.end('l1', 'a')
-    await world.pass(100)
-    world.reporter.stop()
-    const { calls } = world
-    world.leader = 'c2'
-    await world.pass(3_000)
-    expect(world.calls - calls).toBeLessThanOrEqual(1)
+    const fixture = new ReporterFixture()
+    fixture.answers = false
+    fixture.crash('l1', 'a')
+    await fixture.advance(100)
+    fixture.reporter.stop()
+    const { calls } = fixture
+    fixture.leader = 'c2'
+    await fixture.advance(3_000)
+    expect(fixture.calls - calls).toBeLessThanOrEqual(1)
   })
 })
--- /dev/null
+++ b/request/crashes/test/crashTracker.test.ts
@@ -0,0 +1,201 @@
+import fc from 'fast-check'
+import { describe, expect, it } from 'vitest'
+import { CrashTracker, readCrashRecords, type CrashRecord } from '../src'
+
+const KEEP_MS = 60_000
+
+function newTracker() {
+  const time = { now: 0 }
+  return { time, tracker: new CrashTracker({ now: () => time.now, ends: 3, keepMs: KEEP_MS }) }
+}
+
+const early = (...contents: string[]) => contents.map((content) => ({ content, isEarly: true }))
+const late = (...contents: string[]) => contents.map((content) => ({ content, isEarly: false }))
+
+describe('CrashTracker', () => {
+  it('refuses a content that was at work at three lives that ended, not at two', () => {
+    const { tracker } = newTracker()
+    tracker.recordCrash('l1', early('bad'))
+    tracker.recordCrash('l2', early('bad'))
+    tracker.recordCrash('l2', early('bad'))
+    expect(tracker.refusalByBlame('bad')).toBeUndefined()
+    tracker.recordCrash('l3', early('bad'))
+    expect(tracker.refusalByBlame('bad')).toEqual({ ends: 3, leftMs: KEEP_MS })
+    expect(tracker.countRefused()).toBe(1)
+  })
+
+  it('puts an end down to whatever was at most ends of all that were there', () => {
+    const { tracker } = newTracker()
+    tracker.recordCrash('l0', early('bad'))
+    // Sent anew after each end, and each time to where the bad one came next.
+    for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad', 'unlucky'))
+    expect(tracker.refusalByBlame('bad')).toBeDefined()
+    expect(tracker.refusalByBlame('unlucky')).toBeUndefined()
+  })
+
+  it('counts the ends of what was to run alone whoever else was there, until it is served or they lapse', () => {
+    const { tracker, time } = newTracker()
+    tracker.recordCrash('l0', early('bad'))
+    for (const incarnation of ['l1', 'l2']) tracker.recordCrash(incarnation, early('bad', 'other'))
+    expect(tracker.refusalByCrashCount('other')).toBeUndefined()
+    tracker.recordCrash('l3', early('bad', 'other'))
+    expect(tracker.refusalByBlame('other')).toBeUndefined()
+    expect(tracker.refusalByCrashCount('other')).toEqual({ ends: 3, leftMs: KEEP_MS })
+    expect(tracker.refusalByCrashCount('never seen')).toBeUndefined()
+    time.now = KEEP_MS
+    expect(tracker.refusalByCrashCount('other')).toBeUndefined()
+    time.now = 0
+    tracker.recordServed('other')
+    expect(tracker.refusalByCrashCount('other')).toBeUndefined()
+  })
+
+  it('holds back what was alone at no end for a minute, then has it run alone, which proves it or clears it', () => {
+    const time = { now: 0 }
+    const tracker = new CrashTracker({ now: () => time.now, ends: 3, keepMs: 3_600_000 })
+    for (const incarnation of ['l1', 'l2', 'l3'])
+      tracker.recordCrash(incarnation, early(`bad ${incarnation}`, 'one', 'two'))
+    expect(tracker.refusalByCrashCount('one')).toEqual({ ends: 3, leftMs: 60_000 })
+    expect(tracker.isSuspect('one')).toBe(false)
+    time.now = 60_000
+    expect(tracker.refusalByCrashCount('one')).toBeUndefined()
+    expect(tracker.isSuspect('one')).toBe(true)
+    tracker.recordCrash('l4', early('one'))
+    expect(tracker.refusalByCrashCount('one')).toEqual({ ends: 4, leftMs: 3_600_000 })
+    tracker.recordServed('two')
+    expect(tracker.isSuspect('two')).toBe(false)
+    expect(tracker.refusalByCrashCount('two')).toBeUndefined()
+  })
+
+  it('counts only ends at which it was alone of what gets good answers, before or after, here or elsewhere', () => {
+    const { tracker, time } = newTracker()
+    tracker.recordServed('liked')
+    time.now = 60_000
+    for (const incarnation of ['l1', 'l2', 'l3', 'l4'])
+      tracker.recordCrash(incarnation, early('bad', 'liked'))
+    expect(tracker.refusalByCrashCount('bad')).toBeDefined()
+    expect(tracker.refusalByCrashCount('liked')).toBeUndefined()
+    expect(tracker.isSuspect('liked')).toBe(true)
+    const replica = newTracker().tracker
+    replica.merge(readCrashRecords(JSON.parse(JSON.stringify(tracker.changesSince(0)))))
+    expect(replica.refusalByCrashCount('liked')).toBeUndefined()
+    for (const incarnation of ['l5', 'l6', 'l7']) tracker.recordCrash(incarnation, early('liked'))
+    expect(tracker.refusalByCrashCount('liked')).toMatchObject({ ends: 3 })
+  })
+
+  it('does not go by answers of more than a minute ago', () => {
+    const { tracker, time } = newTracker()
+    tracker.recordServed('liked')
+    time.now = 60_001
+    for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad', 'liked'))
+    expect(tracker.refusalByCrashCount('liked')).toMatchObject({ ends: 3 })
+    const elsewhere = newTracker().tracker
+    elsewhere.recordServed('liked')
+    elsewhere.merge(tracker.changesSince(0))
+    expect(elsewhere.refusalByCrashCount('liked')).toBeUndefined()
+  })
+
+  it('remembers a bounded number of what was served', () => {
+    const { tracker } = newTracker()
+    tracker.recordServed('first')
+    for (let count = 0; count < 5_000; count += 1) tracker.recordServed(`other ${count}`)
+    for (const incarnation of ['l1', 'l2', 'l3'])
+      tracker.recordCrash(incarnation, early('bad', 'first', 'other 4999'))
+    expect(tracker.refusalByCrashCount('first')).toBeDefined()
+    expect(tracker.refusalByCrashCount('other 4999')).toBeUndefined()
+  })
+
+  it('puts an end down to what had just begun, among equals', () => {
+    const { tracker } = newTracker()
+    for (const incarnation of ['l1', 'l2', 'l3'])
+      tracker.recordCrash(incarnation, [...early('bad'), ...late('running'), ...late('other')])
+    expect(tracker.refusalByBlame('bad')).toBeDefined()
+    expect(tracker.refusalByBlame('running')).toBeUndefined()
+  })
+
+  it('blames one that ends its endpoints only after a while too, once it was at more ends than any other', () => {
+    const { tracker } = newTracker()
+    for (const number of [1, 2, 3])
+      tracker.recordCrash(`l${number}`, [...late('slow'), ...early(`new${number}`)])
+    expect(tracker.refusalByBlame('slow')).toMatchObject({ ends: 3 })
+    expect(tracker.countRefused()).toBe(1)
+  })
+
+  it('holds nothing against a content from before a whole answer, and others are blamed for what is left', () => {
+    const { tracker } = newTracker()
+    for (const incarnation of ['l1', 'l2']) tracker.recordCrash(incarnation, early('good', 'bad'))
+    expect(tracker.recordServed('good')).toHaveLength(1)
+    expect(tracker.recordServed('good')).toEqual([])
+    expect(tracker.recordServed('unheard of')).toEqual([])
+    tracker.recordCrash('l3', early('good', 'bad'))
+    expect(tracker.refusalByBlame('good')).toBeUndefined()
+    expect(tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
+  })
+
+  it('lets a refused content through again when the last end is long enough ago, by the clock of who says so', () => {
+    const { tracker, time } = newTracker()
+    for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad'))
+    time.now += KEEP_MS / 2
+    const other = newTracker()
+    other.tracker.merge(tracker.changesSince(0))
+    expect(other.tracker.refusalByBlame('bad')).toEqual({ ends: 3, leftMs: KEEP_MS / 2 })
+    other.time.now += KEEP_MS / 2
+    expect(other.tracker.refusalByBlame('bad')).toBeUndefined()
+  })
+
+  it('passes on what changed after a position, and nothing twice', () => {
+    const { tracker } = newTracker()
+    tracker.recordCrash('l1', early('a', 'b'))
+    const { position } = tracker
+    expect(tracker.changesSince(0).map(({ content }) => content)).toEqual(['a', 'b'])
+    expect(tracker.changesSince(position)).toEqual([])
+    tracker.recordCrash('l2', early('a'))
+    expect(tracker.changesSince(position).map(({ content }) => content)).toEqual(['a'])
+    expect(tracker.merge(tracker.changesSince(0))).toEqual([])
+  })
+
+  it('stays bounded, and keeps what it refuses', () => {
+    const { tracker } = newTracker()
+    for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad'))
+    for (let number = 0; number < 2_500; number += 1) tracker.recordCrash(`x${number}`, early(`c${number}`))
+    expect(tracker.size).toBeLessThanOrEqual(2_000)
+    expect(tracker.refusalByBlame('bad')).toBeDefined()
+  })
+
+  it('comes to the same whatever the order in which machines hear, and however often', () => {
+    const name = fc.constantFrom('a', 'b', 'c')
+    const incarnation = fc.constantFrom('l1', 'l2', 'l3', 'l4')
+    const record = fc.record({
+      content: name,
+      ended: fc.uniqueArray(incarnation),
+      early: fc.uniqueArray(incarnation),
+      served: fc.uniqueArray(incarnation),
+      ageMs: fc.constant(0),
+    })
+    fc.assert(
+      fc.property(fc.array(record, { maxLength: 12 }), fc.nat(), (records, turn) => {
+        const [one, other] = [newTracker().tracker, newTracker().tracker]
+        one.merge(records)
+        const turned = records.map((_, index) => records[(index + turn) % records.length]!)
+        for (const each of [...turned, ...records]) other.merge([each])
+        for (const content of ['a', 'b', 'c'])
+          expect(other.refusalByBlame(content)?.ends).toBe(one.refusalByBlame(content)?.ends)
+      }),
+    )
+  })
+})
+
+describe('readCrashRecords', () => {
+  it('takes what is a record and leaves out everything else, whatever it is', () => {
+    const good: CrashRecord = { content: 'a', ended: ['l'], early: [], served: [], ageMs: 1 }
+    expect(readCrashRecords([good, { ...good, ageMs: '1' }, null, { content: 'a' }])).toEqual([good])
+    fc.assert(
+      fc.property(fc.anything(), (raw) => {
+        const { tracker } = newTracker()
+        tracker.merge(readCrashRecords(raw))
+        tracker.merge(readCrashRecords([raw, good]))
+        expect(tracker.refusalByBlame('a')).toBeUndefined()
+        expect(tracker.size).toBeGreaterThan(0)
+      }),
+    )
+  })
+})
--- a/request/crashes/test/manyDeadly.test.ts
+++ b/request/crashes/test/manyPoisonRequests.test.ts
@@ -4,20 +4,21 @@
 // them. Cause: an end is put down to the content that was at most ends, so that of several guilty ones one is found after the other, and
 // nothing keeps two suspects apart. Evidence: the same arrivals with one kind, for which three ends are enough.
 import { describe, expect, it } from 'vitest'
-import { DeadlyWorld, type DeadlyOptions } from './deadlyWorld'
+import { CrashSimulation, type SimulationOptions } from './crashSimulation'
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10]
 
 /** What became of deadly and of other contents over ten runs of 40 s. */
-function play(options: Omit<DeadlyOptions, 'seed'>) {
-  const worlds = SEEDS.map((seed) => new DeadlyWorld({ ...options, seed }))
-  worlds.forEach((world) => world.run(40_000))
-  const sum = (of: (world: DeadlyWorld) => number) => worlds.reduce((total, world) => total + of(world), 0)
+function simulate(options: Omit<SimulationOptions, 'seed'>) {
+  const simulations = SEEDS.map((seed) => new CrashSimulation({ ...options, seed }))
+  simulations.forEach((simulation) => simulation.run(40_000))
+  const total = (of: (simulation: CrashSimulation) => number) =>
+    simulations.reduce((total, simulation) => total + of(simulation), 0)
   return {
-    late: sum(({ late }) => late),
-    refused: sum(({ refusedInnocents }) => refusedInnocents.size),
-    innocents: sum(({ innocents }) => innocents),
-    servedShare: sum(({ served }) => served) / sum(({ innocents }) => innocents),
+    late: total(({ late }) => late),
+    refused: total(({ refusedHarmless: refusedInnocents }) => refusedInnocents.size),
+    innocents: total(({ harmlessCount }) => harmlessCount),
+    servedShare: total(({ served }) => served) / total(({ harmlessCount }) => harmlessCount),
   }
 }
 
@@ -40,10 +41,10 @@
   ])(
     'reach none later than a second after their third end, and nobody else is refused: %s',
     (_what, options) => {
-      const { late, refused, innocents } = play(options)
+      const { late, refused, innocents: harmlessCount } = simulate(options)
       expect(late).toBe(0)
       expect(refused).toBe(0)
-      expect(innocents).toBeGreaterThan(9_000)
+      expect(harmlessCount).toBeGreaterThan(9_000)
     },
   )
 })
--- a/request/crashes/test/deadlyParts.ts
+++ b/request/crashes/test/simulationParts.ts
@@ -1,4 +1,4 @@
-import type { TrialBook } from '../src'
+import type { TrialScheduler } from '../src'
 
 export type Outcome = 'served' | 'refused' | 'lost' | 'no room'
 
@@ -15,7 +15,7 @@
   /** Lives of endpoints that it was lost with. */
   lost: string[]
   /** Whom it asked for the turn of its content; absent where it has not. */
-  turn?: TrialBook
+  turn?: TrialScheduler
   /** Whether it may use that for its next sending. */
   hasTurn: boolean
   done: (outcome: Outcome) => void
@@ -35,25 +35,25 @@
 }
 
 /** What became of a deadly content. */
-export interface Deadly {
+export interface Poison {
   /** When endpoints ended under it. */
   endedAt: number[]
   /** When it reached endpoints. */
   arrivedAt: number[]
 }
 
-export interface DeadlyOptions {
+export interface SimulationOptions {
   seed: number
   kinds: number
   endpoints?: number
   entries?: number
   /** Sendings of deadly contents a second, of all kinds together. */
-  deadlyPerSecond?: number
-  innocentPerSecond?: number
+  poisonPerSecond?: number
+  harmlessPerSecond?: number
   /** How often the leader is lost, with what it had not passed on. */
   leaderLostEveryMs?: number
   /** When the first deadly contents are sent. */
-  deadlyFromMs?: number
+  poisonFromMs?: number
   /** How many contents the innocent callers share; each has its own where left out. */
   popular?: number
   /** The share of callers that come again at once, and twice as often. */
--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -2,7 +2,7 @@
 import { callAwayMs } from '@forkstage/allocator'
 import { newestPerAddress, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import type { Logger } from '@forkstage/logger'
-import type { StatementBook } from '@forkstage/statements'
+import type { AvailabilityTracker } from '@forkstage/statements'
 import { Topology, withinHomes, type AtHome, type Homes } from '@forkstage/topology'
 import type { FailureDomain, Millis } from '@forkstage/types'
 import { ConcurrencyLimit } from './concurrencyLimit'
@@ -76,7 +76,7 @@
   random: Random
   logger: Logger
   /** What instances have said to this entry that they want; nothing where left out. */
-  statements?: StatementBook
+  statements?: AvailabilityTracker
   /** Whether an instance is cold: slow for a while, and no less well for that. */
   isCold?: (id: string) => boolean
 }
@@ -131,14 +131,16 @@
 
   /** Whether an instance has not said that it wants nothing from here now. */
   isOpen({ endpoint }: PooledEndpoint): boolean {
-    return this.options.statements?.notBefore(endpoint.id) === undefined
+    return this.options.statements?.unavailability(endpoint.id) === undefined
   }
 
   /** Why a service's instances can get nothing where all want none from here, and for how long; else undefined. */
   closed(service: string, query: CandidateQuery = {}): Closed | undefined {
     const { statements, clock, random } = this.options
     if (statements === undefined || statements.isEmpty) return undefined
-    const bound = statements.firstFree(this.fitting(service, query).map(({ endpoint }) => endpoint.id))
+    const bound = statements.earliestAvailable(
+      this.fitting(service, query).map(({ endpoint }) => endpoint.id),
+    )
     if (bound === undefined) return undefined
     const leftMs = bound.untilMs - clock.now()
     return { reason: bound.reason, leftMs, retryAfterMs: leftMs + random() * RETURN_SPREAD_MS }
--- a/request/gateway/src/limitGate.ts
+++ b/request/gateway/src/limitGate.ts
@@ -1,7 +1,7 @@
 import type { Placed } from '@forkstage/allocator'
 import type { Clock, Random } from '@forkstage/clock'
 import type { InstanceId, RegisteredEndpoint } from '@forkstage/directory'
-import { aloneShare, type LimitKeeper, type LimitTolerance, type RateBook } from '@forkstage/limits'
+import { leaderlessShare, type PermitClient, type LimitTolerance, type RateTable } from '@forkstage/limits'
 import type { Millis } from '@forkstage/types'
 import type { PooledEndpoint } from './endpointPool'
 import { LedPace } from './ledPace'
@@ -14,9 +14,9 @@
   clock: Clock
   random: Random
   /** The rates that endpoints name. */
-  book: RateBook
+  book: RateTable
   /** The leader's permits. */
-  keeper: LimitKeeper
+  keeper: PermitClient
   tolerance: LimitTolerance
   /** How many entries there are, as control machines count them now; 0 where none has said. */
   entries: () => number
@@ -49,7 +49,7 @@
   /** A request could go to one of these: permits are asked for where they name rates. */
   want(candidates: PooledEndpoint[]): void {
     for (const { endpoint } of candidates)
-      if (this.isLimited(endpoint.id)) this.options.keeper.want(endpoint.id)
+      if (this.isLimited(endpoint.id)) this.options.keeper.recordDemand(endpoint.id)
   }
 
   /** Takes what the leader counted for a place. `askedAt` is when it was asked, by this entry's clock. */
@@ -92,11 +92,11 @@
 
   /** Looks how many entries there are, and forgets endpoints that name no rate any more or are gone. Called again and again. */
   look(isRegistered: (id: InstanceId) => boolean): void {
-    this.options.book.keepOnly(isRegistered)
+    this.options.book.sweep(isRegistered)
     const { clock, keeper } = this.options
     const isLimited = (id: InstanceId) => this.isLimited(id)
     this.own.look(isLimited)
-    this.pace.look(keeper.ledAt, clock.now(), isLimited)
+    this.pace.look(keeper.leaderContactAt, clock.now(), isLimited)
   }
 
   private mayTake(id: InstanceId): boolean {
@@ -110,8 +110,8 @@
   private mayTakeAlone(id: InstanceId): boolean {
     const { keeper, book, clock, tolerance } = this.options
     const perSecond = book.rateOf(id) ?? 0
-    if (keeper.isLed()) return false
-    if (this.pace.left(id, keeper.ledAt, perSecond, clock.now()) > 0) return true
-    return this.own.mayTake(id, aloneShare(perSecond, tolerance))
+    if (keeper.isLeaderReachable()) return false
+    if (this.pace.left(id, keeper.leaderContactAt, perSecond, clock.now()) > 0) return true
+    return this.own.mayTake(id, leaderlessShare(perSecond, tolerance))
   }
 }
--- a/request/gateway/src/noteRate.ts
+++ b/request/gateway/src/noteRate.ts
@@ -16,6 +16,6 @@
 ): void {
   const value = single(head.headers[wire.headers.rateLimit])
   const perSecond = value === undefined ? undefined : wire.readRateLimit(value)
-  if (perSecond !== undefined) return rates?.note(endpoint.id, perSecond)
-  if (value === undefined && isSuccess) rates?.note(endpoint.id, undefined)
+  if (perSecond !== undefined) return rates?.recordAnswer(endpoint.id, perSecond)
+  if (value === undefined && isSuccess) rates?.recordAnswer(endpoint.id, undefined)
 }
--- a/request/gateway/src/noteStatements.ts
+++ b/request/gateway/src/noteStatements.ts
@@ -1,4 +1,4 @@
-import { readRest } from '@forkstage/statements'
+import { readRetryAfter } from '@forkstage/statements'
 import { single } from './callerRequest'
 import type { PooledEndpoint } from './endpointPool'
 import type { AnswerHead } from './exchange'
@@ -31,8 +31,8 @@
   // A field that comes twice has both values in one.
   const words = single(head.headers[wire.headers.leaving])?.split(',') ?? []
   if (words.some((word) => wire.readLeaving(word.trim()))) {
-    statements.noteLeaving(id, request)
+    statements.recordLeaving(id, request)
     pool.noteLeaving(at)
   }
-  statements.noteRest(id, readRest(head), request)
+  statements.recordRetryAfter(id, readRetryAfter(head), request)
 }
--- a/request/gateway/src/promptReading.ts
+++ b/request/gateway/src/promptReading.ts
@@ -1,4 +1,4 @@
-import { ASKED_FOR_REST } from '@forkstage/statements'
+import { RETRY_AFTER_REASON } from '@forkstage/statements'
 import type { PooledEndpoint } from './endpointPool'
 import { COLD_REASON } from './coldGate'
 import { LIMIT_REASON } from './limitGate'
@@ -15,7 +15,7 @@
 const HANDLE_SHARE = 0.5
 
 /** Why an engine may get nothing at the moment, though it may in the next. */
-const FOR_A_MOMENT = new Set([COLD_REASON, LIMIT_REASON, SUSPENDED, ASKED_FOR_REST])
+const FOR_A_MOMENT = new Set([COLD_REASON, LIMIT_REASON, SUSPENDED, RETRY_AFTER_REASON])
 
 /** What the reading of a prompt needs of its request. */
 export interface PromptReader {
--- a/request/gateway/src/readVerdict.ts
+++ b/request/gateway/src/readVerdict.ts
@@ -23,6 +23,6 @@
   const isOwn = verdict === 'answer' || isPrefilled
   const isSuccess = isOwn && head.status >= 200 && head.status < 300
   noteStatements(parts, at, head, { request: request.id, isSuccess })
-  if (isOwn) parts.statements?.noteWell(at.endpoint.id)
+  if (isOwn) parts.statements?.recordSuccess(at.endpoint.id)
   return verdict
 }
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -2,15 +2,15 @@
 import type {
   ContentDigest,
   ContentRefusal,
-  LostSending,
+  LostAttempt,
   SendingDecision,
   TrialAnswer,
 } from '@forkstage/crashes'
 import { nameOf, type InstanceId } from '@forkstage/directory'
-import type { RateBook } from '@forkstage/limits'
+import type { RateTable } from '@forkstage/limits'
 import type { Logger } from '@forkstage/logger'
 import type { Route, RoutedService } from '@forkstage/routes'
-import type { StatementBook } from '@forkstage/statements'
+import type { AvailabilityTracker } from '@forkstage/statements'
 import type { Homes } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { CallerRequest } from './callerRequest'
@@ -37,9 +37,9 @@
   /** What endpoints that name rates may get from here; all where left out. */
   limits?: LimitGate
   /** The rates that endpoints name; what they say is not read where left out. */
-  rates?: RateBook
+  rates?: RateTable
   /** What endpoints say in their answers of what they want from here; not read where left out. */
-  statements?: StatementBook
+  statements?: AvailabilityTracker
   /** How long an endpoint goes on serving once it has said that it leaves; not counted on where left out. */
   leavingServesMs?: Millis
   /** Knows which requests end the endpoints that run them; nothing is known where left out. */
@@ -51,7 +51,7 @@
 
 /** What is known of requests that end the endpoints that run them. */
 export interface CrashKnowledge {
-  noteLost(sending: LostSending): void
+  noteLost(sending: LostAttempt): void
   /** A request got a whole answer. `content` is asked for only where anything is known. */
   noteServed(content: () => ContentDigest): void
   /** What must happen before a request may leave for an endpoint, after it was lost at these. */
--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -1,5 +1,5 @@
 import type { InstanceId, RegisteredEndpoint } from '@forkstage/directory'
-import { LEAVING_TAKES_MS, SAYS_IT_LEAVES } from '@forkstage/statements'
+import { LEAVING_GRACE_MS, LEAVING_REASON } from '@forkstage/statements'
 import type { Millis } from '@forkstage/types'
 import type { RelayJob, RelayParts } from './relayParts'
 import type { SendStep } from './sendCount'
@@ -52,7 +52,7 @@
 
 /** How long what an endpoint that leaves had before may be sent there: what it keeps a stopped run's memory of, for longer. */
 export function leavingTakesMs({ leavingServesMs = 0 }: RelayParts, keepsRun: boolean): Millis {
-  return keepsRun ? Math.max(LEAVING_TAKES_MS, leavingServesMs * GOES_BACK_SHARE) : LEAVING_TAKES_MS
+  return keepsRun ? Math.max(LEAVING_GRACE_MS, leavingServesMs * GOES_BACK_SHARE) : LEAVING_GRACE_MS
 }
 
 /**
@@ -61,11 +61,11 @@
  */
 function whyNotByWord(parts: RelayParts, id: InstanceId, keepsRun: boolean): string | undefined {
   const { statements, clock } = parts
-  const bound = statements?.notBefore(id)
+  const bound = statements?.unavailability(id)
   const leavingSince = statements?.leavingSince(id) ?? -Infinity
   const isJustLeaving =
-    bound?.reason === SAYS_IT_LEAVES && clock.now() < leavingSince + leavingTakesMs(parts, keepsRun)
+    bound?.reason === LEAVING_REASON && clock.now() < leavingSince + leavingTakesMs(parts, keepsRun)
   if (bound !== undefined && !isJustLeaving) return bound.reason
-  statements?.noteSent(id)
+  statements?.recordSent(id)
   return undefined
 }
--- a/request/gateway/test/gatewayWorld.ts
+++ b/request/gateway/test/gatewayWorld.ts
@@ -1,13 +1,13 @@
 import { createServer as createTcp, connect } from 'node:net'
 import { request as httpRequest } from 'node:http'
 import { createSeededRandom, createSystemClock } from '@forkstage/clock'
-import type { LostSending, SendingDecision, TrialAnswer } from '@forkstage/crashes'
+import type { LostAttempt, SendingDecision, TrialAnswer } from '@forkstage/crashes'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { RateBook } from '@forkstage/limits'
+import { RateTable } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
 import { QuotaKeeper, QuotaLedger, quotaLimit } from '@forkstage/quota'
 import { RouteBook, type CallerLimits, type Route, type Workspace } from '@forkstage/routes'
-import { StatementBook } from '@forkstage/statements'
+import { AvailabilityTracker } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import {
   ColdGate,
@@ -79,7 +79,7 @@
   /** Warnings in the log, as their event and its fields. */
   readonly warnings: object[] = []
   /** Sendings that got no whole answer. */
-  readonly lost: LostSending[] = []
+  readonly lost: LostAttempt[] = []
   /** Contents that got a whole answer. */
   readonly served: string[] = []
   /** Contents that may run only where nothing else does, and where that is. */
@@ -108,7 +108,7 @@
   /** Why nothing may leave for an instance, by its id. */
   readonly withheld = new Map<string, string>()
   /** The rates that endpoints name. */
-  readonly rates = new RateBook({ clock: createSystemClock(), logger: createSilentLogger() })
+  readonly rates = new RateTable({ clock: createSystemClock(), logger: createSilentLogger() })
   /** Instances that are cold: how much longer, by their id. */
   readonly cold = new Map<string, number>()
   private constructor(
@@ -122,7 +122,7 @@
     /** The entry's part of second sendings. */
     readonly allowance: RetryAllowance,
     /** What endpoints have said in their answers of what they want from the entry. */
-    readonly statements: StatementBook,
+    readonly statements: AvailabilityTracker,
   ) {}
 
   static async start(
@@ -137,7 +137,7 @@
     const isEvacuated = ({ zone }: RegisteredEndpoint) => evacuated.has(zone)
     const isKeptFree = ({ id }: RegisteredEndpoint) => world.keptFree.has(id)
     const isBarred = (one: RegisteredEndpoint) => isEvacuated(one) || isKeptFree(one)
-    const statements = new StatementBook({ clock, logger })
+    const statements = new AvailabilityTracker({ clock, logger })
     const pool = new EndpointPool({
       zone: 'z',
       topology: TOPOLOGY,
--- a/request/gateway/test/limitGate.test.ts
+++ b/request/gateway/test/limitGate.test.ts
@@ -2,7 +2,7 @@
 import type { Placed } from '@forkstage/allocator'
 import { ManualClock } from '@forkstage/clock'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { LimitKeeper, RateBook, type LimitAnswer } from '@forkstage/limits'
+import { PermitClient, RateTable, type LimitAnswer } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
 import { EndpointPool, LimitGate, LocalPlacer } from '../src'
 import { fullEndpoint } from './fullRows'
@@ -15,12 +15,12 @@
   const { perSecond = 4, draw = 0.5 } = options
   const clock = new ManualClock(10_000)
   const logger = createSilentLogger()
-  const book = new RateBook({ clock, logger })
+  const book = new RateTable({ clock, logger })
   let answer: LimitAnswer | undefined
-  const keeper = new LimitKeeper({
+  const keeper = new PermitClient({
     entry: 'e',
     clock,
-    book,
+    rates: book,
     report: () => Promise.resolve(answer),
     leader: () => 'leader',
     reportEveryMs: 500,
@@ -28,14 +28,14 @@
   const tolerance = { windowMs: 4_000, over: 0.5, slack: 5 }
   const one = new LimitGate({ clock, random: () => draw, book, keeper, tolerance, entries: () => 4 })
   clock.advance(SECONDS_UNTIL_SETTLED * 1_000)
-  book.note('d1', perSecond)
+  book.recordAnswer('d1', perSecond)
   const settle = async () => {
     for (let turn = 0; turn < 8; turn += 1) await Promise.resolve()
   }
   /** Has the leader permit so many. */
   const permit = async (permits: number, word = { perSecond, ageMs: 0 }) => {
     answer = { grants: { d1: { word, permits } } }
-    keeper.want('d1')
+    keeper.recordDemand('d1')
     await settle()
     answer = undefined
   }
@@ -103,7 +103,7 @@
       clock.advance(1_000)
     }
     clock.advance(5_000)
-    book.note('d1', 1)
+    book.recordAnswer('d1', 1)
     expect(sendMany(9)).toBe(2)
   })
 
--- a/request/gateway/test/limitWorld.ts
+++ b/request/gateway/test/limitWorld.ts
@@ -1,5 +1,11 @@
 import { every } from '@forkstage/clock'
-import { LimitKeeper, LimitLedger, RateBook, type LimitAnswer, type LimitReport } from '@forkstage/limits'
+import {
+  PermitClient,
+  PermitAllocator,
+  RateTable,
+  type LimitAnswer,
+  type LimitReport,
+} from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
 import { LimitGate, type RelayParts } from '../src'
 import { goodAnswer, type SeenRequest } from './fakeWorker'
@@ -81,7 +87,7 @@
   /** Entries that do not hear the leader. */
   readonly cutOff = new Set<number>()
   /** Undefined while none leads. */
-  leader: LimitLedger | undefined
+  leader: PermitAllocator | undefined
   private term = 0
 
   private constructor(entryCount: number) {
@@ -104,11 +110,11 @@
   /** What holds an entry to the rates that endpoints name. */
   protected override partsOf(index: number): Partial<RelayParts> {
     const { clock, random } = this
-    const book = new RateBook({ clock, logger: createSilentLogger() })
-    const keeper = new LimitKeeper({
+    const book = new RateTable({ clock, logger: createSilentLogger() })
+    const keeper = new PermitClient({
       entry: `e${index}`,
       clock,
-      book,
+      rates: book,
       report: (report) => this.report(index, report),
       leader: () => 'leader',
       reportEveryMs: REPORT_MS,
@@ -124,8 +130,8 @@
   elect(): void {
     this.term += 1
     const { clock, term } = this
-    const book = new RateBook({ clock, logger: createSilentLogger() })
-    this.leader = new LimitLedger({ clock, book, term: () => term })
+    const book = new RateTable({ clock, logger: createSilentLogger() })
+    this.leader = new PermitAllocator({ clock, rates: book, term: () => term })
   }
 
   /** The leader's answer, some milliseconds later; none from one that is gone, or to an entry that is cut off. */
@@ -133,7 +139,7 @@
     const way = () => 1 + this.random() * WAY_MS
     return new Promise((resolve) => {
       this.clock.after(way(), () => {
-        const answer = this.cutOff.has(entry) ? undefined : this.leader?.take(report)
+        const answer = this.cutOff.has(entry) ? undefined : this.leader?.allocate(report)
         this.clock.after(answer === undefined ? REPORT_MS : way(), () => resolve(answer))
       })
     })
--- a/request/gateway/test/remotePlacer.test.ts
+++ b/request/gateway/test/remotePlacer.test.ts
@@ -2,7 +2,7 @@
 import { PLACE, UNKNOWN_SERVICE, type AnswerMove, type PlaceAsk } from '@forkstage/allocator'
 import { ManualClock } from '@forkstage/clock'
 import { createSilentLogger } from '@forkstage/logger'
-import { StatementBook } from '@forkstage/statements'
+import { AvailabilityTracker } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import { EndpointPool, LeaderWay, LocalPlacer, RemotePlacer, type ModelWork } from '../src'
 
@@ -40,7 +40,7 @@
 function world(entries = 1, kvTokens = 10_000) {
   const clock = new ManualClock()
   const logger = createSilentLogger()
-  const statements = new StatementBook({ clock, logger })
+  const statements = new AvailabilityTracker({ clock, logger })
   const pool = new EndpointPool({ zone: 'z', topology: TOPOLOGY, clock, random: () => 0, logger, statements })
   pool.update([ENGINE_OF_TEST])
   const silent = new Set<string>()
@@ -94,10 +94,10 @@
     pool.update([{ ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1' }])
     told.leader = '10.0.0.9:1'
     await placer.place(WORK)
-    statements.noteRest('d2', { type: 'rest', forMs: 3_000 }, 'another')
+    statements.recordRetryAfter('d2', { type: 'rest', forMs: 3_000 }, 'another')
     await placer.place(WORK)
     expect(asks.map(({ avoid }) => avoid)).toEqual([undefined, ['d2']])
-    statements.noteRest('d1', { type: 'rest', forMs: 2_000 }, 'another')
+    statements.recordRetryAfter('d1', { type: 'rest', forMs: 2_000 }, 'another')
     const before = asked.length
     expect(await placer.place(WORK)).toEqual({
       type: 'refused',
--- a/request/gateway/test/restWorld.ts
+++ b/request/gateway/test/restWorld.ts
@@ -1,6 +1,6 @@
 import { every } from '@forkstage/clock'
 import { createSilentLogger } from '@forkstage/logger'
-import { StatementBook } from '@forkstage/statements'
+import { AvailabilityTracker } from '@forkstage/statements'
 import type { RelayParts } from '../src'
 import { goodAnswer, type SeenRequest } from './fakeWorker'
 import { PlainWorld, type Work } from './plainWorld'
@@ -77,8 +77,8 @@
 
   protected override partsOf(): Partial<RelayParts> {
     const { clock, random } = this
-    const statements = new StatementBook({ clock, random, logger: createSilentLogger() })
-    every(clock, SECOND_MS, () => statements.look(() => true))
+    const statements = new AvailabilityTracker({ clock, random, logger: createSilentLogger() })
+    every(clock, SECOND_MS, () => statements.sweep(() => true))
     return { statements }
   }
 
--- a/request/gateway/test/restingEngines.test.ts
+++ b/request/gateway/test/restingEngines.test.ts
@@ -42,7 +42,7 @@
       ['decode', streams],
       ['decode', streams],
     ])
-    world.onPlace = () => world.statements.noteRest('i-0', { type: 'rest', forMs: 30_000 }, 'another')
+    world.onPlace = () => world.statements.recordRetryAfter('i-0', { type: 'rest', forMs: 30_000 }, 'another')
     expect((await world.send('/p/', MODEL)).status).toBe(200)
     expect(seen()).toEqual([0, 1])
   })
--- a/request/gateway/test/runMoves.test.ts
+++ b/request/gateway/test/runMoves.test.ts
@@ -147,7 +147,7 @@
     const leave = () => {
       if (by.startsWith('by the lists')) pool.update([{ ...source.endpoint, state: 'draining' }])
       else {
-        statements.noteLeaving('i-0', 'r0')
+        statements.recordLeaving('i-0', 'r0')
         pool.noteLeaving(source)
       }
       const since = source.leavingSince! - agoMs
--- a/request/gateway/test/statements.test.ts
+++ b/request/gateway/test/statements.test.ts
@@ -33,7 +33,7 @@
 async function toldBy(answer: (request: SeenRequest) => void) {
   const { world } = await startRelay([[undefined, answer]], { kind: 'unsafe' })
   await world.send('/p/', { body: 'x' })
-  return world.statements.notBefore('i-0')?.reason
+  return world.statements.unavailability('i-0')?.reason
 }
 
 describe('what endpoints say of themselves', () => {
@@ -67,14 +67,14 @@
     ])
     await world.send('/p/', MODEL)
     await world.send('/p/', MODEL)
-    expect(world.statements.notBefore('i-1')?.reason).toBe('the endpoint asked for rest')
-    expect(world.statements.notBefore('i-2')?.reason).toBe('the endpoint has said that it leaves')
+    expect(world.statements.unavailability('i-1')?.reason).toBe('the endpoint asked for rest')
+    expect(world.statements.unavailability('i-2')?.reason).toBe('the endpoint has said that it leaves')
   })
 
   it('is heard by a stream that breaks off', async () => {
     const { world } = await startRelay([['decode', breaking(LEAVES)]])
     await world.send('/p/', MODEL)
-    expect(world.statements.notBefore('i-0')?.reason).toBe('the endpoint has said that it leaves')
+    expect(world.statements.unavailability('i-0')?.reason).toBe('the endpoint has said that it leaves')
   })
 
   it('is heard by the copy of a run and by its stop', async () => {
@@ -87,7 +87,7 @@
       { stream: endsWith(1, 2) },
     ])
     copied.move()
-    await eventually(() => copied.world.statements.notBefore('i-0') !== undefined)
+    await eventually(() => copied.world.statements.unavailability('i-0') !== undefined)
     const stopped = await startMoving(
       [
         {
@@ -104,7 +104,9 @@
     )
     stopped.move()
     await stopped.answer
-    expect(stopped.world.statements.notBefore('i-0')?.reason).toBe('the endpoint has said that it leaves')
+    expect(stopped.world.statements.unavailability('i-0')?.reason).toBe(
+      'the endpoint has said that it leaves',
+    )
   })
 
   it('is heard by the release of a memory that nobody takes', async () => {
@@ -113,8 +115,8 @@
       ['prefill', (request) => (request.line.startsWith('DELETE') ? bare(200, LEAVES) : reads)(request)],
     ])
     await world.send('/p/', MODEL)
-    await eventually(() => world.statements.notBefore('i-1') !== undefined)
-    expect(world.statements.notBefore('i-1')?.reason).toBe('the endpoint has said that it leaves')
+    await eventually(() => world.statements.unavailability('i-1') !== undefined)
+    expect(world.statements.unavailability('i-1')?.reason).toBe('the endpoint has said that it leaves')
   })
 
   it('is not taken back by a list that calls a leaving one ready, but ends with its life', async () => {
@@ -123,7 +125,7 @@
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
     ])
     // Both are idle and alike: whichever comes first, the other one serves what follows.
-    while (world.statements.notBefore('i-0') === undefined) await world.send('/p/')
+    while (world.statements.unavailability('i-0') === undefined) await world.send('/p/')
     const before = seen()
     const { endpoint } = world.pool.get('i-0')!
     world.pool.update([{ ...endpoint, state: 'ready', sequence: 9 }])
@@ -140,7 +142,7 @@
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
     ])
     world.pool.get('i-1')!.ejectedUntil = Infinity
-    world.statements.noteRest('i-0', { type: 'rest', forMs: 30_000 }, 'another')
+    world.statements.recordRetryAfter('i-0', { type: 'rest', forMs: 30_000 }, 'another')
     expect(await world.send('/p/')).toMatchObject({ status: 200, body: 'b' })
   })
 
--- a/request/limits/src/limitTypes.ts
+++ b/request/limits/src/limitTypes.ts
@@ -1,13 +1,13 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
-import type { RateWord } from './rateBook'
+import type { AdvertisedRate } from './rateTable'
 
 /** The method by which an entry tells the leader of named rates and asks for permits. */
 export const LIMIT_REPORT = 'limits.report'
 
 /** What an entry says of one endpoint that has named a rate. */
 export interface EndpointReport {
-  word: RateWord
+  word: AdvertisedRate
   /** Permits that it could use until its next report, beside those that it has. */
   wanted: number
   /** Permits that have run out unused since its last report. */
@@ -22,8 +22,8 @@
 
 /** What the leader says of one endpoint. */
 export interface LimitGrant {
-  word: RateWord
-  /** Requests that the entry may send there, each within {@link PERMIT_MS} of its report. */
+  word: AdvertisedRate
+  /** Requests that the entry may send there, each within {@link PERMIT_LIFETIME_MS} of its report. */
   permits: number
 }
 
@@ -34,6 +34,6 @@
 }
 
 /** How long a permit lasts from when it was asked for: a report later with some time for the ways, so that none is left to chance. */
-export const PERMIT_MS: Millis = 700
+export const PERMIT_LIFETIME_MS: Millis = 700
 /** A step that the leader has placed leaves within this time at the latest; it counted when it was placed. */
-export const LEAVES_WITHIN_MS: Millis = 1_000
+export const PLACED_SEND_LIMIT_MS: Millis = 1_000
--- a/request/limits/src/limitLedger.ts
+++ b/request/limits/src/permitAllocator.ts
@@ -2,14 +2,14 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
 import type { EndpointReport, LimitAnswer, LimitGrant, LimitReport } from './limitTypes'
-import type { RateBook, RateWord } from './rateBook'
-import { RateBucket } from './rateBucket'
+import type { RateTable, AdvertisedRate } from './rateTable'
+import { TokenBucket } from './tokenBucket'
 
-/** Options of {@link LimitLedger}. */
-export interface LimitLedgerOptions {
+/** Options of {@link PermitAllocator}. */
+export interface PermitAllocatorOptions {
   clock: Clock
   /** The rates as this machine believes them; reports add to it. */
-  book: RateBook
+  rates: RateTable
   /** Which term this machine leads in: a new one begins with empty buckets, beside what the leader before let go. */
   term: () => number
 }
@@ -18,19 +18,19 @@
  * Divides named rates between entries, at the machine that leads: a request counts when it is permitted, so that whatever
  * becomes of an entry or a message no more can leave.
  */
-export class LimitLedger {
+export class PermitAllocator {
   private term = -1
-  private buckets = new Map<InstanceId, RateBucket>()
+  private buckets = new Map<InstanceId, TokenBucket>()
 
-  constructor(private readonly options: LimitLedgerOptions) {}
+  constructor(private readonly options: PermitAllocatorOptions) {}
 
   /** Takes what an entry has heard and could send, and answers what it may. */
-  take({ endpoints }: LimitReport): LimitAnswer {
-    const { book } = this.options
+  allocate({ endpoints }: LimitReport): LimitAnswer {
+    const { rates } = this.options
     const reports = Object.entries(endpoints)
-    for (const [id, { word }] of reports) book.take(id, word)
+    for (const [id, { word }] of reports) rates.merge(id, word)
     const grants = reports.flatMap(([id, report]) => {
-      const word = book.wordOf(id)
+      const word = rates.advertisedRateOf(id)
       return word === undefined ? [] : [[id, this.grant(id, report, word)] as const]
     })
     return { grants: Object.fromEntries(grants) }
@@ -38,13 +38,13 @@
 
   /** Whether an endpoint names a rate. */
   isLimited(id: InstanceId): boolean {
-    return this.options.book.rateOf(id) !== undefined
+    return this.options.rates.rateOf(id) !== undefined
   }
 
   /** Whether a request that is placed here may go to an endpoint now. */
   mayTake(id: InstanceId): boolean {
-    const perSecond = this.options.book.rateOf(id)
-    return perSecond === undefined || this.bucketOf(id).whole(perSecond, this.options.clock.now()) >= 1
+    const perSecond = this.options.rates.rateOf(id)
+    return perSecond === undefined || this.bucketOf(id).available(perSecond, this.options.clock.now()) >= 1
   }
 
   /** Counts a request that is placed here; says whether its endpoint names a rate. */
@@ -55,31 +55,31 @@
   }
 
   /** Forgets endpoints that name no rate any more, or are not registered. Called again and again. */
-  keepOnly(isRegistered: (id: InstanceId) => boolean): void {
-    this.options.book.keepOnly(isRegistered)
+  sweep(isRegistered: (id: InstanceId) => boolean): void {
+    this.options.rates.sweep(isRegistered)
     for (const id of this.buckets.keys()) if (!this.isLimited(id)) this.buckets.delete(id)
   }
 
-  private grant(id: InstanceId, { wanted, returned }: EndpointReport, word: RateWord): LimitGrant {
-    const perSecond = this.options.book.rateOf(id)
+  private grant(id: InstanceId, { wanted, returned }: EndpointReport, word: AdvertisedRate): LimitGrant {
+    const perSecond = this.options.rates.rateOf(id)
     if (perSecond === undefined) return { word, permits: 0 }
     const bucket = this.bucketOf(id)
     bucket.take(-returned)
-    const permits = Math.max(0, Math.min(wanted, bucket.whole(perSecond, this.now())))
+    const permits = Math.max(0, Math.min(wanted, bucket.available(perSecond, this.now())))
     bucket.take(permits)
     return { word, permits }
   }
 
-  private bucketOf(id: InstanceId): RateBucket {
-    this.renewTerm()
+  private bucketOf(id: InstanceId): TokenBucket {
+    this.resetOnNewTerm()
     const known = this.buckets.get(id)
     if (known !== undefined) return known
-    const bucket = new RateBucket(this.now())
+    const bucket = new TokenBucket(this.now())
     this.buckets.set(id, bucket)
     return bucket
   }
 
-  private renewTerm(): void {
+  private resetOnNewTerm(): void {
     const term = this.options.term()
     if (term === this.term) return
     this.term = term
--- a/request/limits/src/readLimitReport.ts
+++ b/request/limits/src/readLimitReport.ts
@@ -1,12 +1,12 @@
 import * as z from 'zod'
 import type { LimitReport } from './limitTypes'
 
-const MOST_PER_SECOND = 1e9
-const MOST_AGE_MS = 86_400_000
+const MAX_PER_SECOND = 1e9
+const MAX_AGE_MS = 86_400_000
 const count = z.number().int().min(0).max(1_000_000)
 const word = z.object({
-  perSecond: z.number().min(0).max(MOST_PER_SECOND).nullable(),
-  ageMs: z.number().min(0).max(MOST_AGE_MS),
+  perSecond: z.number().min(0).max(MAX_PER_SECOND).nullable(),
+  ageMs: z.number().min(0).max(MAX_AGE_MS),
 })
 const row = z.object({ word, wanted: count, returned: count })
 const report = z.object({
@@ -18,8 +18,8 @@
 export function readLimitReport(raw: unknown): LimitReport | undefined {
   const read = report.safeParse(raw)
   if (!read.success) return undefined
-  const rows = Object.entries(read.data.endpoints).flatMap(([id, said]) => {
-    const one = row.safeParse(said)
+  const rows = Object.entries(read.data.endpoints).flatMap(([id, raw]) => {
+    const one = row.safeParse(raw)
     return one.success ? [[id, one.data] as const] : []
   })
   return { entry: read.data.entry, endpoints: Object.fromEntries(rows) }
--- a/request/limits/test/limitLedger.test.ts
+++ b/request/limits/test/permitAllocator.test.ts
@@ -1,23 +1,22 @@
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
 import { createSilentLogger } from '@forkstage/logger'
-import { LimitLedger, RateBook } from '../src'
+import { PermitAllocator, RateTable } from '../src'
 
-function ledger() {
+function newAllocator() {
   const clock = new ManualClock(10_000)
   const term = { value: 1 }
-  const book = new RateBook({ clock, logger: createSilentLogger() })
-  const one = new LimitLedger({ clock, book, term: () => term.value })
+  const rates = new RateTable({ clock, logger: createSilentLogger() })
+  const allocator = new PermitAllocator({ clock, rates, term: () => term.value })
   const ask = (wanted: number, returned = 0, perSecond: number | null = 4) =>
-    one.take({ entry: 'e', endpoints: { a: { word: { perSecond, ageMs: 0 }, wanted, returned } } }).grants![
-      'a'
-    ]!.permits
-  return { clock, term, one, ask }
+    allocator.allocate({ entry: 'e', endpoints: { a: { word: { perSecond, ageMs: 0 }, wanted, returned } } })
+      .grants!['a']!.permits
+  return { clock, term, allocator, ask }
 }
 
-describe('LimitLedger', () => {
+describe('PermitAllocator', () => {
   it('permits what the rate has filled since it was named, whole requests only', () => {
-    const { clock, ask } = ledger()
+    const { clock, ask } = newAllocator()
     expect(ask(9)).toBe(0)
     clock.advance(249)
     expect(ask(9)).toBe(0)
@@ -29,7 +28,7 @@
   })
 
   it('keeps no more than three quarters of a second fill, and one at least', () => {
-    const { clock, ask } = ledger()
+    const { clock, ask } = newAllocator()
     ask(0)
     clock.advance(60_000)
     expect(ask(99)).toBe(3)
@@ -39,7 +38,7 @@
   })
 
   it('has those again that an entry gives back unused', () => {
-    const { clock, ask } = ledger()
+    const { clock, ask } = newAllocator()
     ask(0)
     clock.advance(500)
     expect(ask(2)).toBe(2)
@@ -50,20 +49,20 @@
   })
 
   it('counts requests that are placed here beside those that entries send', () => {
-    const { clock, one, ask } = ledger()
-    expect(one.mayTake('a')).toBe(true)
-    expect(one.spend('a')).toBe(false)
+    const { clock, allocator, ask } = newAllocator()
+    expect(allocator.mayTake('a')).toBe(true)
+    expect(allocator.spend('a')).toBe(false)
     ask(0)
-    expect(one.mayTake('a')).toBe(false)
+    expect(allocator.mayTake('a')).toBe(false)
     clock.advance(250)
-    expect(one.mayTake('a')).toBe(true)
-    expect(one.spend('a')).toBe(true)
+    expect(allocator.mayTake('a')).toBe(true)
+    expect(allocator.spend('a')).toBe(true)
     expect(ask(9)).toBe(0)
-    expect(one.mayTake('a')).toBe(false)
+    expect(allocator.mayTake('a')).toBe(false)
   })
 
   it('begins a term with nothing to permit: the leader before it may have permitted all', () => {
-    const { clock, term, ask } = ledger()
+    const { clock, term, ask } = newAllocator()
     ask(0)
     clock.advance(60_000)
     term.value = 2
@@ -71,13 +70,13 @@
   })
 
   it('permits nothing where none is taken, and passes on that a rate was taken back', () => {
-    const { clock, one, ask } = ledger()
+    const { clock, allocator, ask } = newAllocator()
     ask(0)
     clock.advance(1_000)
     expect(ask(9, 0, 0)).toBe(0)
     clock.advance(1_000)
     expect(ask(9, 0, null)).toBe(0)
-    expect(one.isLimited('a')).toBe(false)
-    expect(one.mayTake('a')).toBe(true)
+    expect(allocator.isLimited('a')).toBe(false)
+    expect(allocator.mayTake('a')).toBe(true)
   })
 })
--- a/request/runner/src/plainCall.ts
+++ b/request/runner/src/plainCall.ts
@@ -7,7 +7,7 @@
 import { neverConnected, NOT_RUN_HEADER, NOT_RUN_VALUE } from '@forkstage/engine-client'
 import type { EndpointBook } from '@forkstage/load'
 import type { Logger } from '@forkstage/logger'
-import { flatFields, readRest, type Rest } from '@forkstage/statements'
+import { flattenHeaders, readRetryAfter, type RetryAfter } from '@forkstage/statements'
 import type { EndpointRow, Millis, RequestId, RequestKey } from '@forkstage/types'
 import { AnswerError, KeyReusedError, MayHaveRunError, OutcomeNotKeptError } from './answerErrors'
 import { createOutcome } from './outcome'
@@ -317,8 +317,8 @@
   return new AnswerError(code, message, hint, status, 'not-run', retryAfterMs, { step: 'dispatch', cause })
 }
 
-function restOf({ statusCode, headers }: Dispatcher.ResponseData): Rest {
-  return readRest({ status: statusCode, rawHeaders: flatFields(headers) })
+function restOf({ statusCode, headers }: Dispatcher.ResponseData): RetryAfter {
+  return readRetryAfter({ status: statusCode, rawHeaders: flattenHeaders(headers) })
 }
 
 function writeHead(
--- a/request/statements/src/index.ts
+++ b/request/statements/src/index.ts
@@ -1,6 +1,11 @@
 /** What endpoints say in their answers of what they want from this machine. */
-export { flatFields } from './flatFields'
-export { readRest } from './readRest'
-export type { AnswerFields, Rest } from './readRest'
-export { ASKED_FOR_REST, LEAVING_TAKES_MS, SAYS_IT_LEAVES, StatementBook } from './statementBook'
-export type { Bound, StatementBookOptions } from './statementBook'
+export { flattenHeaders } from './flattenHeaders'
+export { readRetryAfter } from './readRetryAfter'
+export type { AnswerFields, RetryAfter } from './readRetryAfter'
+export {
+  RETRY_AFTER_REASON,
+  LEAVING_GRACE_MS,
+  LEAVING_REASON,
+  AvailabilityTracker,
+} from './availabilityTracker'
+export type { Unavailability, AvailabilityTrackerOptions } from './availabilityTracker'
--- a/request/statements/src/readRest.ts
+++ b/request/statements/src/readRetryAfter.ts
@@ -8,10 +8,11 @@
 }
 
 /** What an answer says of when to come back. */
-export type Rest = { type: 'none' } | { type: 'rest'; forMs: Millis } | { type: 'unreadable'; value: string }
+export type RetryAfter =
+  { type: 'none' } | { type: 'rest'; forMs: Millis } | { type: 'unreadable'; value: string }
 
 /** Statuses that say "not now" (RFC 9110, 10.2.3, and RFC 6585, 4); elsewhere the field means something else. */
-const NOT_NOW = new Set([429, 503])
+const RETRY_AFTER_STATUSES = new Set([429, 503])
 const RETRY_AFTER = 'retry-after'
 const DATE = 'date'
 const SECOND_MS = 1_000
@@ -24,21 +25,21 @@
  * How long an endpoint wants nothing from here. Of several values the longest that can be read counts. A date counts from
  * the answer's own `Date`, so that no clocks are compared.
  */
-export function readRest({ status, rawHeaders }: AnswerFields): Rest {
-  if (!NOT_NOW.has(status)) return { type: 'none' }
+export function readRetryAfter({ status, rawHeaders }: AnswerFields): RetryAfter {
+  if (!RETRY_AFTER_STATUSES.has(status)) return { type: 'none' }
   const values = valuesOf(rawHeaders, RETRY_AFTER)
   const first = values[0]
   if (first === undefined) return { type: 'none' }
-  const saidAt = Date.parse(valuesOf(rawHeaders, DATE)[0] ?? '')
-  const times = values.map((value) => readTime(value, saidAt)).filter((time) => time !== undefined)
+  const answeredAt = Date.parse(valuesOf(rawHeaders, DATE)[0] ?? '')
+  const times = values.map((value) => readTime(value, answeredAt)).filter((time) => time !== undefined)
   return times.length > 0 ? { type: 'rest', forMs: Math.max(...times) } : { type: 'unreadable', value: first }
 }
 
-function readTime(value: string, saidAt: number): Millis | undefined {
+function readTime(value: string, answeredAt: number): Millis | undefined {
   if (SECONDS.test(value)) return Number(value) * SECOND_MS
   if (!HTTP_DATE.test(value)) return undefined
   const until = Date.parse(value)
-  return Number.isNaN(until) || Number.isNaN(saidAt) ? undefined : Math.max(0, until - saidAt)
+  return Number.isNaN(until) || Number.isNaN(answeredAt) ? undefined : Math.max(0, until - answeredAt)
 }
 
 function valuesOf(rawHeaders: string[], name: string): string[] {
--- /dev/null
+++ b/request/statements/test/availabilityTracker.test.ts
@@ -0,0 +1,124 @@
+import { describe, expect, it } from 'vitest'
+import { ManualClock } from '@forkstage/clock'
+import { createSilentLogger } from '@forkstage/logger'
+import { RETRY_AFTER_REASON, LEAVING_REASON, AvailabilityTracker } from '../src'
+
+function start() {
+  const clock = new ManualClock(1_000)
+  const lines: object[] = []
+  const logger = {
+    ...createSilentLogger(),
+    info: (event: string, fields: object) => void lines.push({ event, ...fields }),
+  }
+  const tracker = new AvailabilityTracker({ clock, logger: logger as ReturnType<typeof createSilentLogger> })
+  const rest = (forMs: number, id = 'i-1') => tracker.recordRetryAfter(id, { type: 'rest', forMs }, 'r1')
+  return { clock, lines, tracker, rest }
+}
+
+describe('what endpoints want from a machine', () => {
+  it('is nothing until the rest that ends last is over, whatever was said since', () => {
+    const { clock, tracker, rest } = start()
+    rest(3_000)
+    clock.advance(1_000)
+    rest(500)
+    rest(0)
+    expect(tracker.unavailability('i-1')).toEqual({ untilMs: 4_000, reason: RETRY_AFTER_REASON })
+    rest(5_000)
+    expect(tracker.unavailability('i-1')?.untilMs).toBe(7_000)
+    expect(tracker.closed).toEqual(['i-1'])
+    clock.advance(6_000)
+    expect(tracker.closed).toEqual([])
+    expect(tracker.unavailability('i-2')).toBeUndefined()
+  })
+
+  it('is never refused for ever', () => {
+    const { clock, tracker, rest } = start()
+    rest(1e12)
+    clock.advance(600_000)
+    expect(tracker.closed).toEqual([])
+  })
+
+  it('stands in the log when it begins, becomes longer by more than a little, and is over', () => {
+    const { clock, lines, tracker, rest } = start()
+    rest(3_000)
+    clock.advance(200)
+    rest(3_000)
+    rest(9_000)
+    clock.advance(10_000)
+    tracker.sweep(() => true)
+    tracker.sweep(() => true)
+    expect(lines).toEqual([
+      { event: 'endpoint.rest', endpoint: 'i-1', outcome: 'asked', request: 'r1', forMs: 3_000 },
+      { event: 'endpoint.rest', endpoint: 'i-1', outcome: 'longer', request: 'r1', forMs: 9_000 },
+      { event: 'endpoint.rest', endpoint: 'i-1', outcome: 'over', ageMs: 10_200 },
+    ])
+  })
+
+  it('leaves one line an endpoint where it cannot be read', () => {
+    const { lines, tracker } = start()
+    const said = { type: 'unreadable', value: 'x'.repeat(100) } as const
+    tracker.recordRetryAfter('i-1', said, 'r1')
+    tracker.recordRetryAfter('i-1', said, 'r2')
+    expect(lines).toEqual([
+      {
+        event: 'endpoint.rest',
+        endpoint: 'i-1',
+        outcome: 'unreadable',
+        request: 'r1',
+        value: 'x'.repeat(40),
+      },
+    ])
+    expect(tracker.closed).toEqual([])
+  })
+
+  it('ends with the life that said it', () => {
+    const { tracker, rest, lines } = start()
+    rest(60_000)
+    rest(60_000, 'i-2')
+    tracker.recordLeaving('i-1', 'r1')
+    tracker.recordLeaving('i-1', 'r2')
+    expect(tracker.leavingSince('i-1')).toBe(1_000)
+    expect(lines.filter((line) => 'event' in line && line.event === 'endpoint.leaving')).toHaveLength(1)
+    tracker.sweep((id) => id === 'i-2')
+    expect(tracker.closed).toEqual(['i-2'])
+    expect(tracker.leavingCount).toBe(0)
+  })
+
+  it('is one request at a time after a rest, until one has brought an answer', () => {
+    const { clock, tracker, rest } = start()
+    rest(3_000)
+    clock.advance(3_000)
+    expect(tracker.unavailability('i-1')).toBeUndefined()
+    tracker.recordSent('i-1')
+    expect(tracker.unavailability('i-1')).toEqual({ untilMs: 5_000, reason: RETRY_AFTER_REASON })
+    clock.advance(1_000)
+    expect(tracker.unavailability('i-1')).toBeUndefined()
+    tracker.recordSent('i-1')
+    tracker.recordSuccess('i-1')
+    expect(tracker.unavailability('i-1')).toBeUndefined()
+    tracker.recordSent('i-1')
+    expect(tracker.unavailability('i-1')).toBeUndefined()
+  })
+
+  it('does not end by the answer to what was sent before', () => {
+    const { clock, tracker, rest } = start()
+    rest(3_000)
+    clock.advance(100)
+    tracker.recordSuccess('i-1')
+    expect(tracker.unavailability('i-1')?.untilMs).toBe(4_000)
+  })
+
+  it('is asked of several at once: the one that may get a request first', () => {
+    const { tracker, rest } = start()
+    rest(3_000)
+    rest(2_000, 'i-2')
+    tracker.recordLeaving('i-3', 'r1')
+    expect(tracker.earliestAvailable(['i-1', 'i-2', 'i-3'])).toEqual({
+      untilMs: 3_000,
+      reason: RETRY_AFTER_REASON,
+    })
+    expect(tracker.earliestAvailable(['i-1', 'i-4'])).toBeUndefined()
+    expect(tracker.earliestAvailable([])).toBeUndefined()
+    expect(tracker.earliestAvailable(['i-3'])).toEqual({ untilMs: Infinity, reason: LEAVING_REASON })
+  })
+})
--- a/request/statements/test/readRest.test.ts
+++ b/request/statements/test/readRetryAfter.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
-import { readRest } from '../src'
+import { readRetryAfter } from '../src'
 
-const read = (status: number, ...rawHeaders: string[]) => readRest({ status, rawHeaders })
+const read = (status: number, ...rawHeaders: string[]) => readRetryAfter({ status, rawHeaders })
 const seconds = (value: string) => read(503, 'Retry-After', value)
 
 describe('when an endpoint wants to be asked again', () => {
--- a/tools/bench/src/crashExperiment.ts
+++ b/tools/bench/src/crashExperiment.ts
@@ -1,6 +1,6 @@
 import { randomBytes } from 'node:crypto'
 import { printTable } from '@forkstage/cli'
-import { contentDigest, CrashBook, readCrashRecords } from '@forkstage/crashes'
+import { contentDigest, CrashTracker, readCrashRecords } from '@forkstage/crashes'
 import { writeJson } from './report'
 import { round } from './summarise'
 
@@ -29,8 +29,8 @@
 }
 
 function measureEnds(ends: number) {
-  const from = new CrashBook({ now: () => performance.now(), ends: 3, keepMs: HOUR_MS })
-  const to = new CrashBook({ now: () => performance.now(), ends: 3, keepMs: HOUR_MS })
+  const from = new CrashTracker({ now: () => performance.now(), ends: 3, keepMs: HOUR_MS })
+  const to = new CrashTracker({ now: () => performance.now(), ends: 3, keepMs: HOUR_MS })
   let takeMs = 0
   let endBytes = 0
   for (let end = 0; end < ends; end += 1) {
@@ -45,7 +45,7 @@
     takeMs += performance.now() - started
   }
   const started = performance.now()
-  for (let count = 0; count < LOOKUPS; count += 1) to.refusal('a content that is not there')
+  for (let count = 0; count < LOOKUPS; count += 1) to.refusalByBlame('a content that is not there')
   const lookupNs = round(((performance.now() - started) * 1e6) / LOOKUPS, 0)
   return { ends, contents: to.size, takeUs: round((takeMs * 1_000) / ends, 0), endBytes, lookupNs }
 }
--- a/tools/bench/src/limitExperiment.ts
+++ b/tools/bench/src/limitExperiment.ts
@@ -1,6 +1,6 @@
 import { createSystemClock } from '@forkstage/clock'
 import { printTable } from '@forkstage/cli'
-import { LimitLedger, RateBook, readLimitReport } from '@forkstage/limits'
+import { PermitAllocator, RateTable, readLimitReport } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
 import { writeJson } from './report'
 import { round } from './summarise'
@@ -25,8 +25,8 @@
 
 function measure(endpoints: number) {
   const clock = createSystemClock()
-  const book = new RateBook({ clock, logger: createSilentLogger() })
-  const ledger = new LimitLedger({ clock, book, term: () => 1 })
+  const book = new RateTable({ clock, logger: createSilentLogger() })
+  const ledger = new PermitAllocator({ clock, rates: book, term: () => 1 })
   const row = { word: { perSecond: 12.5, ageMs: 312.25 }, wanted: 3, returned: 0 }
   const named = Object.fromEntries(
     Array.from({ length: endpoints }, (_, index) => [`i-7f3a91c2${index}~mv47tb9k`, row]),
@@ -35,7 +35,7 @@
   const started = performance.now()
   let answer = ''
   for (let count = 0; count < REPORTS; count += 1)
-    answer = JSON.stringify(ledger.take(readLimitReport(JSON.parse(text))!))
+    answer = JSON.stringify(ledger.allocate(readLimitReport(JSON.parse(text))!))
   const reportUs = ((performance.now() - started) * SECOND_MS) / REPORTS
   return {
     endpoints,
