--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -1,5 +1,5 @@
 import type { InstanceId, RegisteredEndpoint } from '@forkstage/directory'
-import { LEAVING_TAKES_MS, SAYS_IT_LEAVES } from '@forkstage/statements'
+import { LEAVING_GRACE_MS, LEAVING_REASON } from '@forkstage/statements'
 import type { Millis } from '@forkstage/types'
 import type { RelayJob, RelayParts } from './relayParts'
 import type { SendStep } from './sendCounter'
@@ -53,7 +53,7 @@
 
 /** How long what an endpoint that leaves had before may be sent there: what it keeps a stopped run's memory of, for longer. */
 export function leavingGraceMs({ leavingServesMs = 0 }: RelayParts, retainsRun: boolean): Millis {
-  return retainsRun ? Math.max(LEAVING_TAKES_MS, leavingServesMs * RESUME_SHARE) : LEAVING_TAKES_MS
+  return retainsRun ? Math.max(LEAVING_GRACE_MS, leavingServesMs * RESUME_SHARE) : LEAVING_GRACE_MS
 }
 
 /**
@@ -62,11 +62,11 @@
  */
 function whyNotByStatement(parts: RelayParts, id: InstanceId, retainsRun: boolean): string | undefined {
   const { statements, clock } = parts
-  const bound = statements?.notBefore(id)
+  const bound = statements?.unavailability(id)
   const leavingSince = statements?.leavingSince(id) ?? -Infinity
   const isJustLeaving =
-    bound?.reason === SAYS_IT_LEAVES && clock.now() < leavingSince + leavingGraceMs(parts, retainsRun)
+    bound?.reason === LEAVING_REASON && clock.now() < leavingSince + leavingGraceMs(parts, retainsRun)
   if (bound !== undefined && !isJustLeaving) return bound.reason
-  statements?.noteSent(id)
+  statements?.recordSent(id)
   return undefined
 }
