--- a/daemon/fleet/src/entryCrashes.ts
+++ b/daemon/fleet/src/entryCrashes.ts
@@ -23,7 +23,7 @@
   type InstanceId,
   type RegisteredEndpoint,
 } from '@forkstage/directory'
-import type { LeaderWay, RelayParts } from '@forkstage/gateway'
+import type { LeaderClient, RelayParts } from '@forkstage/gateway'
 import type { LogEvents, Logger } from '@forkstage/logger'
 import type { Millis } from '@forkstage/types'
 import { logCrashes } from './logCrashes'
@@ -34,7 +34,7 @@
   directory: Directory
   /** Whether an endpoint must get nothing now, though it is registered. */
   isBarred: (endpoint: RegisteredEndpoint) => boolean
-  way: LeaderWay
+  way: LeaderClient
   clock: Clock
   logger: Logger
 }
@@ -65,7 +65,7 @@
     this.reporter = new CrashReporter({
       clock,
       book,
-      report: (records) => way.askThrough<true>(CRASH_REPORT, { records }, REPORT_WITHIN_MS),
+      report: (records) => way.tryCall<true>(CRASH_REPORT, { records }, REPORT_WITHIN_MS),
       leader: () => way.leader(),
     })
   }
@@ -100,7 +100,7 @@
   }
 
   async askIsolated(content: ContentDigest, service: string): Promise<TrialAnswer> {
-    const answer = await this.options.way.askThrough<TrialAnswer>(
+    const answer = await this.options.way.tryCall<TrialAnswer>(
       TRIAL_ASK,
       { service, content, records: this.options.book.recordsOf([content]) },
       REPORT_WITHIN_MS,
@@ -111,7 +111,7 @@
 
   async askTurn(content: ContentDigest, service: string, request: string): Promise<TrialAnswer> {
     const ask = { service, content, turnOf: request, records: this.options.book.recordsOf([content]) }
-    const answer = await this.options.way.askThrough<TrialAnswer>(TRIAL_ASK, ask, TURN_WITHIN_MS)
+    const answer = await this.options.way.tryCall<TrialAnswer>(TRIAL_ASK, ask, TURN_WITHIN_MS)
     this.options.logger.info('content.turn', { request, content, service, ...answerLine(answer) })
     // Nobody is refused for want of a leader: a turn only spares endpoints.
     return answer ?? { type: 'anywhere' }
--- a/daemon/fleet/src/entryLimits.ts
+++ b/daemon/fleet/src/entryLimits.ts
@@ -1,4 +1,4 @@
-import { LimitGate, type LeaderWay } from '@forkstage/gateway'
+import { EndpointRateLimiter, type LeaderClient } from '@forkstage/gateway'
 import { LIMIT_REPORT, LimitKeeper, RateBook, type LimitAnswer } from '@forkstage/limits'
 import type { MachineBasics } from './machineBasics'
 
@@ -7,23 +7,30 @@
 /** What an entry knows of the rates that endpoints name, and may send them. */
 export class EntryLimits {
   readonly book: RateBook
-  readonly gate: LimitGate
+  readonly gate: EndpointRateLimiter
   private readonly keeper: LimitKeeper
 
   /** @param entries how many entries there are, as control machines count them; 0 where none has said. */
-  constructor({ settings, clock, random, logger }: MachineBasics, way: LeaderWay, entries: () => number) {
+  constructor({ settings, clock, random, logger }: MachineBasics, way: LeaderClient, entries: () => number) {
     const { window_s: windowS, over, slack, report_ms: reportMs } = settings.limits
     this.book = new RateBook({ clock, logger })
     this.keeper = new LimitKeeper({
       entry: settings.machine.name,
       clock,
       book: this.book,
-      report: (report) => way.askThrough<LimitAnswer>(LIMIT_REPORT, report, reportMs),
+      report: (report) => way.tryCall<LimitAnswer>(LIMIT_REPORT, report, reportMs),
       leader: () => way.leader(),
       reportEveryMs: reportMs,
     })
     const tolerance = { windowMs: windowS * SECOND_MS, over, slack }
-    this.gate = new LimitGate({ clock, random, book: this.book, keeper: this.keeper, tolerance, entries })
+    this.gate = new EndpointRateLimiter({
+      clock,
+      random,
+      rates: this.book,
+      permits: this.keeper,
+      tolerance,
+      entries,
+    })
   }
 
   start(): void {
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -4,17 +4,17 @@
 import { Directory, type RegisteredEndpoint } from '@forkstage/directory'
 import { seedAddresses, type FleetSettings } from '@forkstage/fleet-settings'
 import {
-  ColdGate,
+  ColdEndpointLimiter,
   EVACUATED,
   EndpointPool,
-  homeRule,
+  regionRule,
   KEPT_FREE,
   Ingress,
-  LeaderWay,
+  LeaderClient,
   LocalPlacer,
   RemotePlacer,
   RetryAllowance,
-  WorkspaceGate,
+  WorkspaceAdmission,
   type GatewayWire,
 } from '@forkstage/gateway'
 import { LIMIT_REPORT } from '@forkstage/limits'
@@ -61,7 +61,7 @@
   private readonly book = new RouteBook()
   private readonly directory = new Directory(() => this.basics.clock.now())
   private readonly cold: ColdEndpoints
-  private readonly coldGate: ColdGate
+  private readonly coldGate: ColdEndpointLimiter
   private readonly limits: EntryLimits
   private readonly statements: StatementBook
   private readonly belief: EvacuationBelief
@@ -69,7 +69,7 @@
   private readonly crashes: EntryCrashes
   private readonly follower: ControlFollower
   private readonly placer: RemotePlacer
-  private readonly way: LeaderWay
+  private readonly way: LeaderClient
   private readonly quotas: QuotaKeeper
   private peerServer: PeerServer | undefined
   private readonly ingress: Ingress
@@ -87,15 +87,15 @@
       directory: this.directory,
       service: (name) => this.book.current?.service(name),
       ...settings.cold,
-      onCold: (id) => this.pool.noteCold(id),
+      onCold: (id) => this.pool.resetPace(id),
       clock,
       logger,
     })
-    this.coldGate = new ColdGate({
+    this.coldGate = new ColdEndpointLimiter({
       clock,
       random,
       leftMs: (id) => this.cold.leftMs(id, clock.now()),
-      hasSaid: (id) => this.directory.hasSaidCold(id),
+      hasReportedCold: (id) => this.directory.hasSaidCold(id),
       perSecond: (service) => this.cold.perSecond(service),
       entries: () => this.follower.entries(),
     })
@@ -138,13 +138,20 @@
       windowMs: settings.retry.window_s * SECOND_MS,
       entries,
     })
-    this.way = new LeaderWay({
+    this.way = new LeaderClient({
       leader: () => this.follower.leader(),
       neighbours: () => this.follower.neighbours(),
       peers,
       clock,
       logger,
-      forwarded: [...Object.values(PLACE), QUOTA_REPORT, LIMIT_REPORT, CRASH_REPORT, TRIAL_ASK, TRIAL_END],
+      forwardableMethods: [
+        ...Object.values(PLACE),
+        QUOTA_REPORT,
+        LIMIT_REPORT,
+        CRASH_REPORT,
+        TRIAL_ASK,
+        TRIAL_END,
+      ],
     })
     const crashBook = createCrashBook(settings.crashes, clock)
     const { directory, way } = this
@@ -169,7 +176,7 @@
         cold: this.coldGate,
         limits: this.limits.gate,
       }),
-      way: this.way,
+      leaderClient: this.way,
       cold: this.coldGate,
       limits: this.limits.gate,
       clock,
@@ -191,13 +198,13 @@
         sendRules: [
           (to) => (isEvacuated(to) ? EVACUATED : undefined),
           (to, { isolatedAt }) => (isKeptFree(to) && isolatedAt !== to.id ? KEPT_FREE : undefined),
-          homeRule(topology),
+          regionRule(topology),
         ],
         clock,
         random,
         logger,
       },
-      gate: new WorkspaceGate({
+      admission: new WorkspaceAdmission({
         wire: wire.gateway,
         quotas: this.quotas,
         isCurrent: () => this.follower.isCurrent(),
@@ -205,7 +212,7 @@
         logger,
       }),
       routes: () => this.book.current,
-      isViewSure: () => this.follower.hasHeardSince(),
+      isViewFresh: () => this.follower.hasHeardSince(),
       onResult: (report) => this.meters.noteRequest(report),
     })
     this.meters = new FleetMeters({
@@ -300,7 +307,7 @@
       life: epoch,
       clock,
       random,
-      report: (report) => this.way.askThrough<QuotaAnswer>(QUOTA_REPORT, report, settings.quota.report_ms),
+      report: (report) => this.way.tryCall<QuotaAnswer>(QUOTA_REPORT, report, settings.quota.report_ms),
       leader: () => this.follower.leader(),
       entries,
       windowMs: settings.quota.window_s * SECOND_MS,
@@ -309,9 +316,9 @@
   }
 
   private look(): void {
-    this.coldGate.look()
+    this.coldGate.sweep()
     const isRegistered = (id: string) => this.directory.get(id) !== undefined
-    this.limits.gate.look(isRegistered)
+    this.limits.gate.sweep(isRegistered)
     this.statements.look(isRegistered)
   }
 
--- a/daemon/fleet/test/entryCrashes.test.ts
+++ b/daemon/fleet/test/entryCrashes.test.ts
@@ -2,10 +2,10 @@
 import { ManualClock } from '@forkstage/clock'
 import { CrashBook, type ContentDigest } from '@forkstage/crashes'
 import { Directory, type Stage } from '@forkstage/directory'
-import { LeaderWay } from '@forkstage/gateway'
+import { LeaderClient } from '@forkstage/gateway'
 import { createSilentLogger } from '@forkstage/logger'
 import { EntryCrashes } from '../src/entryCrashes'
-import { fullEndpoint } from '../../../request/gateway/test/fullRows'
+import { endpointWithDefaults } from '../../../request/gateway/test/rowsWithDefaults'
 
 /** What an entry knows of a content that was at three ends, each beside one that was at four. */
 function start(endpoints: number, stage?: Stage, barred?: string) {
@@ -14,15 +14,15 @@
   const book = new CrashBook({ now: () => clock.now(), ends: 3, keepMs: 60_000 })
   const directory = new Directory(() => clock.now())
   for (let index = 0; index < endpoints; index += 1)
-    directory.merge([fullEndpoint({ stage, address: `10.0.0.${index}:1` }, index)])
+    directory.merge([endpointWithDefaults({ stage, address: `10.0.0.${index}:1` }, index)])
   const peers = { call: () => new Promise<never>(() => undefined), notify: () => undefined }
-  const way = new LeaderWay({
+  const way = new LeaderClient({
     leader: () => undefined,
     neighbours: () => [],
     peers,
     clock,
     logger,
-    forwarded: [],
+    forwardableMethods: [],
   })
   const crashes = new EntryCrashes({
     book,
@@ -68,7 +68,7 @@
   expect(decide('other')).toBe('send')
   // Four endpoints have crashed within a moment: what nobody was served lately takes turns.
   expect(decide('never seen')).toBe('serialize')
-  const endpoint = fullEndpoint({ address: '127.0.0.1:9' }, 0)
+  const endpoint = endpointWithDefaults({ address: '127.0.0.1:9' }, 0)
   const lose = (request: string) =>
     crashes.noteLost({ request, content: 'lost' as ContentDigest, endpoint, isBroken: true, afterMs: 5 })
   expect(decide('lost', ['i-0', 'i-0'])).toBe('serialize')
--- a/request/gateway/src/callerRequest.ts
+++ b/request/gateway/src/callerRequest.ts
@@ -37,9 +37,9 @@
   deadlineMs: Millis
   response: ServerResponse
   /** Whether the caller has closed its connection. */
-  isGone: () => boolean
+  isDisconnected: () => boolean
   /** Calls back once when the caller has gone. */
-  onGone: (callback: () => void) => void
+  onDisconnect: (callback: () => void) => void
 }
 
 /** Options of {@link readCallerRequest}. */
@@ -57,22 +57,22 @@
 ): Promise<CallerRequest | 'gone' | 'too-large'> {
   const { wire, clock, maxBodyBytes } = options
   const arrivedAt = clock.now()
-  const gone = watchGone(response)
+  const gone = watchDisconnect(response)
   const body = await readBody(incoming, maxBodyBytes)
   if (typeof body === 'string') return body
-  const asked = {
-    key: single(incoming.headers[wire.headers.key]),
+  const contentParts = {
+    key: firstValue(incoming.headers[wire.headers.key]),
     method: incoming.method ?? 'GET',
     host: incoming.headers.host ?? '',
     path: incoming.url ?? '/',
     body,
   }
-  const deadline = Number(single(incoming.headers[wire.headers.deadlineMs]))
+  const deadline = Number(firstValue(incoming.headers[wire.headers.deadlineMs]))
   return {
-    id: single(incoming.headers[wire.headers.requestId]) ?? '',
-    method: asked.method,
-    path: asked.path,
-    host: asked.host,
+    id: firstValue(incoming.headers[wire.headers.requestId]) ?? '',
+    method: contentParts.method,
+    path: contentParts.path,
+    host: contentParts.host,
     headers: incoming.headers,
     rawHeaders: dropHeaders(incoming.rawHeaders, [
       ...wire.reserved,
@@ -80,7 +80,7 @@
       wire.headers.deadlineMs,
     ]),
     body,
-    content: once(() => contentDigest(asked)),
+    content: once(() => contentDigest(contentParts)),
     arrivedAt,
     deadlineMs: Number.isFinite(deadline) && deadline > 0 ? deadline : Infinity,
     response,
@@ -100,23 +100,23 @@
 }
 
 /** Drops a header that the caller sent where the system sends its own after it. */
-export function withoutFirst(rawHeaders: string[], name: string): string[] {
+export function withoutFirstDuplicate(rawHeaders: string[], name: string): string[] {
   const first = rawHeaders.findIndex((each, index) => index % 2 === 0 && each.toLowerCase() === name)
   const last = rawHeaders.findLastIndex((each, index) => index % 2 === 0 && each.toLowerCase() === name)
   return first === last ? rawHeaders : rawHeaders.filter((_, index) => index !== first && index !== first + 1)
 }
 
 /** The value of a header that may stand once only. */
-export function single(value: string | string[] | undefined): string | undefined {
+export function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value
 }
 
-function once<Value>(make: () => Value): () => Value {
-  let made: { value: Value } | undefined
+function once<Result>(make: () => Result): () => Result {
+  let made: { value: Result } | undefined
   return () => (made ??= { value: make() }).value
 }
 
-function watchGone(response: ServerResponse): Pick<CallerRequest, 'isGone' | 'onGone'> {
+function watchDisconnect(response: ServerResponse): Pick<CallerRequest, 'isDisconnected' | 'onDisconnect'> {
   const callbacks: (() => void)[] = []
   let gone = false
   response.on('error', () => undefined)
@@ -126,8 +126,8 @@
     callbacks.forEach((callback) => callback())
   })
   return {
-    isGone: () => gone,
-    onGone: (callback) => {
+    isDisconnected: () => gone,
+    onDisconnect: (callback) => {
       if (gone) callback()
       else callbacks.push(callback)
     },
--- a/request/gateway/src/callerStream.ts
+++ b/request/gateway/src/callerStream.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@forkstage/clock'
-import { dropHeaders, single } from './callerRequest'
+import { dropHeaders, firstValue } from './callerRequest'
 import { EventPauses } from './eventPauses'
 import type { StreamEvent } from './eventSplitter'
 import type { AnswerHead } from './exchange'
@@ -31,7 +31,7 @@
     private readonly flow: FlowControl,
   ) {
     this.pauses = new EventPauses(job.request.arrivedAt)
-    const sent = single(job.request.headers[wire.headers.lastEventId])
+    const sent = firstValue(job.request.headers[wire.headers.lastEventId])
     if (sent !== undefined && /^\d+$/.test(sent)) this.lastEventId = Number(sent)
   }
 
@@ -40,7 +40,7 @@
   }
 
   /** Passes on the events that the caller does not have yet. */
-  passEvents(head: AnswerHead, events: StreamEvent[]): void {
+  forwardEvents(head: AnswerHead, events: StreamEvent[]): void {
     this.pauses.note(this.clock.now())
     const isFirst = this.head === undefined
     if (isFirst) this.begin(head)
@@ -54,7 +54,7 @@
   }
 
   /** Ends the answer as whole. */
-  passEnd(head: AnswerHead, rest: Buffer): void {
+  forwardEnd(head: AnswerHead, rest: Buffer): void {
     if (this.head === undefined) this.begin(head)
     if (rest.length > 0) this.write(rest)
     this.job.request.response.end()
@@ -68,9 +68,9 @@
   }
 
   /** What became of a request that has ended before its answer was whole. */
-  overResult(): OwnResult {
+  endedResult(): OwnResult {
     const status = this.head?.status
-    if (this.job.request.isGone()) return { status: status ?? 0, outcome: CALLER_GONE }
+    if (this.job.request.isDisconnected()) return { status: status ?? 0, outcome: CALLER_GONE }
     return { status: status ?? TIME_UP, outcome: 'the time is up' }
   }
 
--- a/request/gateway/src/concurrencyLimit.ts
+++ b/request/gateway/src/concurrencyLimit.ts
@@ -4,10 +4,10 @@
 const SLOW_SHARE = 0.7
 /** Answers faster than this share make it larger. */
 const FAST_SHARE = 0.45
-const SMALLER_WHEN_SLOW = 0.95
-const SMALLER_WHEN_FULL = 0.75
-const LARGER_STEP = 0.15
-const MOST_PER_SLOT = 2
+const SLOW_DECREASE_FACTOR = 0.95
+const FULL_DECREASE_FACTOR = 0.75
+const FAST_INCREASE_STEP = 0.15
+const MAX_PER_SLOT = 2
 
 /**
  * How many requests this entry keeps at one endpoint at once: grows while answers are well in time and shrinks
@@ -15,11 +15,11 @@
  */
 export class ConcurrencyLimit {
   private limit: number
-  private readonly most: number
+  private readonly max: number
 
   /** @param slots requests that the endpoint works on at once. */
   constructor(slots: number) {
-    this.most = Math.max(1, slots) * MOST_PER_SLOT
+    this.max = Math.max(1, slots) * MAX_PER_SLOT
     this.limit = Math.max(1, slots)
   }
 
@@ -28,13 +28,13 @@
   }
 
   /** Learns from a whole answer. */
-  noteAnswer(tookMs: Millis, targetMs: Millis): void {
-    if (tookMs > targetMs * SLOW_SHARE) this.limit = Math.max(1, this.limit * SMALLER_WHEN_SLOW)
-    else if (tookMs < targetMs * FAST_SHARE) this.limit = Math.min(this.most, this.limit + LARGER_STEP)
+  recordAnswer(tookMs: Millis, targetMs: Millis): void {
+    if (tookMs > targetMs * SLOW_SHARE) this.limit = Math.max(1, this.limit * SLOW_DECREASE_FACTOR)
+    else if (tookMs < targetMs * FAST_SHARE) this.limit = Math.min(this.max, this.limit + FAST_INCREASE_STEP)
   }
 
   /** The endpoint said that it has no room. */
-  noteFull(): void {
-    this.limit = Math.max(1, this.limit * SMALLER_WHEN_FULL)
+  recordFull(): void {
+    this.limit = Math.max(1, this.limit * FULL_DECREASE_FACTOR)
   }
 }
--- a/request/gateway/src/sendingPermits.ts
+++ b/request/gateway/src/crashGuard.ts
@@ -6,10 +6,10 @@
 const SEND: SendingDecision = { type: 'send' }
 
 /** What one plain request must obey before each of its sendings because of the crashes that are known. */
-export class SendingPermits {
+export class CrashGuard {
   /** Endpoints whose connections broke under it, and that may have crashed. */
   private lost: InstanceId[] = []
-  private hasAskedTurn = false
+  private hasRequestedTurn = false
 
   constructor(
     private readonly parts: RelayParts,
@@ -17,7 +17,7 @@
     private readonly isOver: () => boolean,
   ) {}
 
-  noteLost(endpoint: InstanceId): void {
+  recordLost(endpoint: InstanceId): void {
     this.lost.push(endpoint)
   }
 
@@ -32,10 +32,10 @@
   }
 
   /** Gets what a decision asks for. */
-  async get({ type }: SendingDecision): Promise<PermittedPlace> {
+  async acquire({ type }: SendingDecision): Promise<PermittedPlace> {
     if (type === 'isolate') return isolatedPlace(this.parts, this.job, this.isOver)
     if (type !== 'serialize') return { type: 'anywhere' }
-    this.hasAskedTurn = true
+    this.hasRequestedTurn = true
     const isNeeded = () => this.decideNow().type === 'serialize'
     return awaitTurn(this.parts, this.job, isNeeded, this.isOver)
   }
@@ -54,7 +54,7 @@
 
   /** The request has ended. Its turn lasts until its losses are confirmed, so that the next run of its content knows of them. */
   async end(): Promise<void> {
-    if (!this.hasAskedTurn) return
+    if (!this.hasRequestedTurn) return
     const { request, service } = this.job
     await this.parts.crashes?.confirmed(this.lost)
     this.parts.crashes?.noteTurnEnd(request.content(), service.name, request.id)
--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -25,13 +25,13 @@
   /** How many plain requests this entry keeps there at once. */
   limit: ConcurrencyLimit
   /** Whether another process was found at its address. */
-  isGone: boolean
+  isReplaced: boolean
   /** When this entry heard that it leaves; absent until then. */
   leavingSince?: Millis
   /** Whether it has said so to this entry in an answer, which no list takes back. */
-  saysItLeaves: boolean
+  hasAnnouncedLeaving: boolean
   /** What to call when its process turns out to have ended. */
-  watchers: Set<(reason: string) => void>
+  endListeners: Set<(reason: string) => void>
 }
 
 /**
@@ -41,11 +41,11 @@
 export type SendOutcome = 'ok' | 'failed' | 'silent' | 'unreachable' | 'other-instance' | 'full' | 'cancelled'
 
 const FIRST_EJECTION_MS = 1_000
-const LONGEST_EJECTION_MS = 8_000
+const MAX_EJECTION_MS = 8_000
 const FAILURES_TO_EJECT = 2
 const MEAN_WEIGHT = 0.2
-const FIRST_MEAN_MS = 50
-const MEAN_LASTS_MS = 2_000
+const INITIAL_MEAN_MS = 50
+const MEAN_VALID_MS = 2_000
 
 /** Which instances of a service are looked for. */
 export interface CandidateQuery {
@@ -57,7 +57,7 @@
 }
 
 /** All instances that a request could go to want nothing from here. */
-export interface Closed {
+export interface Unavailability {
   reason: string
   /** Until the first of them may get a request. */
   leftMs: Millis
@@ -98,7 +98,7 @@
 
   /** How many instances are known that take work. */
   get size(): number {
-    return [...this.pooled.values()].filter(takesWork).length
+    return [...this.pooled.values()].filter(acceptsWork).length
   }
 
   get(id: string): PooledEndpoint | undefined {
@@ -106,7 +106,7 @@
   }
 
   /** An instance by its id, where it lies in one of these regions. */
-  atHome(id: string, regions: Homes): AtHome<PooledEndpoint> | undefined {
+  getWithinRegions(id: string, regions: Homes): AtHome<PooledEndpoint> | undefined {
     const known = this.pooled.get(id)
     return withinHomes(
       this.topology,
@@ -119,33 +119,33 @@
   /** Instances of a service that may get work now; those that are out only where there is no other. */
   candidates(service: string, query: CandidateQuery = {}): AtHome<PooledEndpoint>[] {
     const now = this.options.clock.now()
-    const open = this.fitting(service, query).filter((one) => this.isOpen(one))
-    const sound = open.filter((one) => one.ejectedUntil <= now)
-    return sound.length > 0 ? sound : open
+    const available = this.matching(service, query).filter((one) => this.isAvailable(one))
+    const healthy = available.filter((one) => one.ejectedUntil <= now)
+    return healthy.length > 0 ? healthy : available
   }
 
   /** Whether a service has instances that take work, also such as want none just now. */
-  knows(service: string, query: CandidateQuery = {}): boolean {
-    return this.fitting(service, query).length > 0
+  hasEndpoints(service: string, query: CandidateQuery = {}): boolean {
+    return this.matching(service, query).length > 0
   }
 
   /** Whether an instance has not said that it wants nothing from here now. */
-  isOpen({ endpoint }: PooledEndpoint): boolean {
+  isAvailable({ endpoint }: PooledEndpoint): boolean {
     return this.options.statements?.notBefore(endpoint.id) === undefined
   }
 
   /** Why a service's instances can get nothing where all want none from here, and for how long; else undefined. */
-  closed(service: string, query: CandidateQuery = {}): Closed | undefined {
+  unavailability(service: string, query: CandidateQuery = {}): Unavailability | undefined {
     const { statements, clock, random } = this.options
     if (statements === undefined || statements.isEmpty) return undefined
-    const bound = statements.firstFree(this.fitting(service, query).map(({ endpoint }) => endpoint.id))
+    const bound = statements.firstFree(this.matching(service, query).map(({ endpoint }) => endpoint.id))
     if (bound === undefined) return undefined
     const leftMs = bound.untilMs - clock.now()
     return { reason: bound.reason, leftMs, retryAfterMs: leftMs + random() * RETURN_SPREAD_MS }
   }
 
   /** Engines of a service that want nothing from here now. */
-  closedEngines(service: string): string[] {
+  unavailableEngines(service: string): string[] {
     const { statements } = this.options
     if (statements === undefined || statements.isEmpty) return []
     const ids = statements.closed
@@ -155,31 +155,34 @@
     })
   }
 
-  private fitting(service: string, { stage, except, regions }: CandidateQuery): AtHome<PooledEndpoint>[] {
-    const there = [...this.pooled.values()].filter((one) => one.endpoint.service === service && !one.isGone)
+  private matching(service: string, { stage, except, regions }: CandidateQuery): AtHome<PooledEndpoint>[] {
+    const there = [...this.pooled.values()].filter(
+      (one) => one.endpoint.service === service && !one.isReplaced,
+    )
     const newest = new Set(newestPerAddress(there.map((one) => one.endpoint)))
-    const fitting = there.filter(
+    const matching = there.filter(
       (one) =>
         newest.has(one.endpoint) &&
         (stage === undefined || one.endpoint.stage === stage) &&
-        takesWork(one) &&
+        acceptsWork(one) &&
         !this.isBarred(one) &&
         except?.has(one.endpoint.id) !== true,
     )
-    return withinHomes(this.topology, fitting, ({ endpoint }) => endpoint.zone, regions)
+    return withinHomes(this.topology, matching, ({ endpoint }) => endpoint.zone, regions)
   }
 
   /** Whether a service has instances that take work and every one must get nothing now. */
-  isEmptied(service: string, stage?: Stage): boolean {
+  isFullyBarred(service: string, stage?: Stage): boolean {
     const there = [...this.pooled.values()].filter(
-      (one) => one.endpoint.service === service && takesWork(one) && (!stage || one.endpoint.stage === stage),
+      (one) =>
+        one.endpoint.service === service && acceptsWork(one) && (!stage || one.endpoint.stage === stage),
     )
     return there.length > 0 && there.every((one) => this.isBarred(one))
   }
 
   /** The instance with the least expected wait, one of this zone among equals, and of another region where that is sooner all the same. */
   leastLoaded<One extends PooledEndpoint>(candidates: One[]): One | undefined {
-    const idle = this.idleAlike(candidates)
+    const idle = this.similarIdle(candidates)
     if (idle.length > 1) return idle[Math.floor(this.options.random() * idle.length)]
     const fastest = Math.min(...candidates.map((one) => one.meanMs))
     const scored = candidates.map((one) => ({ one, score: this.score(one, fastest) }))
@@ -192,70 +195,70 @@
    * least wait alone a chance difference of means decides among them for seconds, at all entries alike: of six that answer
    * in 20 ms at 50 requests a second the busiest had 2.2 times the mean in 4 s, and has 1.3 (`equalParts.test.ts`).
    */
-  private idleAlike<One extends PooledEndpoint>(candidates: One[]): One[] {
-    const nearest = Math.min(...candidates.map((one) => this.awayOf(one)))
-    const near = candidates.filter((one) => this.awayOf(one) === nearest)
+  private similarIdle<One extends PooledEndpoint>(candidates: One[]): One[] {
+    const nearest = Math.min(...candidates.map((one) => this.distanceCost(one)))
+    const near = candidates.filter((one) => this.distanceCost(one) === nearest)
     const fastest = Math.min(...near.map((one) => one.meanMs))
-    return near.filter((one) => one.inFlight === 0 && one.meanMs <= fastest * ALIKE_FACTOR)
+    return near.filter((one) => one.inFlight === 0 && one.meanMs <= fastest * SIMILAR_MEAN_FACTOR)
   }
 
   /** How far away an endpoint is, as a cost. */
-  private awayOf({ endpoint }: PooledEndpoint): number {
+  private distanceCost({ endpoint }: PooledEndpoint): number {
     const distance = this.topology.distance(this.options.zone, endpoint.zone)
     return (distance === 'same-domain' ? 0 : 1) + callAwayMs(distance)
   }
 
   /**
    * The engine where this entry's requests hold the fewest tokens.
-   * @param awayTokens what one in another region than `near` counts more.
+   * @param otherRegionTokens what one in another region than `near` counts more.
    */
   fewestTokens<One extends PooledEndpoint>(
     candidates: One[],
-    awayTokens = 0,
+    otherRegionTokens = 0,
     near: FailureDomain = this.options.zone,
   ): One | undefined {
     const awayOf = ({ endpoint }: PooledEndpoint) =>
-      this.topology.distance(near, endpoint.zone) === 'other-region' ? awayTokens : 0
+      this.topology.distance(near, endpoint.zone) === 'other-region' ? otherRegionTokens : 0
     const scored = candidates.map((one) => ({ one, score: one.tokens + awayOf(one) + this.options.random() }))
     scored.sort((left, right) => left.score - right.score)
     return scored[0]?.one
   }
 
   /** Notes that a request goes to an instance, with the tokens it may come to hold there. */
-  noteSent(one: PooledEndpoint, tokens = 0): void {
+  recordSend(one: PooledEndpoint, tokens = 0): void {
     one.inFlight += 1
     one.tokens += tokens
   }
 
   /** Notes that what one instance did goes on at another. */
-  noteMoved(from: PooledEndpoint, to: PooledEndpoint, tokens: number): void {
-    this.noteEnd(from, 'cancelled', 0, tokens)
-    this.noteSent(to, tokens)
+  recordMove(from: PooledEndpoint, to: PooledEndpoint, tokens: number): void {
+    this.recordEnd(from, 'cancelled', 0, tokens)
+    this.recordSend(to, tokens)
   }
 
   /** An instance has said in an answer that it leaves: what lists say of it may be older, or come from who was not told. */
-  noteLeaving(one: PooledEndpoint): void {
-    one.saysItLeaves = true
+  recordLeaving(one: PooledEndpoint): void {
+    one.hasAnnouncedLeaving = true
     one.leavingSince ??= this.options.clock.now()
     one.endpoint = draining(one.endpoint)
   }
 
   /** An instance has turned cold: it has started anew, and its pace is learned again. */
-  noteCold(id: string): void {
+  resetPace(id: string): void {
     const one = this.pooled.get(id)
     if (one === undefined) return
-    one.meanMs = FIRST_MEAN_MS
+    one.meanMs = INITIAL_MEAN_MS
     one.limit = new ConcurrencyLimit(one.endpoint.slots)
   }
 
   /** Calls back when an instance's process turns out to have ended, unless the returned function is called before. */
   onEnded(one: PooledEndpoint, callback: (reason: string) => void): () => void {
-    one.watchers.add(callback)
-    return () => void one.watchers.delete(callback)
+    one.endListeners.add(callback)
+    return () => void one.endListeners.delete(callback)
   }
 
   /** Notes how a sending ended. */
-  noteEnd(one: PooledEndpoint, outcome: SendOutcome, tookMs: Millis, tokens = 0): void {
+  recordEnd(one: PooledEndpoint, outcome: SendOutcome, tookMs: Millis, tokens = 0): void {
     one.inFlight -= 1
     one.tokens -= tokens
     const isCold = this.options.isCold?.(one.endpoint.id) === true
@@ -264,80 +267,80 @@
       if (!isCold) one.meanMs += (tookMs - one.meanMs) * MEAN_WEIGHT
       one.answeredAt = this.options.clock.now()
     }
-    if (outcome === 'other-instance') one.isGone = true
+    if (outcome === 'other-instance') one.isReplaced = true
     // One that answered another request meanwhile was not silent but busy.
     if (outcome === 'silent' && !isCold && one.answeredAt < this.options.clock.now() - tookMs)
-      this.noteFailure(one, outcome)
-    if (outcome === 'failed' || outcome === 'unreachable') this.noteFailure(one, outcome)
+      this.recordFailure(one, outcome)
+    if (outcome === 'failed' || outcome === 'unreachable') this.recordFailure(one, outcome)
   }
 
   private isBarred({ endpoint }: PooledEndpoint): boolean {
     return this.options.isBarred?.(endpoint) === true
   }
 
-  private noteFailure(one: PooledEndpoint, reason: SendOutcome): void {
+  private recordFailure(one: PooledEndpoint, reason: SendOutcome): void {
     one.failures += 1
     if (reason !== 'unreachable' && one.failures < FAILURES_TO_EJECT) return
-    const forMs = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** (one.failures - 1))
+    const forMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** (one.failures - 1))
     one.ejectedUntil = this.options.clock.now() + forMs
     this.options.logger.warn('endpoint.ejected', { endpoint: one.endpoint.id, reason, forMs })
   }
 
   /** What was seen long ago says little: an endpoint that was not used lately is tried again. */
   private score(one: PooledEndpoint, fastest: Millis): number {
-    const isOld = this.options.clock.now() - one.answeredAt > MEAN_LASTS_MS
+    const isOld = this.options.clock.now() - one.answeredAt > MEAN_VALID_MS
     const meanMs = isOld ? fastest : one.meanMs
     const wait = ((one.inFlight + 1) * meanMs) / Math.max(1, one.endpoint.slots)
     const distance = this.topology.distance(this.options.zone, one.endpoint.zone)
-    const away = distance === 'same-domain' ? 1 : AWAY_FACTOR
-    return wait * away * (1 + this.options.random() * DRAW) + callAwayMs(distance)
+    const away = distance === 'same-domain' ? 1 : OTHER_DOMAIN_FACTOR
+    return wait * away * (1 + this.options.random() * SCORE_JITTER) + callAwayMs(distance)
   }
 
   /** What runs there is lost: nobody need wait for an answer that no process can give. */
-  private end(id: string): void {
+  private endInstance(id: string): void {
     const known = this.pooled.get(id)
     if (known === undefined) return
     this.pooled.delete(id)
-    for (const watcher of [...known.watchers]) watcher(STARTED_ANEW)
+    for (const listener of [...known.endListeners]) listener(RESTARTED)
   }
 
   private updateOne(endpoint: RegisteredEndpoint): void {
     const known = this.pooled.get(endpoint.id)
     if (endpoint.state === 'left') return void this.pooled.delete(endpoint.id)
-    if (endpoint.state === 'ended') return this.end(endpoint.id)
+    if (endpoint.state === 'ended') return this.endInstance(endpoint.id)
     if (known !== undefined) {
       if (endpoint.state === 'draining') known.leavingSince ??= this.options.clock.now()
-      known.endpoint = known.saysItLeaves ? draining(endpoint) : endpoint
+      known.endpoint = known.hasAnnouncedLeaving ? draining(endpoint) : endpoint
       return
     }
     this.pooled.set(endpoint.id, {
       endpoint,
       inFlight: 0,
       tokens: 0,
-      meanMs: FIRST_MEAN_MS,
+      meanMs: INITIAL_MEAN_MS,
       answeredAt: -Infinity,
       failures: 0,
       ejectedUntil: 0,
       limit: new ConcurrencyLimit(endpoint.slots),
-      isGone: false,
-      saysItLeaves: false,
-      watchers: new Set(),
+      isReplaced: false,
+      hasAnnouncedLeaving: false,
+      endListeners: new Set(),
     })
   }
 }
 
 /** Callers that came in vain return spread over so long. */
 const RETURN_SPREAD_MS: Millis = 1_000
-const AWAY_FACTOR = 1.2
+const OTHER_DOMAIN_FACTOR = 1.2
 /** Means of answers of one endpoint differ by so much over a second or two: at 1.5 the busiest had 1.8 times the mean. */
-const ALIKE_FACTOR = 2
-const STARTED_ANEW = 'the endpoint has started anew'
-const DRAW = 0.2
+const SIMILAR_MEAN_FACTOR = 2
+const RESTARTED = 'the endpoint has started anew'
+const SCORE_JITTER = 0.2
 
 function draining(endpoint: RegisteredEndpoint): RegisteredEndpoint {
   return endpoint.state === 'ready' ? { ...endpoint, state: 'draining' } : endpoint
 }
 
-function takesWork(one: PooledEndpoint): boolean {
-  return one.endpoint.state === 'ready' && !one.isGone
+function acceptsWork(one: PooledEndpoint): boolean {
+  return one.endpoint.state === 'ready' && !one.isReplaced
 }
--- a/request/gateway/src/ingress.ts
+++ b/request/gateway/src/ingress.ts
@@ -8,9 +8,9 @@
   type RouteIndex,
 } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
-import { readCallerRequest, single, type CallerRequest } from './callerRequest'
+import { readCallerRequest, firstValue, type CallerRequest } from './callerRequest'
 import { FirstDeadlines } from './firstDeadlines'
-import { homesOf } from './homeRule'
+import { allowedRegions } from './regionRule'
 import { sendOwnAnswer } from './ownAnswer'
 import { CALLER_GONE } from './relayAnswers'
 import { relayPlain } from './plainRelay'
@@ -20,16 +20,16 @@
 import { rankOf } from './rankOf'
 import { tokenCountsOf } from './tokenCounts'
 import { waitFor } from './waitFor'
-import type { Entrant, WorkspaceGate } from './workspaceGate'
+import type { AdmittedRequest, WorkspaceAdmission } from './workspaceAdmission'
 
 /** Options of {@link Ingress}. */
 export interface IngressOptions {
   parts: RelayParts
-  gate: WorkspaceGate
+  admission: WorkspaceAdmission
   /** The route sheet in force; absent until one is known. */
   routes: () => RouteIndex | undefined
   /** Whether what is known here of routes and endpoints was heard since this machine was last suspended. */
-  isViewSure?: () => boolean
+  isViewFresh?: () => boolean
   /** Called once for each request that ended. */
   onResult?: (result: RequestReport) => void
 }
@@ -44,23 +44,23 @@
 }
 
 /** What became of a request, before it is timed. */
-type Routed = RelayResult & Pick<RequestReport, 'route' | 'workspace'>
+type RoutedResult = RelayResult & Pick<RequestReport, 'route' | 'workspace'>
 
 /** The server cannot change this while it runs, so that it lies above what any sheet is likely to allow. */
-const MOST_HEADER_BYTES = 262_144
+const MAX_HEADER_BYTES = 262_144
 /** Room above the sheet's limit, so that what is just inside it is never refused. */
-const HEADER_ROOM = 2
-const IDLE_ROOM_MS = 2_000
-const CHECK_CONNECTIONS_MS = 1_000
-const NOT_YET_MS = 500
-const WAIT_FOR_ROUTES_MS = 250
-const ELSEWHERE_MS = 50
+const HEADER_MARGIN_FACTOR = 2
+const IDLE_MARGIN_MS = 2_000
+const CONNECTIONS_CHECK_INTERVAL_MS = 1_000
+const NO_SHEET_RETRY_MS = 500
+const ROUTES_WAIT_MS = 250
+const LEAVING_RETRY_MS = 50
 /** A control machine that is there answers within some milliseconds. */
-const SURE_WITHIN_MS = 250
+const FRESH_VIEW_WAIT_MS = 250
 const ANSWERED = 'answered'
 const ENTRY_ENDED = 'cut: the entry has ended'
 /** A newer sheet that this entry has heard of is here in a moment. */
-const WAIT_FOR_NEWER_MS = 250
+const NEWER_SHEET_WAIT_MS = 250
 
 /** The listener for callers: finds the route of each request and has it relayed. */
 export class Ingress {
@@ -70,15 +70,15 @@
   /** Takes no more requests, also not on connections that are still open. */
   private isClosed = false
   /** Has ended every connection: who is gone since then has not left by itself. */
-  private hasEndedAll = false
+  private hasClosedAll = false
   private readonly deadlines = new FirstDeadlines()
   private served = 0
 
   constructor(private readonly options: IngressOptions) {
     this.server = createServer(
       {
-        maxHeaderSize: MOST_HEADER_BYTES,
-        connectionsCheckingInterval: CHECK_CONNECTIONS_MS,
+        maxHeaderSize: MAX_HEADER_BYTES,
+        connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MS,
         requestTimeout: 0,
         noDelay: true,
       },
@@ -96,7 +96,7 @@
   /** Takes the limits of a newer sheet. */
   setLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs
-    this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_ROOM_MS
+    this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
   }
 
   /** From now on every answer asks its caller to connect anew elsewhere. */
@@ -112,7 +112,7 @@
 
   /** Ends every connection at once. */
   closeAll(): void {
-    this.hasEndedAll = true
+    this.hasClosedAll = true
     this.answers.closeAll()
   }
 
@@ -122,7 +122,7 @@
     if (this.leaving) response.setHeader('Connection', 'close')
     // An answer that began before said nothing of it, so that its caller would keep the connection.
     response.on('finish', () => {
-      if (incoming.socket.destroyed) return this.noteUnsent(incoming)
+      if (incoming.socket.destroyed) return this.logUnsent(incoming)
       const isLast = this.answers.countOn(incoming.socket) <= 1
       if (this.leaving && isLast) incoming.socket.destroySoon()
     })
@@ -137,12 +137,12 @@
    * An answer that has ended here, and whose last bytes never left, is written down as answered. The server calls it
    * finished all the same when its connection is destroyed under it.
    */
-  private noteUnsent(incoming: IncomingMessage): void {
+  private logUnsent(incoming: IncomingMessage): void {
     const { wire, logger } = this.options.parts
     logger.warn('answer.unsent', {
-      request: single(incoming.headers[wire.headers.requestId]) ?? '',
+      request: firstValue(incoming.headers[wire.headers.requestId]) ?? '',
       bytes: incoming.socket.writableLength,
-      by: this.hasEndedAll ? 'entry' : 'caller',
+      by: this.hasClosedAll ? 'entry' : 'caller',
     })
   }
 
@@ -156,68 +156,79 @@
       maxBodyBytes: limits.maxBodyBytes,
     })
     if (request === 'gone') return
-    if (headerBytes(incoming) > limits.maxHeaderBytes * HEADER_ROOM) return refuseLongHeaders(response)
+    if (headerBytes(incoming) > limits.maxHeaderBytes * HEADER_MARGIN_FACTOR)
+      return refuseLongHeaders(response)
     if (request === 'too-large') return refuseTooLarge(response)
     if (this.leaving && !response.headersSent) response.setHeader('Connection', 'close')
     const result = await this.route(request)
     this.report(request, result)
   }
 
-  private async route(request: CallerRequest): Promise<Routed> {
+  private async route(request: CallerRequest): Promise<RoutedResult> {
     if (this.isClosed) return { route: '', ...answerLeaving(request) }
     const { routes, parts } = this.options
     // A machine that has just started learns its routes in a moment.
-    await this.untilViewIsSure()
-    const index = await waitFor(parts.clock, WAIT_FOR_ROUTES_MS, routes)
-    if (index === undefined) return { route: '', ...answerNotYet(request) }
+    await this.waitForFreshView()
+    const index = await waitFor(parts.clock, ROUTES_WAIT_MS, routes)
+    if (index === undefined) return { route: '', ...answerNoSheet(request) }
     const route = index.find(request.host, request.path)
     if (route === undefined) return { route: '', ...answerNoRoute(request) }
     if (request.id === '') return { route: route.name, ...answerNoId(request) }
-    const newer = await this.newerFor(request, route, index)
-    return newer === undefined ? this.enter(request, route, index) : this.routeBy(request, newer)
+    const newer = await this.newerSheetFor(request, route, index)
+    return newer === undefined
+      ? this.admitAndRelay(request, route, index)
+      : this.routeWithNewerSheet(request, newer)
   }
 
   /** After a suspension the control machines are asked anew; one that nobody answers goes on with what it knows. */
-  private async untilViewIsSure(): Promise<void> {
-    const { parts, isViewSure } = this.options
-    if (isViewSure === undefined || isViewSure()) return
+  private async waitForFreshView(): Promise<void> {
+    const { parts, isViewFresh } = this.options
+    if (isViewFresh === undefined || isViewFresh()) return
     const { clock } = parts
-    const limit = clock.suspendedAt() + SURE_WITHIN_MS - clock.now()
-    await waitFor(clock, Math.max(0, limit), () => isViewSure() || undefined)
+    const limit = clock.suspendedAt() + FRESH_VIEW_WAIT_MS - clock.now()
+    await waitFor(clock, Math.max(0, limit), () => isViewFresh() || undefined)
   }
 
   /** Routes by a sheet that came while the request waited for it. */
-  private async routeBy(request: CallerRequest, index: RouteIndex): Promise<Routed> {
+  private async routeWithNewerSheet(request: CallerRequest, index: RouteIndex): Promise<RoutedResult> {
     const route = index.find(request.host, request.path)
     if (route === undefined) return { route: '', ...answerNoRoute(request) }
-    return this.enter(request, route, index)
+    return this.admitAndRelay(request, route, index)
   }
 
   /** A newer sheet, where the request shows a key that may be one of it and it comes soon. */
-  private newerFor(request: CallerRequest, route: Route, index: RouteIndex): Promise<RouteIndex | undefined> {
-    const { gate, routes, parts } = this.options
-    if (!gate.mayBeNewer(request, route, index)) return Promise.resolve(undefined)
-    return waitFor(parts.clock, WAIT_FOR_NEWER_MS, () => {
+  private newerSheetFor(
+    request: CallerRequest,
+    route: Route,
+    index: RouteIndex,
+  ): Promise<RouteIndex | undefined> {
+    const { admission, routes, parts } = this.options
+    if (!admission.mayHaveNewerKey(request, route, index)) return Promise.resolve(undefined)
+    return waitFor(parts.clock, NEWER_SHEET_WAIT_MS, () => {
       const current = routes()
       return current !== undefined && current.sheet.version > index.sheet.version ? current : undefined
     })
   }
 
   /** Lets a request in by its key and its workspace's quota, and has it relayed. */
-  private async enter(request: CallerRequest, route: Route, index: RouteIndex): Promise<Routed> {
-    const { gate, parts } = this.options
+  private async admitAndRelay(
+    request: CallerRequest,
+    route: Route,
+    index: RouteIndex,
+  ): Promise<RoutedResult> {
+    const { admission, parts } = this.options
     const tokens = tokenCountsOf(request, parts.wire)
     if (tokens === 'malformed') return { route: route.name, ...answerMalformedCounts(request) }
-    const entrant = await gate.admit(request, route, index, tokens)
+    const entrant = await admission.admit(request, route, index, tokens)
     if (entrant.type === 'answered') return { route: route.name, ...entrant.result }
     const result = await this.relay(entrant, route, index, tokens)
-    if (isWhole(result)) parts.crashes?.noteServed(request.content)
+    if (wasRunInFull(result)) parts.crashes?.noteServed(request.content)
     if (result.hasNotRun === true) entrant.spent?.giveBack()
     return { route: route.name, workspace: entrant.workspace?.name, ...result }
   }
 
   private relay(
-    { request, workspace, owner }: Entrant,
+    { request, workspace, owner }: AdmittedRequest,
     route: Route,
     index: RouteIndex,
     tokens: TokenCounts | undefined,
@@ -232,16 +243,16 @@
     const targetAt = request.arrivedAt + route.targetMs - (isReturn ? 0 : elapsedMs)
     const rank = rankOf(route, workspace)
     // A newer sheet binds also what is on its way.
-    const homes = () => homesOf(routes() ?? index, { request, route, workspace: owner })
+    const homes = () => allowedRegions(routes() ?? index, { request, route, workspace: owner })
     const job = { request, route, service, endsAt, targetAt, isReturn, tokens, rank, homes }
     const isModel = route.kind === 'streaming' && service.engine !== undefined
     return isModel ? relayStream(parts, job) : relayPlain(parts, job)
   }
 
-  private report(request: CallerRequest, { hasNotRun: _, ...result }: Routed): void {
+  private report(request: CallerRequest, { hasNotRun: _, ...result }: RoutedResult): void {
     const { parts, onResult } = this.options
     const tookMs = Math.round(parts.clock.now() - request.arrivedAt)
-    const isEndedHere = this.hasEndedAll && result.outcome === CALLER_GONE
+    const isEndedHere = this.hasClosedAll && result.outcome === CALLER_GONE
     const outcome = isEndedHere ? ENTRY_ENDED : result.outcome
     const report = { request: request.id, tookMs, ...result, outcome }
     // What explains a failure must be the last to be left out of the log.
@@ -253,7 +264,7 @@
 }
 
 /** Whether an endpoint ran the request to a good end; one that fails it may not have begun. */
-function isWhole({ status, outcome, sends }: RelayResult): boolean {
+function wasRunInFull({ status, outcome, sends }: RelayResult): boolean {
   return status >= 200 && status < 300 && outcome === ANSWERED && sends.length > 0
 }
 
@@ -279,12 +290,12 @@
   })
 }
 
-function answerNotYet(request: CallerRequest): RelayResult {
+function answerNoSheet(request: CallerRequest): RelayResult {
   sendOwnAnswer(request.response, {
     status: 503,
     code: 'FORKSTAGE_NO_SHEET',
     message: 'This entry knows no routes yet.',
-    retryAfterMs: NOT_YET_MS,
+    retryAfterMs: NO_SHEET_RETRY_MS,
   })
   return { status: 503, outcome: 'no sheet yet', sends: [] }
 }
@@ -294,7 +305,7 @@
     status: 503,
     code: 'FORKSTAGE_LEAVING',
     message: 'This entry is stopping; another one takes the request.',
-    retryAfterMs: ELSEWHERE_MS,
+    retryAfterMs: LEAVING_RETRY_MS,
     close: true,
   })
   return { status: 503, outcome: 'leaving', sends: [] }
--- a/request/gateway/src/isolatedPlace.ts
+++ b/request/gateway/src/isolatedPlace.ts
@@ -73,7 +73,7 @@
   isOver: () => boolean,
 ): PermittedPlace {
   const end = () => crashes!.noteIsolatedEnd(job.request.content(), job.service.name, endpoint)
-  const at = pool.atHome(endpoint, job.homes())
+  const at = pool.getWithinRegions(endpoint, job.homes())
   if (at !== undefined && !isOver()) return { type: 'place', at, end }
   end()
   return { type: 'later', retryAfterMs: AWAY_RETRY_MS }
--- a/request/gateway/src/leaderWay.ts
+++ b/request/gateway/src/leaderClient.ts
@@ -7,8 +7,8 @@
 /** The method by which an entry calls the leader for another one that is cut off from it. */
 export const FORWARD = 'entry.forward'
 
-/** Options of {@link LeaderWay}. */
-export interface LeaderWayOptions {
+/** Options of {@link LeaderClient}. */
+export interface LeaderClientOptions {
   /** The control machine that leads, as far as this entry hears of one. */
   leader: () => Address | undefined
   /** Other entries, which may reach it where this one does not. */
@@ -17,18 +17,18 @@
   clock: Clock
   logger: Logger
   /** Methods that may be forwarded for others. */
-  forwarded: readonly string[]
+  forwardableMethods: readonly string[]
 }
 
 /** A call that is passed on. */
-interface Forwarded {
+interface ForwardedCall {
   method: string
   params: unknown
   deadline: Millis
 }
 
 /** Raised where neither the leader nor a neighbour that reaches it is known. */
-export class NoWayError extends ForkstageError {
+export class NoLeaderError extends ForkstageError {
   constructor(step: string) {
     super('FORKSTAGE_NO_LEADER', 'No way to a leading control machine is known.', 'It is looked for.', {
       step,
@@ -37,18 +37,18 @@
 }
 
 /** A leader that gave no answer is not asked directly for this long. */
-const SKIP_MS = 400
+const SKIP_DIRECT_MS = 400
 /** Kept for the way between two entries. */
-const HOP_MS = 50
+const HOP_MARGIN_MS = 50
 
 /** Reaches the leader directly, or through another entry while this one is cut off from it. */
-export class LeaderWay {
-  private skipUntil = -Infinity
+export class LeaderClient {
+  private skipDirectUntil = -Infinity
   private neighbour: Address | undefined
   /** Whether the last call that may go unanswered did. */
-  private isUnanswered = false
+  private wasLastUnanswered = false
 
-  constructor(private readonly options: LeaderWayOptions) {}
+  constructor(private readonly options: LeaderClientOptions) {}
 
   leader(): Address | undefined {
     return this.options.leader()
@@ -62,7 +62,7 @@
     try {
       return await peers.call<Answer>(leader, method, params, { deadline, step: method })
     } catch (error) {
-      this.skipUntil = clock.now() + SKIP_MS
+      this.skipDirectUntil = clock.now() + SKIP_DIRECT_MS
       throw error
     }
   }
@@ -73,56 +73,61 @@
     const leader = this.directLeader()
     if (leader !== undefined) return peers.notify(leader, method, params)
     const neighbour = this.neighbour ?? this.options.neighbours()[0]
-    if (neighbour !== undefined) peers.notify(neighbour, FORWARD, { method, params, deadline: SKIP_MS })
+    if (neighbour !== undefined)
+      peers.notify(neighbour, FORWARD, { method, params, deadline: SKIP_DIRECT_MS })
   }
 
   /**
    * Tells the leader something to which it may answer; undefined where it does not in time. Through a neighbour it is
    * only told. Unlike {@link call} this says nothing of the leader: what it answers is of use, but not needed.
    */
-  async askLeader<Answer>(method: string, params: unknown, deadline: Millis): Promise<Answer | undefined> {
+  async tryCallOrNotify<Answer>(
+    method: string,
+    params: unknown,
+    deadline: Millis,
+  ): Promise<Answer | undefined> {
     const leader = this.directLeader()
     if (leader === undefined) return void this.notify(method, params)
     const call = this.options.peers.call<Answer>(leader, method, params, { deadline, step: method })
-    return this.orUnanswered(call, leader, method)
+    return this.orUndefined(call, leader, method)
   }
 
-  /** Like {@link askLeader}, but a neighbour carries the answer back too. */
-  async askThrough<Answer>(method: string, params: unknown, deadline: Millis): Promise<Answer | undefined> {
+  /** Like {@link tryCallOrNotify}, but a neighbour carries the answer back too. */
+  async tryCall<Answer>(method: string, params: unknown, deadline: Millis): Promise<Answer | undefined> {
     const leader = this.directLeader()
-    if (leader !== undefined) return this.askLeader(method, params, deadline)
+    if (leader !== undefined) return this.tryCallOrNotify(method, params, deadline)
     const call = this.callThroughNeighbour<Answer>({ method, params, deadline })
-    return this.orUnanswered(call, 'neighbours', method)
+    return this.orUndefined(call, 'neighbours', method)
   }
 
   /** Only the first failure in a row is logged: the belief changes, not each call. */
-  private async orUnanswered<Answer>(
+  private async orUndefined<Answer>(
     call: Promise<Answer>,
     peer: string,
     step: string,
   ): Promise<Answer | undefined> {
     try {
       const answer = await call
-      this.isUnanswered = false
+      this.wasLastUnanswered = false
       return answer
     } catch (error) {
-      if (!this.isUnanswered)
+      if (!this.wasLastUnanswered)
         this.options.logger.warn('leader.unanswered', { peer, step, reason: toErrorBody(error).message })
-      this.isUnanswered = true
+      this.wasLastUnanswered = true
       return undefined
     }
   }
 
   /** What other entries may call here. */
   methods(): Record<string, PeerMethod> {
-    return { [FORWARD]: (call: Forwarded) => this.forward(call) }
+    return { [FORWARD]: (call: ForwardedCall) => this.forward(call) }
   }
 
   private directLeader(): Address | undefined {
-    return this.options.clock.now() < this.skipUntil ? undefined : this.options.leader()
+    return this.options.clock.now() < this.skipDirectUntil ? undefined : this.options.leader()
   }
 
-  private async callThroughNeighbour<Answer>(call: Forwarded): Promise<Answer> {
+  private async callThroughNeighbour<Answer>(call: ForwardedCall): Promise<Answer> {
     const { peers, neighbours } = this.options
     const known = neighbours()
     const first = this.neighbour !== undefined && known.includes(this.neighbour) ? [this.neighbour] : []
@@ -132,7 +137,7 @@
         const answer = await peers.call<Answer>(
           neighbour,
           FORWARD,
-          { ...call, deadline: call.deadline - HOP_MS },
+          { ...call, deadline: call.deadline - HOP_MARGIN_MS },
           options,
         )
         this.neighbour = neighbour
@@ -140,21 +145,21 @@
       } catch (error) {
         this.neighbour = undefined
         // A neighbour that was reached has asked already; asking again elsewhere would take a second place.
-        if (!isUnasked(error)) throw error
+        if (!hasNotReachedLeader(error)) throw error
       }
     }
-    throw new NoWayError(call.method)
+    throw new NoLeaderError(call.method)
   }
 
-  private forward({ method, params, deadline }: Forwarded): Promise<unknown> {
-    const { peers, forwarded } = this.options
+  private forward({ method, params, deadline }: ForwardedCall): Promise<unknown> {
+    const { peers, forwardableMethods: forwarded } = this.options
     const leader = this.directLeader()
-    if (leader === undefined || !forwarded.includes(method)) throw new NoWayError(method)
+    if (leader === undefined || !forwarded.includes(method)) throw new NoLeaderError(method)
     return peers.call(leader, method, params, { deadline, step: method })
   }
 }
 
-function isUnasked(error: unknown): boolean {
+function hasNotReachedLeader(error: unknown): boolean {
   const { code } = error as { code?: string }
   return code === 'FORKSTAGE_NO_LEADER' || (error instanceof PeerUnreachableError && error.step === 'connect')
 }
--- a/request/gateway/src/modelPlacer.ts
+++ b/request/gateway/src/modelPlacer.ts
@@ -1,7 +1,7 @@
 import type { PromptPart } from '@forkstage/allocator'
 import type { AtHome, Homes } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
-import type { Closed, PooledEndpoint, SendOutcome } from './endpointPool'
+import type { Unavailability, PooledEndpoint, SendOutcome } from './endpointPool'
 
 /** A model request as the placement sees it. */
 export interface ModelWork {
@@ -53,15 +53,15 @@
   /** After how long another engine should read the prompt instead, while that is still in time. */
   readElsewhereInMs?: Millis
   /** Says that the prompt has been read. */
-  notePrefilled: (outcome: SendOutcome, tookMs: Millis) => void
+  reportPrefilled: (outcome: SendOutcome, tookMs: Millis) => void
   /** The decode engine has made nothing for so long; it is not given up yet. */
-  noteStalled: (forMs: Millis) => void
+  reportStalled: (forMs: Millis) => void
   /** Tells how many tokens have been made there so far; set by whoever runs the request. */
   madeTokens?: () => number
   /** Lets the answer go on at another engine, where that is possible; set by whoever runs the request. */
   moveTo?: (to: AtHome<PooledEndpoint>) => void
   /** Says that the answer goes on at another engine; `decode` is that one then. */
-  noteMoved: (to: AtHome<PooledEndpoint>) => void
+  reportMoved: (to: AtHome<PooledEndpoint>) => void
   /** Gives the place back, with the tokens made there. Called once. */
   release: (outcome: SendOutcome, tookMs: Millis, madeTokens: number) => void
 }
@@ -71,7 +71,7 @@
   { type: 'place'; place: ModelPlace } | { type: 'refused'; reason: string; retryAfterMs: Millis }
 
 /** A refusal where every engine that could take a request wants nothing from here. */
-export function refusedAs({ reason, retryAfterMs }: Closed): PlaceAnswer {
+export function refusalFor({ reason, retryAfterMs }: Unavailability): PlaceAnswer {
   return { type: 'refused', reason, retryAfterMs }
 }
 
--- a/request/gateway/src/modelWork.ts
+++ b/request/gateway/src/modelWork.ts
@@ -1,4 +1,4 @@
-import { single } from './callerRequest'
+import { firstValue } from './callerRequest'
 import type { EventPauses } from './eventPauses'
 import { waitTimes } from './holdTime'
 import type { ModelWork } from './modelPlacer'
@@ -14,7 +14,7 @@
   const { request, route, service, tokens, rank } = job
   const now = clock.now()
   const leftMs = job.endsAt - now
-  const hint = Number(single(request.headers[wire.headers.lengthHint]))
+  const hint = Number(firstValue(request.headers[wire.headers.lengthHint]))
   return {
     request: request.id,
     service: service.name,
--- a/request/gateway/src/noteRate.ts
+++ b/request/gateway/src/noteRate.ts
@@ -1,4 +1,4 @@
-import { single } from './callerRequest'
+import { firstValue } from './callerRequest'
 import type { PooledEndpoint } from './endpointPool'
 import type { AnswerHead } from './exchange'
 import type { RelayParts } from './relayParts'
@@ -14,7 +14,7 @@
   head: AnswerHead,
   isSuccess: boolean,
 ): void {
-  const value = single(head.headers[wire.headers.rateLimit])
+  const value = firstValue(head.headers[wire.headers.rateLimit])
   const perSecond = value === undefined ? undefined : wire.readRateLimit(value)
   if (perSecond !== undefined) return rates?.note(endpoint.id, perSecond)
   if (value === undefined && isSuccess) rates?.note(endpoint.id, undefined)
--- a/request/gateway/src/noteStatements.ts
+++ b/request/gateway/src/noteStatements.ts
@@ -1,5 +1,5 @@
 import { readRest } from '@forkstage/statements'
-import { single } from './callerRequest'
+import { firstValue } from './callerRequest'
 import type { PooledEndpoint } from './endpointPool'
 import type { AnswerHead } from './exchange'
 import { noteRate } from './noteRate'
@@ -29,10 +29,10 @@
   if (statements === undefined) return
   const { id } = at.endpoint
   // A field that comes twice has both values in one.
-  const words = single(head.headers[wire.headers.leaving])?.split(',') ?? []
+  const words = firstValue(head.headers[wire.headers.leaving])?.split(',') ?? []
   if (words.some((word) => wire.readLeaving(word.trim()))) {
     statements.noteLeaving(id, request)
-    pool.noteLeaving(at)
+    pool.recordLeaving(at)
   }
   statements.noteRest(id, readRest(head), request)
 }
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -5,11 +5,11 @@
 import { cancelWhenEnded } from './cancelWhenEnded'
 import { connectionShare } from './connectionShare'
 import { dropHeaders } from './callerRequest'
-import type { Closed, PooledEndpoint, SendOutcome } from './endpointPool'
-import { COLD_REASON } from './coldGate'
+import type { Unavailability, PooledEndpoint, SendOutcome } from './endpointPool'
+import { COLD_LIMIT_REASON } from './coldEndpointLimiter'
 import { exchangeWhole, type WholeOutcome } from './exchangeWhole'
 import { noteLost } from './noteLost'
-import { LIMIT_REASON } from './limitGate'
+import { RATE_LIMIT_REASON } from './endpointRateLimiter'
 import { readVerdict } from './readVerdict'
 import { sendEndpointAnswer } from './ownAnswer'
 import { answerFailure, answerRefusal, CALLER_GONE, PROMISES, type OwnResult } from './relayAnswers'
@@ -24,9 +24,9 @@
   type SendRecord,
 } from './relayParts'
 import { SendCount } from './sendCount'
-import { SendingPermits } from './sendingPermits'
+import { CrashGuard } from './crashGuard'
 import { ENDS_ENDPOINTS, EVACUATED, whyNotSend } from './sendRules'
-import { AWAY_COME_BACK_MS, isAwayOnly, NOT_AT_HOME } from './homeRule'
+import { OUTSIDE_REGIONS_RETRY_MS, isOnlyOutsideRegions, OUTSIDE_REGIONS } from './regionRule'
 import { waitFor } from './waitFor'
 
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024
@@ -55,20 +55,20 @@
   /** Endpoints that may have run the request. */
   private mayHaveRun = 0
   private readonly count: SendCount
-  private readonly permits: SendingPermits
+  private readonly permits: CrashGuard
 
   constructor(
     private readonly parts: RelayParts,
     private readonly job: RelayJob,
   ) {
     this.count = new SendCount(parts.allowance, job.service.name)
-    this.permits = new SendingPermits(parts, job, () => this.isOver)
+    this.permits = new CrashGuard(parts, job, () => this.isOver)
   }
 
   async relay(): Promise<RelayResult> {
     const { clock } = this.parts
     const { request, endsAt } = this.job
-    request.onGone(() => this.finish())
+    request.onDisconnect(() => this.finish())
     const cancelLimit = clock.after(Math.max(0, endsAt - clock.now() - ANSWER_MARGIN_MS), () => {
       if (!this.isOver) this.answerLate()
     })
@@ -79,14 +79,14 @@
   }
 
   private async tryEndpoints(): Promise<OwnResult> {
-    if (isAwayOnly(this.parts.pool, this.job))
-      return answerRefusal(this.job.request.response, NOT_AT_HOME, AWAY_COME_BACK_MS)
+    if (isOnlyOutsideRegions(this.parts.pool, this.job))
+      return answerRefusal(this.job.request.response, OUTSIDE_REGIONS, OUTSIDE_REGIONS_RETRY_MS)
     let failed: Sending | undefined
     for (let refusals = 0; ;) {
       const decision = await this.permits.decide()
       if (decision.type === 'refuse')
         return this.answerWithout(failed, ENDS_ENDPOINTS, decision.refusal.leftMs)
-      const permit = await this.permits.get(decision)
+      const permit = await this.permits.acquire(decision)
       if (permit.type === 'later' && !this.isOver)
         return this.answerWithout(failed, MUST_BE_ISOLATED, permit.retryAfterMs)
       const to = permit.type === 'place' ? permit.at : await this.choose()
@@ -114,12 +114,12 @@
     // Nothing is worth waiting for where every endpoint must get nothing, for nobody knows how long.
     const { pool, limits } = this.parts
     const all = pool.candidates(this.job.service.name, { regions: this.job.homes() })
-    limits?.want(all)
+    limits?.requestPermits(all)
     const isInVain =
-      pool.isEmptied(this.job.service.name) ||
+      pool.isFullyBarred(this.job.service.name) ||
       (this.coldWait() ?? 0) > left ||
       (this.closed()?.leftMs ?? 0) > left ||
-      limits?.takesNone(all) === true
+      limits?.haveZeroRates(all) === true
     const limit = isInVain ? 0 : Math.max(0, left)
     return waitFor(clock, limit, () => (this.isOver ? undefined : this.roomiest()))
   }
@@ -128,13 +128,13 @@
     const { pool, cold } = this.parts
     const fresh = this.usable(this.tried)
     const open = (fresh.length > 0 ? fresh : this.usable()).filter((one) => this.hasRoom(one))
-    return pool.leastLoaded(cold?.usable(open) ?? open)
+    return pool.leastLoaded(cold?.eligible(open) ?? open)
   }
 
   /** Whether an endpoint has room for one more request of this entry, and has not said that it wants none. */
   private hasRoom(to: PooledEndpoint): boolean {
     const { entries, pool } = this.parts
-    if (!pool.isOpen(to)) return false
+    if (!pool.isAvailable(to)) return false
     const share =
       entries === undefined ? Infinity : connectionShare(this.job.service.maxConnections, entries())
     return to.inFlight < Math.min(to.limit.value, share)
@@ -144,31 +144,31 @@
   private usable(except?: ReadonlySet<string>): AtHome<PooledEndpoint>[] {
     const { pool, limits } = this.parts
     const candidates = pool.candidates(this.job.service.name, { except, regions: this.job.homes() })
-    return limits?.usable(candidates) ?? candidates
+    return limits?.eligible(candidates) ?? candidates
   }
 
   private whyNone(): string {
     const { pool } = this.parts
     const { service, homes } = this.job
-    if (pool.isEmptied(service.name)) return EVACUATED
-    if (this.coldWait() !== undefined) return COLD_REASON
+    if (pool.isFullyBarred(service.name)) return EVACUATED
+    if (this.coldWait() !== undefined) return COLD_LIMIT_REASON
     const closed = this.closed()
     if (closed !== undefined) return closed.reason
     const there = pool.candidates(service.name, { regions: homes() })
-    if (this.parts.limits?.isUsedUp(there) === true) return LIMIT_REASON
+    if (this.parts.limits?.isExhausted(there) === true) return RATE_LIMIT_REASON
     if (there.length > 0) return 'no room in time'
-    return pool.knows(service.name) ? NOT_AT_HOME : 'no endpoint'
+    return pool.hasEndpoints(service.name) ? OUTSIDE_REGIONS : 'no endpoint'
   }
 
   /** Why none may get the request where all want nothing from here, and for how long; else undefined. */
-  private closed(): Closed | undefined {
-    return this.parts.pool.closed(this.job.service.name, { regions: this.job.homes() })
+  private closed(): Unavailability | undefined {
+    return this.parts.pool.unavailability(this.job.service.name, { regions: this.job.homes() })
   }
 
   /** Until this entry may use a cold endpoint again, where all are cold and none may get more; else undefined. */
   private coldWait(): Millis | undefined {
     const { pool, cold } = this.parts
-    const waitMs = cold?.freeIn(pool.candidates(this.job.service.name, { regions: this.job.homes() }))
+    const waitMs = cold?.availableInMs(pool.candidates(this.job.service.name, { regions: this.job.homes() }))
     return waitMs !== undefined && waitMs > 0 ? waitMs : undefined
   }
 
@@ -189,7 +189,7 @@
     const counted = this.count.open('plain')
     if (counted === undefined) return undefined
     const startedAt = parts.clock.now()
-    parts.pool.noteSent(to)
+    parts.pool.recordSend(to)
     let unwatch = () => {}
     const outcome = await exchangeWhole({
       address: to.endpoint.address,
@@ -211,14 +211,14 @@
     const tookMs = parts.clock.now() - startedAt
     if (outcome.type === 'failed' && outcome.sent) {
       noteLost(parts, job, to, tookMs, this.isOver ? tookMs : undefined)
-      this.permits.noteLost(to.endpoint.id)
+      this.permits.recordLost(to.endpoint.id)
     }
     // What a cold endpoint takes says nothing of what it bears later.
     const isCold = parts.cold?.isCold(to.endpoint.id) === true
-    if (note === 'ok' && !isCold) to.limit.noteAnswer(tookMs, job.route.targetMs)
+    if (note === 'ok' && !isCold) to.limit.recordAnswer(tookMs, job.route.targetMs)
     // One that asked for rest has said all there is to learn: what it bears while it is well has not changed.
-    if (note === 'full' && parts.pool.isOpen(to)) to.limit.noteFull()
-    parts.pool.noteEnd(to, this.isOver ? 'cancelled' : note, tookMs)
+    if (note === 'full' && parts.pool.isAvailable(to)) to.limit.recordFull()
+    parts.pool.recordEnd(to, this.isOver ? 'cancelled' : note, tookMs)
     this.sends.push({ to: to.endpoint.id, step: 'plain', outcome: note, tookMs: Math.round(tookMs) })
     return sending
   }
@@ -301,7 +301,7 @@
   }
 
   private overResult(): OwnResult {
-    if (this.job.request.isGone()) return { status: 0, outcome: CALLER_GONE }
+    if (this.job.request.isDisconnected()) return { status: 0, outcome: CALLER_GONE }
     return { status: 504, outcome: 'the time is up' }
   }
 }
--- a/request/gateway/src/poolPlace.ts
+++ b/request/gateway/src/poolPlace.ts
@@ -15,20 +15,20 @@
 
 /** A place that is counted at this entry's endpoints, wherever the answer goes on. */
 export function poolPlace({ pool, prefill, decode, promptTokens, tokens }: PoolPlaceOptions): ModelPlace {
-  pool.noteSent(decode, tokens)
-  if (prefill !== undefined) pool.noteSent(prefill, promptTokens)
+  pool.recordSend(decode, tokens)
+  if (prefill !== undefined) pool.recordSend(prefill, promptTokens)
   const place: ModelPlace = {
     prefill,
     decode,
-    notePrefilled: (outcome, tookMs) => {
-      if (prefill !== undefined) pool.noteEnd(prefill, outcome, tookMs, promptTokens)
+    reportPrefilled: (outcome, tookMs) => {
+      if (prefill !== undefined) pool.recordEnd(prefill, outcome, tookMs, promptTokens)
     },
-    noteStalled: () => undefined,
-    noteMoved: (to) => {
-      pool.noteMoved(place.decode, to, tokens)
+    reportStalled: () => undefined,
+    reportMoved: (to) => {
+      pool.recordMove(place.decode, to, tokens)
       place.decode = to
     },
-    release: (outcome, tookMs) => pool.noteEnd(place.decode, outcome, tookMs, tokens),
+    release: (outcome, tookMs) => pool.recordEnd(place.decode, outcome, tookMs, tokens),
   }
   return place
 }
--- a/request/gateway/src/promptParts.ts
+++ b/request/gateway/src/promptParts.ts
@@ -1,5 +1,5 @@
 import type { PromptPart } from '@forkstage/allocator'
-import { single, type CallerRequest } from './callerRequest'
+import { firstValue, type CallerRequest } from './callerRequest'
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 
 /** Parts travel with each question for a place and each report of it: so many at most, with names of so many letters. */
@@ -12,7 +12,7 @@
   wire: GatewayWire,
   tokens: TokenCounts | undefined,
 ): PromptPart[] | undefined {
-  const value = single(headers[wire.headers.promptParts])
+  const value = firstValue(headers[wire.headers.promptParts])
   const parts = value === undefined ? undefined : wire.readPromptParts(value)
   if (parts === undefined || tokens === undefined || parts.length > MOST_PARTS) return undefined
   const sum = parts.reduce((total, part) => total + part.tokens, 0)
--- a/request/gateway/src/promptReading.ts
+++ b/request/gateway/src/promptReading.ts
@@ -1,7 +1,7 @@
 import { ASKED_FOR_REST } from '@forkstage/statements'
 import type { PooledEndpoint } from './endpointPool'
-import { COLD_REASON } from './coldGate'
-import { LIMIT_REASON } from './limitGate'
+import { COLD_LIMIT_REASON } from './coldEndpointLimiter'
+import { RATE_LIMIT_REASON } from './endpointRateLimiter'
 import type { Exchange } from './exchange'
 import type { ModelPlace } from './modelPlacer'
 import { noteLost } from './noteLost'
@@ -15,7 +15,7 @@
 const HANDLE_SHARE = 0.5
 
 /** Why an engine may get nothing at the moment, though it may in the next. */
-const FOR_A_MOMENT = new Set([COLD_REASON, LIMIT_REASON, SUSPENDED, ASKED_FOR_REST])
+const FOR_A_MOMENT = new Set([COLD_LIMIT_REASON, RATE_LIMIT_REASON, SUSPENDED, ASKED_FOR_REST])
 
 /** What the reading of a prompt needs of its request. */
 export interface PromptReader {
@@ -45,14 +45,14 @@
     if (at === undefined) return 'none'
     const withheld = whyNotSend(parts, job, at.endpoint, 'prefill')
     if (withheld !== undefined) {
-      place.notePrefilled('cancelled', 0)
+      place.reportPrefilled('cancelled', 0)
       this.avoid(at, withheld)
       return 'not-read'
     }
     const sending = this.count.open('prefill')
     // Without one the decode engine reads the prompt, which no other sending has to precede.
     if (sending === undefined) {
-      place.notePrefilled('cancelled', 0)
+      place.reportPrefilled('cancelled', 0)
       return 'none'
     }
     const onOpen = (exchange: Exchange) => void (run.exchange = exchange)
@@ -69,7 +69,7 @@
     }
     // What never arrived has taken none of the engine's time, however long it was waited for.
     const busyMs = note === 'failed' && arrival === 'not-arrived' ? 0 : tookMs
-    place.notePrefilled(run.isOver ? 'cancelled' : note, busyMs)
+    place.reportPrefilled(run.isOver ? 'cancelled' : note, busyMs)
     run.sends.push({ to: at.endpoint.id, step: 'prefill', outcome: note, tookMs: Math.round(tookMs) })
     if (prefilled !== undefined) return 'read'
     if (!run.isOver) run.except.add(at.endpoint.id)
@@ -111,7 +111,7 @@
   }
 
   private isAtHome({ at }: Prefilled): boolean {
-    return this.parts.pool.atHome(at.endpoint.id, this.job.homes()) !== undefined
+    return this.parts.pool.getWithinRegions(at.endpoint.id, this.job.homes()) !== undefined
   }
 
   /** Notes that a decode engine has taken the memory. */
--- a/request/gateway/src/largestLately.ts
+++ b/request/gateway/src/recentMaximum.ts
@@ -1,18 +1,18 @@
 import type { Millis } from '@forkstage/types'
 
 /** The largest of the values that were noted within a span, or up to twice as long ago. */
-export class LargestLately {
-  private turnedAt: Millis = -Infinity
+export class RecentMaximum {
+  private spanStartedAt: Millis = -Infinity
   private before = 0
   private current = 0
 
   constructor(private readonly spanMs: Millis) {}
 
-  note(value: number, now: Millis): void {
-    if (now - this.turnedAt >= this.spanMs) {
-      this.before = now - this.turnedAt < this.spanMs * 2 ? this.current : 0
+  record(value: number, now: Millis): void {
+    if (now - this.spanStartedAt >= this.spanMs) {
+      this.before = now - this.spanStartedAt < this.spanMs * 2 ? this.current : 0
       this.current = 0
-      this.turnedAt = now
+      this.spanStartedAt = now
     }
     this.current = Math.max(this.current, value)
   }
--- a/request/gateway/src/homeRule.ts
+++ b/request/gateway/src/regionRule.ts
@@ -8,12 +8,12 @@
 import type { SendRule } from './sendRules'
 
 /** Why a request is not served where its service has endpoints in other regions only. */
-export const NOT_AT_HOME = 'no endpoint in its regions'
+export const OUTSIDE_REGIONS = 'no endpoint in its regions'
 /** When to come back where none of its regions serves: a region that was cut off is back within seconds at the earliest. */
-export const AWAY_COME_BACK_MS: Millis = 2_000
+export const OUTSIDE_REGIONS_RETRY_MS: Millis = 2_000
 
 /** Whose regions bind a request. */
-export interface HomeOwners {
+export interface RegionSources {
   request: Pick<CallerRequest, 'host' | 'path'>
   route: Route
   workspace?: KnownWorkspace
@@ -23,20 +23,24 @@
  * The regions that a request may be served in by a sheet, which may be newer than the one that it was let in by. What
  * that sheet no longer has binds as it did.
  */
-export function homesOf(index: RouteIndex, { request, route, workspace }: HomeOwners): Homes {
+export function allowedRegions(index: RouteIndex, { request, route, workspace }: RegionSources): Homes {
   const now = index.find(request.host, request.path) ?? route
   const owner = workspace && (index.workspace(workspace.name) ?? workspace)
   return bothHomes(now.regions, owner?.regions)
 }
 
 /** Lets no sending leave for an endpoint outside the regions that bind its request when it leaves. */
-export function homeRule(topology: Topology): SendRule {
-  return (to, job) => (isWithin(topology, to.zone, job.homes()) ? undefined : NOT_AT_HOME)
+export function regionRule(topology: Topology): SendRule {
+  return (to, job) => (isWithin(topology, to.zone, job.homes()) ? undefined : OUTSIDE_REGIONS)
 }
 
 /** Whether endpoints of a request's service are known, and all of them lie outside its regions. */
-export function isAwayOnly(pool: EndpointPool, { service, homes }: RelayJob, stage?: Stage): boolean {
+export function isOnlyOutsideRegions(
+  pool: EndpointPool,
+  { service, homes }: RelayJob,
+  stage?: Stage,
+): boolean {
   const regions = homes()
-  if (regions === undefined || pool.knows(service.name, { stage, regions })) return false
-  return pool.knows(service.name, { stage })
+  if (regions === undefined || pool.hasEndpoints(service.name, { stage, regions })) return false
+  return pool.hasEndpoints(service.name, { stage })
 }
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -14,10 +14,10 @@
 import type { Homes } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { CallerRequest } from './callerRequest'
-import type { ColdGate } from './coldGate'
+import type { ColdEndpointLimiter } from './coldEndpointLimiter'
 import type { EndpointPool, PooledEndpoint } from './endpointPool'
 import type { GatewayWire, TokenCounts } from './gatewayWire'
-import type { LimitGate } from './limitGate'
+import type { EndpointRateLimiter } from './endpointRateLimiter'
 import type { ModelPlacer } from './modelPlacer'
 import type { RetryAllowance } from './retryAllowance'
 import type { SendRule } from './sendRules'
@@ -33,9 +33,9 @@
   /** What each sending must obey, asked right before it leaves; nothing where left out. */
   sendRules?: SendRule[]
   /** What cold endpoints may get from here; none is cold where left out. */
-  cold?: ColdGate
+  cold?: ColdEndpointLimiter
   /** What endpoints that name rates may get from here; all where left out. */
-  limits?: LimitGate
+  limits?: EndpointRateLimiter
   /** The rates that endpoints name; what they say is not read where left out. */
   rates?: RateBook
   /** What endpoints say in their answers of what they want from here; not read where left out. */
--- a/request/gateway/src/remotePlacer.ts
+++ b/request/gateway/src/remotePlacer.ts
@@ -13,12 +13,18 @@
 import { toErrorBody } from '@forkstage/error'
 import type { Logger } from '@forkstage/logger'
 import type { Address, FailureDomain, Millis } from '@forkstage/types'
-import type { ColdGate } from './coldGate'
+import type { ColdEndpointLimiter } from './coldEndpointLimiter'
 import type { EndpointPool } from './endpointPool'
-import type { LimitGate } from './limitGate'
-import type { LeaderWay } from './leaderWay'
+import type { EndpointRateLimiter } from './endpointRateLimiter'
+import type { LeaderClient } from './leaderClient'
 import { waitFor } from './waitFor'
-import { refusedAs, type ModelPlace, type ModelPlacer, type ModelWork, type PlaceAnswer } from './modelPlacer'
+import {
+  refusalFor,
+  type ModelPlace,
+  type ModelPlacer,
+  type ModelWork,
+  type PlaceAnswer,
+} from './modelPlacer'
 import { poolPlace } from './poolPlace'
 
 /** Options of {@link RemotePlacer}. */
@@ -30,16 +36,16 @@
   /** Places while nobody can be asked. */
   fallback: ModelPlacer
   /** The way to the control machine that leads. */
-  way: LeaderWay
+  leaderClient: LeaderClient
   /** Takes what the leader counted for places at cold engines. */
-  cold?: ColdGate
+  cold?: ColdEndpointLimiter
   /** Takes what the leader counted for places at engines that name rates. */
-  limits?: LimitGate
+  limits?: EndpointRateLimiter
   clock: Clock
   logger: Logger
 }
 
-interface Active {
+interface ActivePlace {
   ask: PlaceAsk
   prefill?: string
   decode: string
@@ -50,7 +56,7 @@
 }
 
 /** Without a leader, one is waited for this share of the time in which a request hears of a refusal. */
-const WAIT_FOR_LEADER_SHARE = 0.7
+const LEADER_WAIT_SHARE = 0.7
 /** Added to the time a request may be held, for the way there and back. */
 const ANSWER_SLACK_MS = 200
 /** An entry that has nothing under way only shows that it is there. */
@@ -58,39 +64,39 @@
 /** While answers run, their progress tells the leader within a second when an engine has turned slow. */
 const REPORT_ACTIVE_MS = 400
 /** A new leader places once it has heard from the entries. */
-const LOOK_EVERY_MS = 40
-const LEADER_LOOK_MS = 20
+const REPORT_CHECK_MS = 40
+const LEADER_CHECK_MS = 20
 /** So many leaders are asked for one request, one after the other; then this entry places it. */
-const MOST_LEADERS = 3
+const MAX_LEADERS_ASKED = 3
 
 /** Asks the leading control machine for places, and reports what runs so that the next leader knows. */
 export class RemotePlacer implements ModelPlacer {
-  private readonly active = new Map<string, Active>()
+  private readonly active = new Map<string, ActivePlace>()
   private reportedTo: Address | undefined
   private reportedAt = -Infinity
-  private cancelLook: CancelTimer = () => undefined
+  private cancelReports: CancelTimer = () => undefined
 
   constructor(private readonly options: RemotePlacerOptions) {}
 
   start(): void {
-    this.cancelLook = every(this.options.clock, LOOK_EVERY_MS, () => this.reportIfDue())
+    this.cancelReports = every(this.options.clock, REPORT_CHECK_MS, () => this.reportIfDue())
   }
 
   stop(): void {
-    this.cancelLook()
+    this.cancelReports()
   }
 
   async place(work: ModelWork): Promise<PlaceAnswer> {
     const { clock, pool } = this.options
     // Whoever places has not heard what they said here.
-    const closed = pool.closed(work.service, { stage: 'decode', regions: work.regions })
-    if (closed !== undefined) return refusedAs(closed)
+    const unavailable = pool.unavailability(work.service, { stage: 'decode', regions: work.regions })
+    if (unavailable !== undefined) return refusalFor(unavailable)
     const first = this.toAsk(work)
     const askedAt = clock.now()
     let ask = first
     let decision = await this.ask(ask)
-    for (let tries = 1; decision === 'another leads' && tries < MOST_LEADERS; tries += 1) {
-      ask = laterBy(first, clock.now() - askedAt)
+    for (let tries = 1; decision === 'another leads' && tries < MAX_LEADERS_ASKED; tries += 1) {
+      ask = withElapsedTime(first, clock.now() - askedAt)
       decision = await this.ask(ask)
     }
     if (decision === 'another leads') decision = undefined
@@ -101,22 +107,24 @@
     }
     const answer = await this.options.fallback.place(work)
     if (answer.type === 'refused') return answer
-    return { type: 'place', place: this.tracked(ask, answer.place) }
+    return { type: 'place', place: this.reportedPlace(ask, answer.place) }
   }
 
   private async ask(ask: PlaceAsk): Promise<PlaceDecision | 'another leads' | undefined> {
-    const { way, logger, clock } = this.options
+    const { leaderClient, logger, clock } = this.options
     // While a leader is being elected one comes in a moment.
-    const leader = await waitFor(clock, Math.max(0, ask.promptMs) * WAIT_FOR_LEADER_SHARE, () => way.leader())
+    const leader = await waitFor(clock, Math.max(0, ask.promptMs) * LEADER_WAIT_SHARE, () =>
+      leaderClient.leader(),
+    )
     const watch = this.watchLeader(leader)
     const askedAt = clock.now()
     try {
-      const call = way.call<PlaceDecision>(PLACE.ask, { ask }, ask.holdMs + ANSWER_SLACK_MS)
+      const call = leaderClient.call<PlaceDecision>(PLACE.ask, { ask }, ask.holdMs + ANSWER_SLACK_MS)
       const decision = await Promise.race([call, watch.changed])
-      if (decision !== 'another leads' && decision.type === 'placed') this.takeCounted(ask, decision, askedAt)
+      if (decision !== 'another leads' && decision.type === 'placed') this.addGrants(ask, decision, askedAt)
       return decision
     } catch (error) {
-      way.notify(PLACE.withdraw, { request: ask.request })
+      leaderClient.notify(PLACE.withdraw, { request: ask.request })
       logger.warn('place.alone', { request: ask.request, reason: toErrorBody(error).message })
       return undefined
     } finally {
@@ -124,10 +132,10 @@
     }
   }
 
-  private takeCounted({ request }: PlaceAsk, placed: Placed, askedAt: Millis): void {
+  private addGrants({ request }: PlaceAsk, placed: Placed, askedAt: Millis): void {
     const { cold, limits } = this.options
-    cold?.take(request, placed, askedAt)
-    limits?.take(request, placed, askedAt)
+    cold?.addGrants(request, placed, askedAt)
+    limits?.addGrants(request, placed, askedAt)
   }
 
   /** Tells when another machine than `leader` leads, or none: what was asked there waits for nothing. */
@@ -135,13 +143,13 @@
     changed: Promise<'another leads'>
     cancel: () => void
   } {
-    const { way, clock } = this.options
+    const { leaderClient, clock } = this.options
     let cancel: CancelTimer = () => undefined
     const changed = new Promise<'another leads'>((resolve) => {
       // Asked through a neighbour, which knows better than this entry who leads.
       if (leader === undefined) return
-      cancel = every(clock, LEADER_LOOK_MS, () => {
-        if (way.leader() !== leader) resolve('another leads')
+      cancel = every(clock, LEADER_CHECK_MS, () => {
+        if (leaderClient.leader() !== leader) resolve('another leads')
       })
     })
     return { changed, cancel: () => cancel() }
@@ -149,30 +157,31 @@
 
   private toAsk(work: ModelWork): PlaceAsk {
     const { entry, domain, pool } = this.options
-    const closed = pool.closedEngines(work.service)
-    const avoid = closed.length > 0 ? { avoid: closed } : {}
+    const unavailable = pool.unavailableEngines(work.service)
+    const avoid = unavailable.length > 0 ? { avoid: unavailable } : {}
     return { ...work, entry, entryDomain: domain, except: [...work.except], ...avoid }
   }
 
   /** The place by its engines, or undefined where this entry does not know them yet, or not in the request's regions. */
   private toPlace(ask: PlaceAsk, placed: Placed): ModelPlace | undefined {
     const { pool } = this.options
-    const decode = pool.atHome(placed.decode, ask.regions)
-    const prefill = placed.prefill === undefined ? undefined : pool.atHome(placed.prefill, ask.regions)
+    const decode = pool.getWithinRegions(placed.decode, ask.regions)
+    const prefill =
+      placed.prefill === undefined ? undefined : pool.getWithinRegions(placed.prefill, ask.regions)
     const isUnknown = decode === undefined || (placed.prefill !== undefined && prefill === undefined)
     if (isUnknown) {
-      this.options.way.notify(PLACE.withdraw, { request: ask.request })
+      this.options.leaderClient.notify(PLACE.withdraw, { request: ask.request })
       return undefined
     }
     const { promptTokens, mostTokens, hintTokens } = ask
     const tokens = promptTokens + Math.min(mostTokens, hintTokens ?? mostTokens)
     const { readsInMs, readElsewhereInMs } = placed
     const place = poolPlace({ pool, prefill, decode, promptTokens, tokens })
-    return this.tracked(ask, { ...place, readsInMs, readElsewhereInMs })
+    return this.reportedPlace(ask, { ...place, readsInMs, readElsewhereInMs })
   }
 
   /** A place whose course the leader is told. */
-  private tracked(ask: PlaceAsk, place: ModelPlace): ModelPlace {
+  private reportedPlace(ask: PlaceAsk, place: ModelPlace): ModelPlace {
     const { clock } = this.options
     const { request } = ask
     const decodingAt = place.prefill === undefined ? clock.now() : undefined
@@ -181,56 +190,63 @@
       decode: place.decode,
       readsInMs: place.readsInMs,
       readElsewhereInMs: place.readElsewhereInMs,
-      notePrefilled: (outcome, tookMs) => {
+      reportPrefilled: (outcome, tookMs) => {
         hold.decodingAt = clock.now()
-        place.notePrefilled(outcome, tookMs)
-        this.options.way.notify(PLACE.prefilled, { request, outcome, tookMs: Math.round(tookMs) })
+        place.reportPrefilled(outcome, tookMs)
+        this.options.leaderClient.notify(PLACE.prefilled, { request, outcome, tookMs: Math.round(tookMs) })
       },
-      noteStalled: (forMs) => this.noteSilent(hold.decode, forMs),
-      noteMoved: (to) => {
-        place.noteMoved(to)
+      reportStalled: (forMs) => this.reportSilent(hold.decode, forMs),
+      reportMoved: (to) => {
+        place.reportMoved(to)
         tracked.decode = to
         hold.decode = to.endpoint.id
       },
       release: (outcome, tookMs, madeTokens) => {
         this.active.delete(request)
         place.release(outcome, tookMs, madeTokens)
-        this.options.way.notify(PLACE.release, { request, decode: hold.decode, outcome, madeTokens })
+        this.options.leaderClient.notify(PLACE.release, { request, decode: hold.decode, outcome, madeTokens })
       },
     }
     const prefill = place.prefill?.endpoint.id
     const decode = place.decode.endpoint.id
     const kept = { ...ask, avoid: undefined }
-    const hold: Active = { ask: kept, prefill, decode, placedAt: clock.now(), decodingAt, place: tracked }
+    const hold: ActivePlace = {
+      ask: kept,
+      prefill,
+      decode,
+      placedAt: clock.now(),
+      decodingAt,
+      place: tracked,
+    }
     this.active.set(request, hold)
     return tracked
   }
 
-  private noteSilent(endpoint: string, forMs: Millis): void {
+  private reportSilent(endpoint: string, forMs: Millis): void {
     const outcome: UseOutcome = 'silent'
-    this.options.way.notify(PLACE.note, { endpoint, outcome, tookMs: Math.round(forMs) })
+    this.options.leaderClient.notify(PLACE.note, { endpoint, outcome, tookMs: Math.round(forMs) })
   }
 
   private reportIfDue(): void {
-    const { clock, entry, way } = this.options
-    const leader = way.leader()
+    const { clock, entry, leaderClient } = this.options
+    const leader = leaderClient.leader()
     const isNew = leader !== this.reportedTo
     const everyMs = this.active.size > 0 ? REPORT_ACTIVE_MS : REPORT_IDLE_MS
     if (!isNew && clock.now() - this.reportedAt < everyMs) return
     this.reportedTo = leader
     this.reportedAt = clock.now()
     const holds = [...this.active.values()].map((one) => toReported(one, clock.now()))
-    if (holds.length === 0) return way.notify(PLACE.report, { entry, holds })
-    void way
-      .askLeader<ReportAnswer | undefined>(PLACE.report, { entry, holds }, REPORT_ACTIVE_MS * 2)
-      .then((answer) => this.move(answer?.moves ?? []))
+    if (holds.length === 0) return leaderClient.notify(PLACE.report, { entry, holds })
+    void leaderClient
+      .tryCallOrNotify<ReportAnswer | undefined>(PLACE.report, { entry, holds }, REPORT_ACTIVE_MS * 2)
+      .then((answer) => this.applyMoves(answer?.moves ?? []))
   }
 
   /** Lets answers go on at other engines, as the leader wants. */
-  private move(moves: AnswerMove[]): void {
+  private applyMoves(moves: AnswerMove[]): void {
     for (const { request, to } of moves) {
       const hold = this.active.get(request)
-      const endpoint = hold && this.options.pool.atHome(to, hold.ask.regions)
+      const endpoint = hold && this.options.pool.getWithinRegions(to, hold.ask.regions)
       if (endpoint !== undefined) hold?.place.moveTo?.(endpoint)
     }
   }
@@ -242,7 +258,7 @@
 }
 
 /** A request that asks again, with the times that it has left. */
-function laterBy(ask: PlaceAsk, passedMs: Millis): PlaceAsk {
+function withElapsedTime(ask: PlaceAsk, passedMs: Millis): PlaceAsk {
   return {
     ...ask,
     targetMs: ask.targetMs - passedMs,
@@ -254,7 +270,7 @@
 }
 
 function toReported(
-  { ask, prefill, decode, placedAt, decodingAt, place }: Active,
+  { ask, prefill, decode, placedAt, decodingAt, place }: ActivePlace,
   now: Millis,
 ): ReportedHold {
   const madeTokens = place.madeTokens?.() ?? 0
--- a/request/gateway/src/runMoves.ts
+++ b/request/gateway/src/runMoves.ts
@@ -58,7 +58,7 @@
     this.move = move
     const isCopied = await move.copy()
     // Also the rest must not be copied where the request must not go any more.
-    const isAllowed = parts.pool.atHome(to.endpoint.id, job.homes()) !== undefined
+    const isAllowed = parts.pool.getWithinRegions(to.endpoint.id, job.homes()) !== undefined
     const isSame = this.isRunning() && run.exchange === stream && isAllowed
     this.sending = isCopied && isSame ? this.count.open('decode') : undefined
     if (this.sending !== undefined) return move.stop()
--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -35,8 +35,9 @@
     placedAt !== undefined && placedAt < parts.clock.suspendedAt() ? SUSPENDED : undefined
   const ends: SendRule = (_to, { request, service }) =>
     parts.crashes?.refusal(request.content, service.name) === undefined ? undefined : ENDS_ENDPOINTS
-  const cold: SendRule = (endpoint, { request }, one) => parts.cold?.whyNot(endpoint, request.id, one)
-  const limited: SendRule = (endpoint, { request }, one) => parts.limits?.whyNot(endpoint, request.id, one)
+  const cold: SendRule = (endpoint, { request }, one) => parts.cold?.checkAndCount(endpoint, request.id, one)
+  const limited: SendRule = (endpoint, { request }, one) =>
+    parts.limits?.checkAndCount(endpoint, request.id, one)
   const told: SendRule = ({ id }, { keptAt }) => whyNotByWord(parts, id, keptAt === id)
   for (const rule of [suspended, ...(parts.sendRules ?? []), ends, told, cold, limited]) {
     const reason = rule(to, job, step)
--- a/request/gateway/src/streamRelay.ts
+++ b/request/gateway/src/streamRelay.ts
@@ -3,7 +3,7 @@
 import type { Millis } from '@forkstage/types'
 import { afterTry, type AfterTry } from './afterTry'
 import { cancelWhenEnded } from './cancelWhenEnded'
-import { withoutFirst } from './callerRequest'
+import { withoutFirstDuplicate } from './callerRequest'
 import { CallerStream } from './callerStream'
 import {
   EngineStream,
@@ -33,9 +33,9 @@
 import { readVerdict } from './readVerdict'
 import { SendCount, type CountedSending } from './sendCount'
 import { ENDS_ENDPOINTS } from './sendRules'
-import { AWAY_COME_BACK_MS, isAwayOnly, NOT_AT_HOME } from './homeRule'
+import { OUTSIDE_REGIONS_RETRY_MS, isOnlyOutsideRegions, OUTSIDE_REGIONS } from './regionRule'
 import { comeBackMs, reasonOf, type Tried, type Unanswered } from './streamTry'
-import { untilEngineIsKnown } from './untilEngineIsKnown'
+import { waitForDecodeEngine } from './waitForDecodeEngine'
 
 const OK = 200
 const NOT_READ = 'the prompt was not read'
@@ -81,7 +81,7 @@
   async relay(): Promise<RelayResult> {
     const { clock } = this.parts
     const { request, endsAt } = this.job
-    request.onGone(() => this.finish('the caller has gone'))
+    request.onDisconnect(() => this.finish('the caller has gone'))
     const cancelLimit = clock.after(Math.max(0, endsAt - clock.now() - ANSWER_MARGIN_MS), () =>
       this.answerLate(),
     )
@@ -99,23 +99,23 @@
       const refused = this.parts.crashes?.refusal(request.content, service.name)
       if (refused !== undefined) return this.answerWithout(ENDS_ENDPOINTS, refused.leftMs)
       const attempt = await this.tryOnce()
-      if (attempt.type === 'over' || this.isOver) return this.caller.overResult()
+      if (attempt.type === 'over' || this.isOver) return this.caller.endedResult()
       if (attempt.type === 'done' || attempt.type === 'passed')
         return { status: attempt.type === 'done' ? OK : attempt.status, outcome: 'answered' }
       if (attempt.type === 'not-run') refusals += 1
       const next = this.afterTry(attempt, refusals)
       if (next.type === 'end') return this.answerWithout(reasonOf(attempt), comeBackMs(attempt))
       if (next.afterMs > 0) await this.waitToGoOn(attempt, next.afterMs)
-      if (this.isOver) return this.caller.overResult()
+      if (this.isOver) return this.caller.endedResult()
     }
   }
 
   /** Asks for a place and has the answer made there. */
   private async tryOnce(): Promise<Tried> {
     const { pool, placer, clock } = this.parts
-    await untilEngineIsKnown(this.parts, this.job)
-    if (isAwayOnly(pool, this.job, 'decode'))
-      return { type: 'refused', reason: NOT_AT_HOME, retryAfterMs: AWAY_COME_BACK_MS }
+    await waitForDecodeEngine(this.parts, this.job)
+    if (isOnlyOutsideRegions(pool, this.job, 'decode'))
+      return { type: 'refused', reason: OUTSIDE_REGIONS, retryAfterMs: OUTSIDE_REGIONS_RETRY_MS }
     this.job.placedAt = clock.now()
     const answer = await placer.place(this.work())
     if (answer.type === 'refused') return answer
@@ -210,7 +210,7 @@
     const from = place.decode
     const outcome = attempt.type === 'not-run' ? note : 'moved'
     this.sends.push({ to: from.endpoint.id, step: 'decode', outcome, tookMs: 0 })
-    if (next.at !== from) place.noteMoved(next.at)
+    if (next.at !== from) place.reportMoved(next.at)
     const { at, sending, source, handle } = next
     return this.streamOn(place, await this.streamAt(at, sending, { at: source, handle }))
   }
@@ -242,7 +242,7 @@
     let hasLeft = false
     const cancel = this.parts.clock.after(route.targetMs, () => {
       if (this.madeEvents > 0 || this.isOver) return
-      place.noteStalled(route.targetMs)
+      place.reportStalled(route.targetMs)
       hasLeft = route.resumable && this.mayHaveRun + 1 < route.attempts
       if (!hasLeft) return
       this.except.add(place.decode.endpoint.id)
@@ -275,7 +275,7 @@
         address: to.endpoint.address,
         method: job.request.method,
         path: job.request.path,
-        rawHeaders: this.hasBegun ? withoutFirst(rawHeaders, headers.lastEventId) : rawHeaders,
+        rawHeaders: this.hasBegun ? withoutFirstDuplicate(rawHeaders, headers.lastEventId) : rawHeaders,
         body: job.request.body,
         connectMs: CONNECT_MS,
         clock: parts.clock,
@@ -317,10 +317,10 @@
   passEvents(head: AnswerHead, events: StreamEvent[]): void {
     this.madeEvents += events.length
     this.waits = 0
-    this.caller.passEvents(head, events)
+    this.caller.forwardEvents(head, events)
   }
 
-  passEnd = (head: AnswerHead, rest: Buffer): void => this.caller.passEnd(head, rest)
+  passEnd = (head: AnswerHead, rest: Buffer): void => this.caller.forwardEnd(head, rest)
 
   passFailure = (head: AnswerHead, body: Buffer): number => passFailure(this.job.request.response, head, body)
 
--- a/request/gateway/src/tokenCounts.ts
+++ b/request/gateway/src/tokenCounts.ts
@@ -1,4 +1,4 @@
-import { single, type CallerRequest } from './callerRequest'
+import { firstValue, type CallerRequest } from './callerRequest'
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 
 /** More than any engine holds by far; what declares more is an error, and would empty a quota at once. */
@@ -9,7 +9,7 @@
   request: CallerRequest,
   wire: GatewayWire,
 ): TokenCounts | 'malformed' | undefined {
-  const value = single(request.headers[wire.headers.tokenCounts])
+  const value = firstValue(request.headers[wire.headers.tokenCounts])
   if (value === undefined) return undefined
   const counts = wire.readTokenCounts(value)
   if (counts === undefined || counts.prompt + counts.most > MOST_TOKENS) return 'malformed'
--- /dev/null
+++ b/request/gateway/src/waitForDecodeEngine.ts
@@ -0,0 +1,10 @@
+import type { RelayJob, RelayParts } from './relayParts'
+import { waitFor } from './waitFor'
+
+const WAIT_FOR_ENGINES_MS = 250
+
+/** A machine that has just started learns its endpoints in a moment. */
+export async function waitForDecodeEngine({ pool, clock }: RelayParts, { service }: RelayJob): Promise<void> {
+  const limit = pool.isFullyBarred(service.name, 'decode') ? 0 : WAIT_FOR_ENGINES_MS
+  await waitFor(clock, limit, () => pool.hasEndpoints(service.name, { stage: 'decode' }) || undefined)
+}
--- a/request/gateway/src/workspaceGate.ts
+++ b/request/gateway/src/workspaceAdmission.ts
@@ -9,8 +9,8 @@
 import type { RelayResult } from './relayParts'
 import { judgeKey, withWorkspace, type KeyVerdict } from './workspaceKey'
 
-/** Options of {@link WorkspaceGate}. */
-export interface WorkspaceGateOptions {
+/** Options of {@link WorkspaceAdmission}. */
+export interface WorkspaceAdmissionOptions {
   wire: GatewayWire
   quotas: QuotaKeeper
   /** Whether the sheet in force here is the newest, as far as this entry can know. */
@@ -20,7 +20,7 @@
 }
 
 /** A request that may go on, as endpoints may see it. */
-export interface Entrant {
+export interface AdmittedRequest {
   type: 'passed'
   request: CallerRequest
   workspace?: KnownWorkspace
@@ -31,20 +31,20 @@
 }
 
 /** A request that has got its answer here. */
-export interface TurnedAway {
+export interface RejectedRequest {
   type: 'answered'
   result: RelayResult
 }
 
 /** A key may be one of a version that is on its way here. */
-const NEWER_SHEET_MS = 500
+const NEWER_SHEET_RETRY_MS = 500
 
 /** Lets callers in by the keys and quotas of their workspaces. */
-export class WorkspaceGate {
-  constructor(private readonly options: WorkspaceGateOptions) {}
+export class WorkspaceAdmission {
+  constructor(private readonly options: WorkspaceAdmissionOptions) {}
 
   /** Whether a request shows a key that a newer sheet than the one in force here may have. */
-  mayBeNewer(request: CallerRequest, route: Route, { keys }: RouteIndex): boolean {
+  mayHaveNewerKey(request: CallerRequest, route: Route, { keys }: RouteIndex): boolean {
     if (keys === undefined || route.isPublic === true || this.options.isCurrent()) return false
     const verdict = judgeKey(request, keys, this.options.wire)
     return verdict.type === 'refused' && verdict.isUnknown
@@ -56,7 +56,7 @@
     route: Route,
     index: RouteIndex,
     tokens: TokenCounts | undefined,
-  ): Promise<Entrant | TurnedAway> {
+  ): Promise<AdmittedRequest | RejectedRequest> {
     const { wire } = this.options
     if (index.keys === undefined) return { type: 'passed', request }
     const verdict = judgeKey(request, index.keys, wire)
@@ -65,17 +65,17 @@
       return { type: 'passed', request: withWorkspace(request, owner?.name, wire), owner }
     }
     if (verdict.type === 'refused') return this.refuseKey(request, route, index, verdict)
-    return this.spend(request, verdict.workspace, index, tokens)
+    return this.admitByQuota(request, verdict.workspace, index, tokens)
   }
 
-  private async spend(
+  private async admitByQuota(
     request: CallerRequest,
     workspace: KnownWorkspace,
     index: RouteIndex,
     tokens: TokenCounts | undefined,
-  ): Promise<Entrant | TurnedAway> {
+  ): Promise<AdmittedRequest | RejectedRequest> {
     const { wire, quotas, clock, logger } = this.options
-    const passed: Entrant = {
+    const passed: AdmittedRequest = {
       type: 'passed',
       request: withWorkspace(request, workspace.name, wire),
       workspace,
@@ -97,11 +97,11 @@
       sheetVersion: index.sheet.version,
       waitedMs: Math.round(clock.now() - request.arrivedAt),
     })
-    return turnAway(request, 'over quota', {
+    return reject(request, 'over quota', {
       status: 429,
       code: 'FORKSTAGE_OVER_QUOTA',
       message: `Workspace ${workspace.name} has used up what it may ask for at the moment.`,
-      retryAfterMs: soonEnough(request, retryAfterMs),
+      retryAfterMs: withinDeadline(request, retryAfterMs),
     })
   }
 
@@ -110,7 +110,7 @@
     route: Route,
     { sheet }: RouteIndex,
     { reason, digest, isUnknown }: Extract<KeyVerdict, { type: 'refused' }>,
-  ): TurnedAway {
+  ): RejectedRequest {
     const { logger, isCurrent } = this.options
     const isCertain = !isUnknown || isCurrent()
     logger.info('key.refused', {
@@ -122,13 +122,13 @@
       outcome: isCertain ? 'refused' : 'come back: the sheet here may be old',
     })
     if (!isCertain)
-      return turnAway(request, 'key of a newer sheet', {
+      return reject(request, 'key of a newer sheet', {
         status: 503,
         code: 'FORKSTAGE_SHEET_MAY_BE_OLD',
         message: 'This entry does not know the key, and may lack the newest sheet.',
-        retryAfterMs: NEWER_SHEET_MS,
+        retryAfterMs: NEWER_SHEET_RETRY_MS,
       })
-    return turnAway(request, 'no known key', {
+    return reject(request, 'no known key', {
       status: 401,
       code: 'FORKSTAGE_NO_KNOWN_KEY',
       message: `The request has ${reason}; it needs the key of a workspace.`,
@@ -143,11 +143,11 @@
 }
 
 /** A caller that is told to come back after its own deadline would not come back at all. */
-function soonEnough(request: CallerRequest, retryAfterMs: Millis): Millis {
+function withinDeadline(request: CallerRequest, retryAfterMs: Millis): Millis {
   return Number.isFinite(request.deadlineMs) ? Math.min(retryAfterMs, request.deadlineMs) : retryAfterMs
 }
 
-function turnAway({ response }: CallerRequest, outcome: string, answer: OwnAnswer): TurnedAway {
+function reject({ response }: CallerRequest, outcome: string, answer: OwnAnswer): RejectedRequest {
   sendOwnAnswer(response, answer)
   return { type: 'answered', result: { status: answer.status, outcome, sends: [], hasNotRun: true } }
 }
--- a/request/gateway/src/workspaceKey.ts
+++ b/request/gateway/src/workspaceKey.ts
@@ -10,7 +10,7 @@
 
 /** Finds the workspace of a request by its one key. */
 export function judgeKey(request: CallerRequest, keys: KeyRing, wire: GatewayWire): KeyVerdict {
-  const values = valuesOf(request.rawHeaders, wire.headers.key)
+  const values = headerValues(request.rawHeaders, wire.headers.key)
   const [key] = values
   if (key === undefined) return refused('no key')
   if (values.length > 1) return refused('more than one key')
@@ -36,6 +36,6 @@
   return { type: 'refused', reason, isUnknown: false }
 }
 
-function valuesOf(rawHeaders: string[], name: string): string[] {
+function headerValues(rawHeaders: string[], name: string): string[] {
   return rawHeaders.filter((_, index) => index % 2 === 1 && rawHeaders[index - 1]!.toLowerCase() === name)
 }
--- a/request/gateway/test/begunAnswers.test.ts
+++ b/request/gateway/test/begunAnswers.test.ts
@@ -8,7 +8,7 @@
 import { once } from 'node:events'
 import { describe, expect, it } from 'vitest'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 import {
   answers,
   endsWith,
@@ -186,7 +186,7 @@
   it('still leaves whole on a slow link when the entry stops', async () => {
     const body = 'x'.repeat(LARGE_BYTES)
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, body)))
-    const world = await GatewayWorld.start([{ address: worker.address }], [{ kind: 'safe' }])
+    const world = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
     const { request, answer } = world.open('/p/')
     request.end()
     const [response] = (await once(request, 'response')) as [NodeJS.ReadableStream]
@@ -207,7 +207,7 @@
   async function startSlow() {
     const body = 'x'.repeat(LARGE_BYTES)
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, body)))
-    const world = await GatewayWorld.start([{ address: worker.address }], [{ kind: 'safe' }])
+    const world = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
     const { request, answer } = world.open('/p/')
     answer.catch(() => undefined)
     request.end()
--- a/request/gateway/test/choiceWorld.ts
+++ b/request/gateway/test/choiceWorld.ts
@@ -1,7 +1,7 @@
 import { createSeededRandom, ManualClock } from '@forkstage/clock'
 import { createSilentLogger } from '@forkstage/logger'
 import { EndpointPool, type PooledEndpoint } from '../src'
-import { fullEndpoint } from './fullRows'
+import { endpointWithDefaults } from './rowsWithDefaults'
 
 const TARGET_MS = 300
 /** How long a caller waits for an endpoint with room. */
@@ -49,7 +49,7 @@
   }))
   const pools = Array.from({ length: entries }, () => {
     const pool = new EndpointPool({ zone: 'z', clock, random, logger: createSilentLogger() })
-    pool.update(workMs.map((_, index) => fullEndpoint({ slots, address: `e${index}:1` }, index)))
+    pool.update(workMs.map((_, index) => endpointWithDefaults({ slots, address: `e${index}:1` }, index)))
     return pool
   })
   let sent = 0
@@ -66,19 +66,19 @@
   const send = (pool: EndpointPool, to: PooledEndpoint, sentAt: number) => {
     const index = Number(to.endpoint.id.slice(2))
     const at = endpoints[index]!
-    pool.noteSent(to)
+    pool.recordSend(to)
     at.arrivals.push(clock.now())
     const startedAt = clock.now()
     const end = () => {
       const tookMs = clock.now() - startedAt
-      pool.noteEnd(to, 'ok', tookMs)
-      to.limit.noteAnswer(tookMs, TARGET_MS)
+      pool.recordEnd(to, 'ok', tookMs)
+      to.limit.recordAnswer(tookMs, TARGET_MS)
       if (clock.now() - sentAt <= TARGET_MS) inTime += 1
     }
     if (at.working < slots) return work(at, end)
     if (at.queue.length >= QUEUE) {
-      pool.noteEnd(to, 'full', 0)
-      return to.limit.noteFull()
+      pool.recordEnd(to, 'full', 0)
+      return to.limit.recordFull()
     }
     at.queue.push(() => work(at, end))
     at.longestQueue = Math.max(at.longestQueue, at.queue.length)
--- a/request/gateway/test/coldGate.test.ts
+++ b/request/gateway/test/coldEndpointLimiter.test.ts
@@ -3,8 +3,8 @@
 import type { RegisteredEndpoint, Stage } from '@forkstage/directory'
 import { createSilentLogger } from '@forkstage/logger'
 import { describe, expect, it } from 'vitest'
-import { ColdGate, EndpointPool, LocalPlacer } from '../src'
-import { drawnShare } from '../src/drawnShare'
+import { ColdEndpointLimiter, EndpointPool, LocalPlacer } from '../src'
+import { perEntryShare } from '../src/perEntryShare'
 
 const START_MS = 1_000
 /** Past the first seconds of an entry, in which it takes the entries to be many. */
@@ -16,30 +16,32 @@
 }
 
 /** A gate to endpoints that are cold unless named, and the clock that it goes by. */
-function gate(fields: { perSecond?: number; entries?: number; random?: Random; clock?: ManualClock } = {}) {
+function createLimiter(
+  fields: { perSecond?: number; entries?: number; random?: Random; clock?: ManualClock } = {},
+) {
   const { perSecond = 20, entries = 1, random = () => 0.5, clock = new ManualClock() } = fields
   const warm = new Set<string>()
   const silent = new Set<string>()
-  const one = new ColdGate({
+  const one = new ColdEndpointLimiter({
     clock,
     random,
     leftMs: (id) => (warm.has(id) ? 0 : 3_000),
-    hasSaid: (id) => !silent.has(id),
+    hasReportedCold: (id) => !silent.has(id),
     perSecond: () => perSecond,
     entries: () => entries,
   })
-  return { gate: one, clock, warm, silent }
+  return { limiter: one, clock, warm, silent }
 }
 
 /** How many of some tries may leave by themselves. */
-function tries(one: ColdGate, to: RegisteredEndpoint, count: number): number {
-  const results = Array.from({ length: count }, (_, index) => one.whyNot(to, `r${index}`, 'plain'))
+function tries(one: ColdEndpointLimiter, to: RegisteredEndpoint, count: number): number {
+  const results = Array.from({ length: count }, (_, index) => one.checkAndCount(to, `r${index}`, 'plain'))
   return results.filter((reason) => reason === undefined).length
 }
 
 describe('ColdGate', () => {
   it('lets all pass to warm endpoints, and counts nothing there', () => {
-    const { gate: one, warm } = gate({ perSecond: 0 })
+    const { limiter: one, warm } = createLimiter({ perSecond: 0 })
     warm.add('w')
     expect(tries(one, endpoint('w'), 100)).toBe(100)
   })
@@ -61,7 +63,7 @@
           const clock = new ManualClock()
           const gates = Array.from(
             { length: entries },
-            () => gate({ perSecond, entries, random, clock }).gate,
+            () => createLimiter({ perSecond, entries, random, clock }).limiter,
           )
           clock.advance(SETTLED_MS)
           // Each tries as often as it may, at the end of one second and the beginning of the next.
@@ -81,16 +83,16 @@
   )
 
   it('leaves callers more than half of the bound where 81 entries draw', () => {
-    expect(drawnShare(54.5, 81) * 81).toBeCloseTo(36)
-    expect(drawnShare(54.5, 3) * 3).toBeCloseTo(50.5, 0)
+    expect(perEntryShare(54.5, 81) * 81).toBeCloseTo(36)
+    expect(perEntryShare(54.5, 3) * 3).toBeCloseTo(50.5, 0)
     // Without a leader, a tenth of that for engines.
-    expect(drawnShare(5.45, 81) * 81).toBeCloseTo(1)
+    expect(perEntryShare(5.45, 81) * 81).toBeCloseTo(1)
   })
 
   it('gives hardly any entry no endpoint of several that are cold', () => {
     const random = createSeededRandom(3)
     const without = Array.from({ length: 200 }, () => {
-      const { gate: one, clock } = gate({ perSecond: 54.5, entries: 81, random })
+      const { limiter: one, clock } = createLimiter({ perSecond: 54.5, entries: 81, random })
       clock.advance(SETTLED_MS)
       return ['a', 'b', 'c', 'd'].every((id) => tries(one, endpoint(id), 1) === 0)
     })
@@ -98,9 +100,9 @@
   })
 
   it('sends nothing by itself in its first second, since its process may have sent some before', () => {
-    const { gate: one, clock } = gate()
+    const { limiter: one, clock } = createLimiter()
     expect(tries(one, endpoint('c'), 5)).toBe(0)
-    expect(one.freeIn([{ endpoint: endpoint('c') }] as never)).toBe(START_MS)
+    expect(one.availableInMs([{ endpoint: endpoint('c') }] as never)).toBe(START_MS)
     clock.advance(SETTLED_MS)
     expect(tries(one, endpoint('c'), 5)).toBe(5)
   })
@@ -108,23 +110,23 @@
   it('believes the largest count of entries that it heard lately: control machines that restart count from one', () => {
     const clock = new ManualClock()
     let entries = 81
-    const one = new ColdGate({
+    const one = new ColdEndpointLimiter({
       clock,
       random: () => 0.999,
       leftMs: () => 3_000,
-      hasSaid: () => true,
+      hasReportedCold: () => true,
       perSecond: () => 54,
       entries: () => entries,
     })
     clock.advance(SETTLED_MS)
-    one.look()
+    one.sweep()
     entries = 1
     clock.advance(5_000)
     expect(tries(one, endpoint('c'), 60)).toBe(0)
   })
 
   it('lets a step leave that the leader counted, once, at that engine, in time', () => {
-    const { gate: one, clock, warm } = gate({ perSecond: 0 })
+    const { limiter: one, clock, warm } = createLimiter({ perSecond: 0 })
     warm.add('p')
     const placed = {
       type: 'placed' as const,
@@ -132,42 +134,42 @@
       decode: 'd',
       cold: { waitedMs: 100, decodeMs: 1_000 },
     }
-    one.take('r1', placed, 0)
-    one.take('r2', placed, 0)
+    one.addGrants('r1', placed, 0)
+    one.addGrants('r2', placed, 0)
     clock.advance(1_100)
-    expect(one.whyNot(endpoint('p', 'prefill'), 'r1', 'prefill')).toBeUndefined()
-    expect(one.whyNot(endpoint('other', 'decode'), 'r1', 'decode')).toBeDefined()
-    expect(one.whyNot(endpoint('d', 'decode'), 'r1', 'decode')).toBeUndefined()
-    expect(one.whyNot(endpoint('d', 'decode'), 'r1', 'decode')).toBeDefined()
+    expect(one.checkAndCount(endpoint('p', 'prefill'), 'r1', 'prefill')).toBeUndefined()
+    expect(one.checkAndCount(endpoint('other', 'decode'), 'r1', 'decode')).toBeDefined()
+    expect(one.checkAndCount(endpoint('d', 'decode'), 'r1', 'decode')).toBeUndefined()
+    expect(one.checkAndCount(endpoint('d', 'decode'), 'r1', 'decode')).toBeDefined()
     clock.advance(1)
-    expect(one.whyNot(endpoint('d', 'decode'), 'r2', 'decode')).toBeDefined()
+    expect(one.checkAndCount(endpoint('d', 'decode'), 'r2', 'decode')).toBeDefined()
   })
 
   it('believes a leader that takes an engine for warm where that has said nothing here, and no other', () => {
-    const { gate: one, silent } = gate({ perSecond: 0 })
+    const { limiter: one, silent } = createLimiter({ perSecond: 0 })
     silent.add('d1')
-    one.take('r1', { type: 'placed', decode: 'd1' }, 0)
-    one.take('r2', { type: 'placed', decode: 'd2' }, 0)
-    expect(one.whyNot(endpoint('d1', 'decode'), 'r1', 'decode')).toBeUndefined()
-    expect(one.whyNot(endpoint('d2', 'decode'), 'r2', 'decode')).toBeDefined()
-    expect(one.whyNot(endpoint('d1', 'decode'), 'r3', 'decode')).toBeDefined()
+    one.addGrants('r1', { type: 'placed', decode: 'd1' }, 0)
+    one.addGrants('r2', { type: 'placed', decode: 'd2' }, 0)
+    expect(one.checkAndCount(endpoint('d1', 'decode'), 'r1', 'decode')).toBeUndefined()
+    expect(one.checkAndCount(endpoint('d2', 'decode'), 'r2', 'decode')).toBeDefined()
+    expect(one.checkAndCount(endpoint('d1', 'decode'), 'r3', 'decode')).toBeDefined()
   })
 
   it('leaves an engine that nobody placed at a tenth of the bound, over all entries', () => {
-    const { gate: one, clock } = gate({ perSecond: 100, entries: 1 })
+    const { limiter: one, clock } = createLimiter({ perSecond: 100, entries: 1 })
     clock.advance(SETTLED_MS)
     expect(tries(one, endpoint('d', 'decode'), 200)).toBeLessThanOrEqual(10)
   })
 })
 
 describe('what an entry chooses beside cold endpoints', () => {
-  const pooled = (gateOf: ReturnType<typeof gate>, endpoints: RegisteredEndpoint[]) => {
+  const pooled = (gateOf: ReturnType<typeof createLimiter>, endpoints: RegisteredEndpoint[]) => {
     const pool = new EndpointPool({
       zone: 'z',
       clock: gateOf.clock,
       random: () => 0,
       logger: createSilentLogger(),
-      isCold: (id) => gateOf.gate.isCold(id),
+      isCold: (id) => gateOf.limiter.isCold(id),
     })
     pool.update(endpoints)
     return pool
@@ -189,15 +191,15 @@
   }
 
   it('is a warm engine where there is one, however busy; alone with cold ones its own share, then a true refusal', async () => {
-    const world = gate({ perSecond: 50, entries: 1 })
+    const setup = createLimiter({ perSecond: 50, entries: 1 })
     const engines = ['d1', 'd2'].map((id) => endpoint(id, 'decode'))
-    const pool = pooled(world, engines)
-    const placer = new LocalPlacer({ pool, kvTokens: () => 1_000_000, entries: () => 1, cold: world.gate })
-    world.clock.advance(SETTLED_MS)
-    world.warm.add('d1')
+    const pool = pooled(setup, engines)
+    const placer = new LocalPlacer({ pool, kvTokens: () => 1_000_000, entries: () => 1, cold: setup.limiter })
+    setup.clock.advance(SETTLED_MS)
+    setup.warm.add('d1')
     for (let times = 0; times < 20; times += 1)
       expect(await placer.place(WORK)).toMatchObject({ place: { decode: { endpoint: { id: 'd1' } } } })
-    world.warm.delete('d1')
+    setup.warm.delete('d1')
     let left = 0
     for (;;) {
       const answer = await placer.place(WORK)
@@ -205,7 +207,7 @@
         expect(answer).toMatchObject({ reason: 'cold endpoints get no more now', retryAfterMs: START_MS })
         break
       }
-      expect(world.gate.whyNot(answer.place.decode.endpoint, `r${left}`, 'decode')).toBeUndefined()
+      expect(setup.limiter.checkAndCount(answer.place.decode.endpoint, `r${left}`, 'decode')).toBeUndefined()
       left += 1
     }
     expect(left).toBeGreaterThan(0)
@@ -214,20 +216,20 @@
   })
 
   it('ejects no endpoint for its silence while it is cold, and learns no time from it', () => {
-    const world = gate()
-    const pool = pooled(world, [endpoint('c'), endpoint('w')])
-    world.warm.add('w')
+    const setup = createLimiter()
+    const pool = pooled(setup, [endpoint('c'), endpoint('w')])
+    setup.warm.add('w')
     for (const id of ['c', 'w']) {
       for (let times = 0; times < 3; times += 1) {
-        pool.noteSent(pool.get(id)!)
-        world.clock.advance(10)
-        pool.noteEnd(pool.get(id)!, 'silent', 5)
+        pool.recordSend(pool.get(id)!)
+        setup.clock.advance(10)
+        pool.recordEnd(pool.get(id)!, 'silent', 5)
       }
     }
     expect(pool.candidates('s').map((one) => one.endpoint.id)).toEqual(['c'])
-    pool.noteSent(pool.get('c')!)
+    pool.recordSend(pool.get('c')!)
     const before = pool.get('c')!.meanMs
-    pool.noteEnd(pool.get('c')!, 'ok', 5_000)
+    pool.recordEnd(pool.get('c')!, 'ok', 5_000)
     expect(pool.get('c')!.meanMs).toBe(before)
   })
 })
--- a/request/gateway/test/coldFleet.test.ts
+++ b/request/gateway/test/coldFleet.test.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom, every, ManualClock } from '@forkstage/clock'
 import { Directory, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import { createSilentLogger } from '@forkstage/logger'
-import { ColdGate, EndpointPool, LocalPlacer } from '../src'
+import { ColdEndpointLimiter, EndpointPool, LocalPlacer } from '../src'
 
 const ENTRIES = 81
 const COLD_MS = 3_000
@@ -24,7 +24,7 @@
 }
 
 interface Entry {
-  gate: ColdGate
+  limiter: ColdEndpointLimiter
   placer: LocalPlacer
   isAlone: boolean
 }
@@ -111,11 +111,11 @@
 
   private startEntry(): Entry {
     const { clock, random } = this
-    const gate = new ColdGate({
+    const limiter = new ColdEndpointLimiter({
       clock,
       random,
       leftMs: (id) => (this.isBounded ? this.leftMs(id, clock.now()) : 0),
-      hasSaid: (id) => this.directory.hasSaidCold(id),
+      hasReportedCold: (id) => this.directory.hasSaidCold(id),
       perSecond: () => BOUND,
       entries: () => ENTRIES,
     })
@@ -124,7 +124,7 @@
       clock,
       random,
       logger: createSilentLogger(),
-      isCold: (id) => gate.isCold(id),
+      isCold: (id) => limiter.isCold(id),
     })
     pool.update(this.directory.list())
     this.pools.push({ pool })
@@ -132,9 +132,9 @@
       pool,
       kvTokens: () => ENGINE.kvTokens,
       entries: () => ENTRIES,
-      cold: gate,
+      cold: limiter,
     })
-    return { gate, placer, isAlone: false }
+    return { limiter: limiter, placer, isAlone: false }
   }
 
   private leftMs(id: string, at: number): number {
@@ -142,7 +142,7 @@
   }
 
   /** A way between two machines: short, and now and then long. */
-  private way(): number {
+  private networkDelay(): number {
     return this.random() < 0.02 ? 150 + this.random() * 200 : 1 + this.random() * 4
   }
 
@@ -154,9 +154,9 @@
     if (entry.isAlone) return void this.placeAlone(entry, ask)
     const askedAt = this.clock.now()
     const leader = this.leader!
-    this.clock.after(this.way(), () =>
+    this.clock.after(this.networkDelay(), () =>
       leader.ask(ask, this.clock.now(), (decision) =>
-        this.clock.after(this.way(), () => this.run(entry, ask, decision, leader, askedAt)),
+        this.clock.after(this.networkDelay(), () => this.run(entry, ask, decision, leader, askedAt)),
       ),
     )
   }
@@ -178,7 +178,7 @@
   ): void {
     if (decision.type === 'refused') return void this.results.push(`refused: ${decision.reason}`)
     const { request } = ask
-    entry.gate.take(request, decision, askedAt)
+    entry.limiter.addGrants(request, decision, askedAt)
     const onRead = () => leader.notePrefilled(request, 'ok', READING_MS, this.clock.now())
     const onEnd = (made: number) => leader.release(request, 'ok', made, this.clock.now())
     if (this.ended.has(decision.decode)) {
@@ -207,7 +207,7 @@
   }
 
   private send(entry: Entry, request: string, to: string, step: Stage): boolean {
-    if (entry.gate.whyNot(this.directory.get(to)!, request, step) !== undefined) {
+    if (entry.limiter.checkAndCount(this.directory.get(to)!, request, step) !== undefined) {
       this.results.push('withheld')
       return false
     }
--- a/request/gateway/test/coldRelay.test.ts
+++ b/request/gateway/test/coldRelay.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
-import { COLD_PER_SECOND, type GatewayWorld, type GotAnswer } from './gatewayWorld'
+import { COLD_PER_SECOND, type GatewayHarness, type ReceivedAnswer } from './gatewayHarness'
 import { answers, reads, startRelay, streams } from './relayWorld'
 
 /** Sends so many requests at once, each with an id of its own. */
-function sendMany(world: GatewayWorld, count: number): Promise<GotAnswer[]> {
+function sendMany(world: GatewayHarness, count: number): Promise<ReceivedAnswer[]> {
   const sends = Array.from({ length: count }, (_, index) =>
     world.send('/p/', { body: 'x', headers: { 'x-id': `r${index}` } }),
   )
--- a/request/gateway/test/connectionShare.test.ts
+++ b/request/gateway/test/connectionShare.test.ts
@@ -2,10 +2,10 @@
 // is reset has failed. No entry looked at it: each kept to what it had found to go well by itself. Found by looking for
 // statements that hold over all machines and that nobody keeps, after endpoints that named a rate got several times as much.
 import { afterEach, describe, expect, it } from 'vitest'
-import { LimitWorld } from './limitWorld'
+import { LimitHarness } from './limitHarness'
 
-const open: LimitWorld[] = []
-afterEach(async () => void (await Promise.all(open.splice(0).map((world) => world.stop()))))
+const open: LimitHarness[] = []
+afterEach(async () => void (await Promise.all(open.splice(0).map((harness) => harness.stop()))))
 
 describe('connections that an endpoint takes from all entries', () => {
   it.each([
@@ -13,21 +13,21 @@
     [8, 30],
     [3, 3],
   ])('are no more from %i entries than %i, in a burst', async (entries, most) => {
-    const world = await LimitWorld.start(entries, 1)
-    open.push(world)
-    world.maxConnections = most
-    await world.play(2_000, 500)
-    await world.drain()
-    expect(world.mostHeld).toBeLessThanOrEqual(most)
-    expect(world.mostHeld).toBeGreaterThan(most / 2)
+    const harness = await LimitHarness.start(entries, 1)
+    open.push(harness)
+    harness.maxConnections = most
+    await harness.play(2_000, 500)
+    await harness.drain()
+    expect(harness.mostHeld).toBeLessThanOrEqual(most)
+    expect(harness.mostHeld).toBeGreaterThan(most / 2)
   })
 
   it('leave each entry one where there are fewer than entries: it could serve nobody otherwise', async () => {
-    const world = await LimitWorld.start(8, 1)
-    open.push(world)
-    world.maxConnections = 4
-    await world.play(20, 2_000)
-    await world.drain()
-    expect(world.servedInTime()).toBeGreaterThan(0.9)
+    const harness = await LimitHarness.start(8, 1)
+    open.push(harness)
+    harness.maxConnections = 4
+    await harness.play(20, 2_000)
+    await harness.drain()
+    expect(harness.servedInTime()).toBeGreaterThan(0.9)
   })
 })
--- a/request/gateway/test/limitGate.test.ts
+++ b/request/gateway/test/endpointRateLimiter.test.ts
@@ -4,14 +4,14 @@
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import { LimitKeeper, RateBook, type LimitAnswer } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
-import { EndpointPool, LimitGate, LocalPlacer } from '../src'
-import { fullEndpoint } from './fullRows'
+import { EndpointPool, EndpointRateLimiter, LocalPlacer } from '../src'
+import { endpointWithDefaults } from './rowsWithDefaults'
 
-const AT = { endpoint: fullEndpoint({ id: 'd1', stage: 'decode' }, 0) }
+const AT = { endpoint: endpointWithDefaults({ id: 'd1', stage: 'decode' }, 0) }
 const SECONDS_UNTIL_SETTLED = 31
 
 /** The gate of one of four entries, whose leader answers as told; `d1` names 4 a second. */
-function gate(options: { perSecond?: number; draw?: number } = {}) {
+function createLimiter(options: { perSecond?: number; draw?: number } = {}) {
   const { perSecond = 4, draw = 0.5 } = options
   const clock = new ManualClock(10_000)
   const logger = createSilentLogger()
@@ -26,7 +26,14 @@
     reportEveryMs: 500,
   })
   const tolerance = { windowMs: 4_000, over: 0.5, slack: 5 }
-  const one = new LimitGate({ clock, random: () => draw, book, keeper, tolerance, entries: () => 4 })
+  const one = new EndpointRateLimiter({
+    clock,
+    random: () => draw,
+    rates: book,
+    permits: keeper,
+    tolerance,
+    entries: () => 4,
+  })
   clock.advance(SECONDS_UNTIL_SETTLED * 1_000)
   book.note('d1', perSecond)
   const settle = async () => {
@@ -39,47 +46,48 @@
     await settle()
     answer = undefined
   }
-  const send = (request = 'r', to: RegisteredEndpoint = AT.endpoint) => one.whyNot(to, request, 'decode')
+  const send = (request = 'r', to: RegisteredEndpoint = AT.endpoint) =>
+    one.checkAndCount(to, request, 'decode')
   const sendMany = (count: number) =>
     Array.from({ length: count }, () => send()).filter((why) => why === undefined).length
-  return { clock, book, gate: one, permit, send, sendMany }
+  return { clock, book, limiter: one, permit, send, sendMany }
 }
 
 const placed = (fields: Partial<Placed> = {}): Placed => ({ type: 'placed', decode: 'd1', ...fields })
 
 describe('LimitGate', () => {
   it('lets all pass to endpoints that name no rate', () => {
-    const { send } = gate()
-    const other = fullEndpoint({ id: 'd2' }, 1)
+    const { send } = createLimiter()
+    const other = endpointWithDefaults({ id: 'd2' }, 1)
     for (let index = 0; index < 50; index += 1) expect(send(`r${index}`, other)).toBeUndefined()
   })
 
   it('uses what the leader counted for a place once, within its time', async () => {
-    const { gate: one, clock, send, permit } = gate()
+    const { limiter: one, clock, send, permit } = createLimiter()
     await permit(0)
     const counted = { limited: { waitedMs: 0, decodeMs: 250 } }
-    one.take('r1', placed(counted), clock.now())
+    one.addGrants('r1', placed(counted), clock.now())
     expect(send('r1')).toBeUndefined()
     expect(send('r1')).toBe('endpoints take no more now')
-    one.take('r2', placed(counted), clock.now())
+    one.addGrants('r2', placed(counted), clock.now())
     clock.advance(251)
     expect(send('r2')).toBe('endpoints take no more now')
     // One that the leader did not count, since it did not know the rate yet.
-    one.take('r3', placed(), clock.now())
+    one.addGrants('r3', placed(), clock.now())
     expect(send('r3')).toBe('endpoints take no more now')
   })
 
   it('counts the time of a place from when it may have been decided, not from when it came', async () => {
-    const { gate: one, clock, send, permit } = gate()
+    const { limiter: one, clock, send, permit } = createLimiter()
     await permit(0)
     const askedAt = clock.now()
     clock.advance(600)
-    one.take('r1', placed({ limited: { waitedMs: 300, decodeMs: 250 } }), askedAt)
+    one.addGrants('r1', placed({ limited: { waitedMs: 300, decodeMs: 250 } }), askedAt)
     expect(send('r1')).toBe('endpoints take no more now')
   })
 
   it('goes on without the leader as it went by its word, and no faster', async () => {
-    const { clock, permit, sendMany } = gate({ draw: 0.99 })
+    const { clock, permit, sendMany } = createLimiter({ draw: 0.99 })
     for (let second = 0; second < 8; second += 1) {
       await permit(2)
       expect(sendMany(5)).toBe(2)
@@ -96,7 +104,7 @@
   })
 
   it('goes on more slowly where the rate has become lower meanwhile', async () => {
-    const { book, clock, permit, sendMany } = gate({ draw: 0.99 })
+    const { book, clock, permit, sendMany } = createLimiter({ draw: 0.99 })
     for (let second = 0; second < 5; second += 1) {
       await permit(2)
       sendMany(5)
@@ -108,7 +116,7 @@
   })
 
   it('has a small share where it had nothing from the leader yet, of what the tolerance leaves', () => {
-    const { sendMany, clock } = gate({ draw: 0.01 })
+    const { sendMany, clock } = createLimiter({ draw: 0.01 })
     // 6 x 4 + 5 less 5 x 4 + 3 are 6, and four entries' draws deviate: one of them at most, here.
     expect(sendMany(9)).toBe(1)
     clock.advance(3_900)
@@ -118,9 +126,9 @@
   })
 
   it('takes a place for nothing that was given before a suspension', async () => {
-    const { gate: one, clock, send, permit } = gate({ draw: 0.99 })
+    const { limiter: one, clock, send, permit } = createLimiter({ draw: 0.99 })
     await permit(1)
-    one.take('r1', placed({ limited: { waitedMs: 0, decodeMs: 250 } }), clock.now())
+    one.addGrants('r1', placed({ limited: { waitedMs: 0, decodeMs: 250 } }), clock.now())
     clock.suspend()
     expect(send('r1')).toBe('endpoints take no more now')
   })
@@ -128,7 +136,7 @@
 
 describe('LocalPlacer, with engines that name rates', () => {
   it('refuses at once where all of them have got what they take', async () => {
-    const { gate: limits, clock, permit } = gate()
+    const { limiter: limits, clock, permit } = createLimiter()
     await permit(0)
     const pool = new EndpointPool({ zone: 'z', clock, random: () => 0, logger: createSilentLogger() })
     pool.update([{ ...AT.endpoint, service: 's' }])
--- a/request/gateway/test/evacuated.test.ts
+++ b/request/gateway/test/evacuated.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { Stage } from '@forkstage/directory'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
@@ -23,7 +23,7 @@
   const workers = await Promise.all(endpoints.map(([, , answer]) => FakeWorker.start(answer)))
   const isModel = endpoints[0]![1] !== undefined
   const service = isModel ? 'model' : 'plain'
-  const world = await GatewayWorld.start(
+  const world = await GatewayHarness.start(
     workers.map(({ address }, index) => {
       const [zone, stage] = endpoints[index]!
       return { address, service, zone, stage }
--- a/request/gateway/test/fakeWorker.ts
+++ b/request/gateway/test/fakeWorker.ts
@@ -30,7 +30,7 @@
   }
 
   /** Resolves once so many requests have been seen. */
-  async sees(count: number): Promise<void> {
+  async waitForSeen(count: number): Promise<void> {
     while (this.seen.length < count) await new Promise<void>((resolve) => this.waiting.push(resolve))
   }
 
--- a/request/gateway/test/gatewayWorld.ts
+++ b/request/gateway/test/gatewayHarness.ts
@@ -10,22 +10,22 @@
 import { StatementBook } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import {
-  ColdGate,
+  ColdEndpointLimiter,
   EndpointPool,
-  homeRule,
+  regionRule,
   Ingress,
   KEPT_FREE,
   LocalPlacer,
   RetryAllowance,
-  WorkspaceGate,
+  WorkspaceAdmission,
   type ModelPlace,
   type RequestReport,
 } from '../src'
-import { fullEndpoint, fullRoute } from './fullRows'
+import { endpointWithDefaults, routeWithDefaults } from './rowsWithDefaults'
 import { TEST_WIRE } from './testWire'
 
 /** An answer as a caller got it. */
-export interface GotAnswer {
+export interface ReceivedAnswer {
   status: number
   headers: Record<string, string | string[] | undefined>
   body: string
@@ -46,7 +46,7 @@
 })
 
 const QUOTA_WINDOW_MS = 8_000
-const LED_FOR_MS = 2_000
+const LEADING_FOR_MS = 2_000
 const RUN_FOR_MS = 60_000
 /** What a cold endpoint may get from all entries. */
 export const COLD_PER_SECOND = 30
@@ -66,7 +66,7 @@
 const LEAVING_SERVES_MS = 2_000
 
 /** An entry over endpoints at given addresses, with one route of each kind. */
-export class GatewayWorld {
+export class GatewayHarness {
   readonly reports: RequestReport[] = []
   /** Places that were given, the newest last. */
   readonly places: ModelPlace[] = []
@@ -93,7 +93,7 @@
   /** Resolves once it is known whether lost endpoints have crashed. */
   confirmed: (lost: string[]) => Promise<void> = () => Promise.resolve()
   /** What the leader says to who asks for the turn of its content. */
-  turn: (request: string) => TrialAnswer = () => ({ type: 'anywhere' })
+  turnAnswer: (request: string) => TrialAnswer = () => ({ type: 'anywhere' })
   readonly turnEnds: string[] = []
   /** Endpoints where such a run has ended. */
   readonly isolatedEnds: string[] = []
@@ -130,12 +130,12 @@
     routes: Partial<Route>[],
     limits: Partial<CallerLimits> = {},
     workspaces?: Workspace[],
-  ): Promise<GatewayWorld> {
+  ): Promise<GatewayHarness> {
     const clock = createSystemClock()
     const logger = createSilentLogger()
     const evacuated = new Set<string>()
     const isEvacuated = ({ zone }: RegisteredEndpoint) => evacuated.has(zone)
-    const isKeptFree = ({ id }: RegisteredEndpoint) => world.keptFree.has(id)
+    const isKeptFree = ({ id }: RegisteredEndpoint) => harness.keptFree.has(id)
     const isBarred = (one: RegisteredEndpoint) => isEvacuated(one) || isKeptFree(one)
     const statements = new StatementBook({ clock, logger })
     const pool = new EndpointPool({
@@ -147,11 +147,11 @@
       isBarred,
       statements,
     })
-    pool.update(endpoints.map((endpoint, index) => fullEndpoint(endpoint, index)))
+    pool.update(endpoints.map((endpoint, index) => endpointWithDefaults(endpoint, index)))
     const book = new RouteBook()
     const sheet = {
       version: 1,
-      routes: routes.map(fullRoute),
+      routes: routes.map(routeWithDefaults),
       services: [
         { name: 'plain', maxConnections: 10 },
         { name: 'model', maxConnections: 10, engine: ENGINE },
@@ -175,7 +175,7 @@
     })
     // It has led for long enough to have heard from its entries.
     ledger.take({ entry: 'e0', spent: {} })
-    ahead = LED_FOR_MS
+    ahead = LEADING_FOR_MS
     const quotas = new QuotaKeeper({
       entry: 'e0',
       life: 'first',
@@ -190,12 +190,12 @@
     // The only entry, which has run for a while.
     let later = 0
     const startedAt = clock.now()
-    const cold = new ColdGate({
+    const cold = new ColdEndpointLimiter({
       // Stands still, so that on a slow machine no endpoint gets a second time what it bears in one second.
       clock: { ...clock, now: () => startedAt + later },
       random: () => 0.5,
-      leftMs: (id) => world.cold.get(id) ?? 0,
-      hasSaid: () => true,
+      leftMs: (id) => harness.cold.get(id) ?? 0,
+      hasReportedCold: () => true,
       perSecond: () => COLD_PER_SECOND,
       entries: () => 1,
     })
@@ -214,55 +214,61 @@
         pool,
         placer: {
           place: async (work) => {
-            if (world.placesRefused > 0) {
-              world.placesRefused -= 1
+            if (harness.placesRefused > 0) {
+              harness.placesRefused -= 1
               return { type: 'refused', reason: 'no room in time', retryAfterMs: 1_000 }
             }
             const answer = await local.place(work)
-            if (answer.type === 'place') world.places.push(answer.place)
-            if (answer.type === 'place') world.onPlace()
+            if (answer.type === 'place') harness.places.push(answer.place)
+            if (answer.type === 'place') harness.onPlace()
             return answer
           },
         },
         allowance,
         sendRules: [
-          ({ id }) => world.withheld.get(id),
+          ({ id }) => harness.withheld.get(id),
           (to) => (isEvacuated(to) ? 'evacuated' : undefined),
           (to, { isolatedAt }) => (isKeptFree(to) && isolatedAt !== to.id ? KEPT_FREE : undefined),
-          homeRule(TOPOLOGY),
+          regionRule(TOPOLOGY),
         ],
         cold,
-        // Read when a request comes: the world is not there yet.
+        // Read when a request comes: the harness is not there yet.
         get rates() {
-          return world.rates
+          return harness.rates
         },
         statements,
         leavingServesMs: LEAVING_SERVES_MS,
         crashes: {
-          noteLost: (sending) => void world.lost.push(sending),
-          noteServed: (content) => void world.served.push(content()),
-          decide: (content, _service, lost) => world.decide(content(), lost),
-          confirmed: (lost) => world.confirmed(lost),
-          askIsolated: () => Promise.resolve(world.alone()),
-          askTurn: (_content, _service, request) => Promise.resolve(world.turn(request)),
-          noteTurnEnd: (_content, _service, request) => void world.turnEnds.push(request),
-          noteIsolatedEnd: (_content, _service, endpoint) => void world.isolatedEnds.push(endpoint),
-          refusal: (content) => (world.refused.has(content()) ? { ends: 3, leftMs: 60_000 } : undefined),
+          noteLost: (sending) => void harness.lost.push(sending),
+          noteServed: (content) => void harness.served.push(content()),
+          decide: (content, _service, lost) => harness.decide(content(), lost),
+          confirmed: (lost) => harness.confirmed(lost),
+          askIsolated: () => Promise.resolve(harness.alone()),
+          askTurn: (_content, _service, request) => Promise.resolve(harness.turnAnswer(request)),
+          noteTurnEnd: (_content, _service, request) => void harness.turnEnds.push(request),
+          noteIsolatedEnd: (_content, _service, endpoint) => void harness.isolatedEnds.push(endpoint),
+          refusal: (content) => (harness.refused.has(content()) ? { ends: 3, leftMs: 60_000 } : undefined),
         },
         clock: {
           ...clock,
-          suspendedAt: () => world.suspendedAt,
+          suspendedAt: () => harness.suspendedAt,
           after: (ms, callback) => {
-            world.timers.push(ms)
+            harness.timers.push(ms)
             return clock.after(ms, callback)
           },
         },
         random: createSeededRandom(1),
-        logger: { ...logger, warn: (event, fields) => void world.warnings.push({ event, ...fields }) },
+        logger: { ...logger, warn: (event, fields) => void harness.warnings.push({ event, ...fields }) },
       },
-      gate: new WorkspaceGate({ wire: TEST_WIRE, quotas, isCurrent: () => world.isCurrent, clock, logger }),
+      admission: new WorkspaceAdmission({
+        wire: TEST_WIRE,
+        quotas,
+        isCurrent: () => harness.isCurrent,
+        clock,
+        logger,
+      }),
       routes: () => book.current,
-      onResult: (report) => world.reports.push(report),
+      onResult: (report) => harness.reports.push(report),
     })
     await new Promise<void>((resolve) => ingress.server.listen(0, '127.0.0.1', resolve))
     const { port } = ingress.server.address() as { port: number }
@@ -270,10 +276,10 @@
       void book.install({
         ...sheet,
         version: book.version + 1,
-        routes: newRoutes.map(fullRoute),
+        routes: newRoutes.map(routeWithDefaults),
         workspaces: newer,
       })
-    const world: GatewayWorld = new GatewayWorld(
+    const harness: GatewayHarness = new GatewayHarness(
       ingress,
       pool,
       port,
@@ -282,7 +288,7 @@
       allowance,
       statements,
     )
-    return world
+    return harness
   }
 
   stop(): void {
@@ -293,7 +299,7 @@
   send(
     path: string,
     options: { headers?: Record<string, string>; body?: string; method?: string } = {},
-  ): Promise<GotAnswer> {
+  ): Promise<ReceivedAnswer> {
     const { request, answer } = this.open(path, options)
     request.end(options.body)
     return answer
@@ -309,7 +315,7 @@
       agent: false,
       headers: { host: 'h.example', 'x-id': 'r1', 'x-deadline': '4000', ...options.headers },
     })
-    const answer = new Promise<GotAnswer>((resolve, reject) => {
+    const answer = new Promise<ReceivedAnswer>((resolve, reject) => {
       request.on('error', reject)
       request.on('response', (response) => {
         let body = ''
--- a/request/gateway/test/leaderWay.test.ts
+++ b/request/gateway/test/leaderClient.test.ts
@@ -2,12 +2,12 @@
 import { ManualClock } from '@forkstage/clock'
 import { createSilentLogger } from '@forkstage/logger'
 import { PeerUnreachableError, type PeerCaller } from '@forkstage/peer-rpc'
-import { LeaderWay } from '../src'
+import { LeaderClient } from '../src'
 
 const LEADER = '10.0.0.1:1'
 
 /** A way to a leader; `cut` holds addresses that cannot be reached. */
-function world(
+function createClient(
   cut: Set<string>,
   leader: () => string | undefined = () => LEADER,
   warn: (event: string, fields: unknown) => void = () => undefined,
@@ -22,26 +22,26 @@
     },
     notify: (address, method) => void calls.push(`${address} ${method}`),
   }
-  const way = new LeaderWay({
+  const client = new LeaderClient({
     leader,
     neighbours: () => ['n1', 'n2'],
     peers,
     clock,
     logger: { ...createSilentLogger(), warn },
-    forwarded: ['place.ask'],
+    forwardableMethods: ['place.ask'],
   })
-  return { way, calls, clock }
+  return { client, calls, clock }
 }
 
 describe('LeaderWay', () => {
   it('calls the leader directly', async () => {
-    const { way, calls } = world(new Set())
+    const { client: way, calls } = createClient(new Set())
     expect(await way.call('place.ask', {}, 100)).toBe('answer')
     expect(calls).toEqual([`${LEADER} place.ask`])
   })
 
   it('goes through a neighbour where no leader is heard, and stays with the one that answered', async () => {
-    const { way, calls } = world(new Set(['n1']), () => undefined)
+    const { client: way, calls } = createClient(new Set(['n1']), () => undefined)
     await way.call('place.ask', {}, 100)
     await way.call('place.ask', {}, 100)
     way.notify('place.release', {})
@@ -49,7 +49,7 @@
   })
 
   it('does not ask a second neighbour once one may have asked the leader', async () => {
-    const { way, calls } = world(new Set(), () => undefined)
+    const { client: way, calls } = createClient(new Set(), () => undefined)
     const late: PeerCaller['call'] = async (address) => {
       calls.push(address)
       throw new PeerUnreachableError(address, 'place.ask', 'no answer in time')
@@ -60,7 +60,7 @@
   })
 
   it('leaves a leader alone for a moment that gave no answer', async () => {
-    const { way, calls, clock } = world(new Set([LEADER]))
+    const { client: way, calls, clock } = createClient(new Set([LEADER]))
     await expect(way.call('place.ask', {}, 100)).rejects.toThrow()
     await way.call('place.ask', {}, 100)
     clock.advance(400)
@@ -69,42 +69,42 @@
   })
 
   it('forwards only what it is meant to, and never further than to the leader', async () => {
-    const { way, calls } = world(new Set())
+    const { client: way, calls } = createClient(new Set())
     const forward = way.methods()['entry.forward'] as unknown as (call: object) => Promise<unknown>
     expect(await forward({ method: 'place.ask', params: {}, deadline: 50 })).toBe('answer')
     expect(calls).toEqual([`${LEADER} place.ask`])
     expect(() => forward({ method: 'sheet.propose', params: {}, deadline: 50 })).toThrow()
-    const cutOff = world(new Set(), () => undefined).way.methods()[
+    const cutOff = createClient(new Set(), () => undefined).client.methods()[
       'entry.forward'
     ] as unknown as typeof forward
     expect(() => cutOff({ method: 'place.ask', params: {}, deadline: 50 })).toThrow()
   })
 
   it('brings back what the leader answers to a neighbour, where that is asked for', async () => {
-    const { way, calls } = world(new Set(), () => undefined)
-    expect(await way.askThrough('quota.report', {}, 100)).toBe('answer')
+    const { client: way, calls } = createClient(new Set(), () => undefined)
+    expect(await way.tryCall('quota.report', {}, 100)).toBe('answer')
     expect(calls).toEqual(['n1 entry.forward'])
   })
 
   it('says nothing of a leader that leaves such a call unanswered, and logs only the first of them', async () => {
     const lines: unknown[] = []
     const cut = new Set([LEADER])
-    const { way, calls } = world(
+    const { client: way, calls } = createClient(
       cut,
       () => LEADER,
       (event, fields) => lines.push([event, fields]),
     )
-    expect(await way.askThrough('quota.report', {}, 100)).toBeUndefined()
-    expect(await way.askLeader('place.report', {}, 100)).toBeUndefined()
+    expect(await way.tryCall('quota.report', {}, 100)).toBeUndefined()
+    expect(await way.tryCallOrNotify('place.report', {}, 100)).toBeUndefined()
     expect(lines).toEqual([
       ['leader.unanswered', { peer: LEADER, step: 'quota.report', reason: expect.any(String) }],
     ])
     cut.clear()
     expect(await way.call('place.ask', {}, 100)).toBe('answer')
     expect(calls.at(-1)).toBe(`${LEADER} place.ask`)
-    expect(await way.askThrough('quota.report', {}, 100)).toBe('answer')
+    expect(await way.tryCall('quota.report', {}, 100)).toBe('answer')
     cut.add(LEADER)
-    await way.askThrough('quota.report', {}, 100)
+    await way.tryCall('quota.report', {}, 100)
     expect(lines).toHaveLength(2)
   })
 })
--- a/request/gateway/test/leaving.test.ts
+++ b/request/gateway/test/leaving.test.ts
@@ -1,7 +1,7 @@
 import { Agent, request as httpRequest } from 'node:http'
 import { afterEach, describe, expect, it } from 'vitest'
 import { FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
@@ -10,14 +10,14 @@
 async function start() {
   const waiting: SeenRequest[] = []
   const worker = await FakeWorker.start((request) => waiting.push(request))
-  const world = await GatewayWorld.start([{ address: worker.address }], [{ kind: 'unsafe' }])
+  const harness = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'unsafe' }])
   const agent = new Agent({ keepAlive: true, maxSockets: 1 })
-  open.push(world, worker, { stop: () => agent.destroy() })
+  open.push(harness, worker, { stop: () => agent.destroy() })
   const send = (id: string) =>
     new Promise<{ status: number; connection?: string; reused: boolean }>((resolve, reject) => {
       const request = httpRequest({
         host: '127.0.0.1',
-        port: world.port,
+        port: harness.port,
         path: '/p/',
         agent,
         headers: { host: 'h.example', 'x-id': id, 'x-deadline': '4000' },
@@ -34,28 +34,28 @@
     })
   const answerAll = () =>
     waiting.splice(0).forEach((request) => request.socket.end(goodAnswer(request, 'ok')))
-  return { world, worker, send, answerAll, agent }
+  return { harness, worker, send, answerAll, agent }
 }
 
 describe('an entry that leaves', () => {
   it('keeps connections for the next request until then', async () => {
     const { worker, send, answerAll } = await start()
     const first = send('r1')
-    await worker.sees(1)
+    await worker.waitForSeen(1)
     answerAll()
     await first
     const second = send('r2')
-    await worker.sees(2)
+    await worker.waitForSeen(2)
     answerAll()
     expect(await second).toMatchObject({ status: 200, reused: true })
   })
 
   it('finishes what it has begun and then closes the connection, though the answer had promised to keep it', async () => {
-    const { world, worker, send, answerAll, agent } = await start()
+    const { harness, worker, send, answerAll, agent } = await start()
     const running = send('r1')
-    await worker.sees(1)
-    world.ingress.leave()
-    world.ingress.close()
+    await worker.waitForSeen(1)
+    harness.ingress.leave()
+    harness.ingress.close()
     const closed = new Promise((resolve) => Object.values(agent.sockets)[0]![0]!.on('close', resolve))
     answerAll()
     expect(await running).toMatchObject({ status: 200 })
@@ -63,16 +63,16 @@
   })
 
   it('runs nothing that still arrives once it has closed, and says that another one will', async () => {
-    const { world, worker } = await start()
-    const early = world.open('/p/')
+    const { harness, worker } = await start()
+    const early = harness.open('/p/')
     early.request.flushHeaders()
     early.request.on('error', () => undefined)
     await new Promise((resolve) => early.request.on('socket', (socket) => socket.once('connect', resolve)))
-    const taken = new Promise((resolve) => world.ingress.server.once('request', resolve))
-    world.ingress.leave()
+    const taken = new Promise((resolve) => harness.ingress.server.once('request', resolve))
+    harness.ingress.leave()
     early.request.end()
     await taken
-    world.ingress.close()
+    harness.ingress.close()
     const late = await early.answer
     expect(late.status).toBe(503)
     expect(Number(late.headers['retry-after'])).toBeGreaterThan(0)
--- a/request/gateway/test/limitWorld.ts
+++ b/request/gateway/test/limitHarness.ts
@@ -1,18 +1,18 @@
 import { every } from '@forkstage/clock'
 import { LimitKeeper, LimitLedger, RateBook, type LimitAnswer, type LimitReport } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
-import { LimitGate, type RelayParts } from '../src'
+import { EndpointRateLimiter, type RelayParts } from '../src'
 import { goodAnswer, type SeenRequest } from './fakeWorker'
 import { PlainWorld, type Work } from './plainWorld'
 
 const WORK_MS = 60
 const REPORT_MS = 500
 /** The longest way between two machines. */
-const WAY_MS = 10
+const MAX_DELAY_MS = 10
 /** Over this time an endpoint gets no more than so many times what its rate allows, and some requests beside that. */
 const WINDOW_MS = 4_000
-const MOST_SHARE = 1.5
-const MOST_SLACK = 5
+const MAX_SHARE = 1.5
+const MAX_SLACK = 5
 /** The bound holds for so long after an endpoint first named its rate. */
 const BINDS_AFTER_MS = 3_000
 /** An entry counts as told so long after it has passed on an answer that names the rate. */
@@ -35,7 +35,7 @@
   readonly toldAt = new Map<number, number>()
 
   /** Names a rate from now on; undefined takes it back. */
-  name(perSecond: number | undefined, now: number): void {
+  announceRate(perSecond: number | undefined, now: number): void {
     this.perSecond = perSecond
     this.rates.push({ perSecond, from: now })
     if (this.namedAt === Infinity) this.namedAt = now
@@ -66,7 +66,7 @@
     const highest = Math.max(
       ...within.filter(({ from }) => from <= end).map((one) => one.perSecond ?? Infinity),
     )
-    return Math.floor((highest * WINDOW_MS * MOST_SHARE) / 1_000 + MOST_SLACK)
+    return Math.floor((highest * WINDOW_MS * MAX_SHARE) / 1_000 + MAX_SLACK)
   }
 
   /** Arrivals a second within a span, from all entries. */
@@ -76,7 +76,7 @@
 }
 
 /** Entries on one clock before plain endpoints that answer after a while, and name rates. */
-export class LimitWorld extends PlainWorld {
+export class LimitHarness extends PlainWorld {
   readonly workers: LimitedWorker[] = []
   /** Entries that do not hear the leader. */
   readonly cutOff = new Set<number>()
@@ -89,16 +89,16 @@
     this.elect()
   }
 
-  static async start(entryCount: number, workerCount = 3): Promise<LimitWorld> {
-    const world = new LimitWorld(entryCount)
-    for (let index = 0; index < workerCount; index += 1) world.workers.push(new LimitedWorker())
-    await world.open(workerCount)
-    return world
+  static async start(entryCount: number, workerCount = 3): Promise<LimitHarness> {
+    const harness = new LimitHarness(entryCount)
+    for (let index = 0; index < workerCount; index += 1) harness.workers.push(new LimitedWorker())
+    await harness.open(workerCount)
+    return harness
   }
 
   /** Lets an endpoint name a rate from now on; undefined takes it back. */
-  name(index: number, perSecond: number | undefined): void {
-    this.workers[index]!.name(perSecond, this.clock.now())
+  announceRate(index: number, perSecond: number | undefined): void {
+    this.workers[index]!.announceRate(perSecond, this.clock.now())
   }
 
   /** What holds an entry to the rates that endpoints name. */
@@ -114,10 +114,17 @@
       reportEveryMs: REPORT_MS,
     })
     keeper.start()
-    const tolerance = { windowMs: WINDOW_MS, over: MOST_SHARE - 1, slack: MOST_SLACK }
-    const gate = new LimitGate({ clock, random, book, keeper, tolerance, entries: () => this.entryCount })
-    every(clock, 1_000, () => gate.look(() => true))
-    return { rates: book, limits: gate }
+    const tolerance = { windowMs: WINDOW_MS, over: MAX_SHARE - 1, slack: MAX_SLACK }
+    const limiter = new EndpointRateLimiter({
+      clock,
+      random,
+      rates: book,
+      permits: keeper,
+      tolerance,
+      entries: () => this.entryCount,
+    })
+    every(clock, 1_000, () => limiter.sweep(() => true))
+    return { rates: book, limits: limiter }
   }
 
   /** A new leader, which knows nothing of what the one before permitted, nor of rates. */
@@ -130,11 +137,11 @@
 
   /** The leader's answer, some milliseconds later; none from one that is gone, or to an entry that is cut off. */
   private report(entry: number, report: LimitReport): Promise<LimitAnswer | undefined> {
-    const way = () => 1 + this.random() * WAY_MS
+    const delay = () => 1 + this.random() * MAX_DELAY_MS
     return new Promise((resolve) => {
-      this.clock.after(way(), () => {
+      this.clock.after(delay(), () => {
         const answer = this.cutOff.has(entry) ? undefined : this.leader?.take(report)
-        this.clock.after(answer === undefined ? REPORT_MS : way(), () => resolve(answer))
+        this.clock.after(answer === undefined ? REPORT_MS : delay(), () => resolve(answer))
       })
     })
   }
--- a/request/gateway/test/limitedEndpoints.test.ts
+++ b/request/gateway/test/limitedEndpoints.test.ts
@@ -5,112 +5,112 @@
 // and 12.6 a second), sendings to them from all eight entries, 10 of 83 of them repeated ones, and no such name in the sources.
 import { afterEach, describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { LimitWorld } from './limitWorld'
+import { LimitHarness } from './limitHarness'
 
-const open: LimitWorld[] = []
-afterEach(async () => void (await Promise.all(open.splice(0).map((world) => world.stop()))))
+const open: LimitHarness[] = []
+afterEach(async () => void (await Promise.all(open.splice(0).map((harness) => harness.stop()))))
 
-async function start(entries: number, workers?: number): Promise<LimitWorld> {
-  const world = await LimitWorld.start(entries, workers)
-  open.push(world)
-  return world
+async function start(entries: number, workers?: number): Promise<LimitHarness> {
+  const harness = await LimitHarness.start(entries, workers)
+  open.push(harness)
+  return harness
 }
 
 describe('endpoints that name the rate that they take from all machines', () => {
   it('get no more than that allows from eight entries, whose callers are served elsewhere', async () => {
-    const world = await start(8)
-    await world.play(30, 3_000)
-    world.name(0, 3.3)
-    world.name(1, 3.6)
-    const since = world.clock.now()
-    await world.play(30, 12_000)
-    await world.drain()
-    expect(world.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
-    expect(world.workers[1]!.worstExcess()).toBeLessThanOrEqual(0)
-    expect(world.servedInTime(since)).toBeGreaterThan(0.99)
+    const harness = await start(8)
+    await harness.play(30, 3_000)
+    harness.announceRate(0, 3.3)
+    harness.announceRate(1, 3.6)
+    const since = harness.clock.now()
+    await harness.play(30, 12_000)
+    await harness.drain()
+    expect(harness.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
+    expect(harness.workers[1]!.worstExcess()).toBeLessThanOrEqual(0)
+    expect(harness.servedInTime(since)).toBeGreaterThan(0.99)
   })
 
   it('get nearly all that their rates allow where callers need it, also where all of them come to one entry', async () => {
     for (const at of [undefined, () => 0]) {
-      const world = await start(8, 1)
-      await world.play(20, 1_000, at)
-      world.name(0, 5)
-      await world.play(20, 2_000, at)
-      const from = world.clock.now()
-      await world.play(20, 10_000, at)
-      const rate = world.workers[0]!.rateWithin(from, world.clock.now())
+      const harness = await start(8, 1)
+      await harness.play(20, 1_000, at)
+      harness.announceRate(0, 5)
+      await harness.play(20, 2_000, at)
+      const from = harness.clock.now()
+      await harness.play(20, 10_000, at)
+      const rate = harness.workers[0]!.rateWithin(from, harness.clock.now())
       expect(rate).toBeGreaterThan(5 * 0.85)
       expect(rate).toBeLessThan(5 * 1.1)
     }
   })
 
   it('are beyond reach of the rest of their callers, who hear at once that it has not run, and when to come', async () => {
-    const world = await start(8, 1)
-    world.name(0, 5)
-    await world.play(30, 8_000)
-    await world.drain()
-    const refused = world.outcomes.filter(({ status }) => status === 503)
+    const harness = await start(8, 1)
+    harness.announceRate(0, 5)
+    await harness.play(30, 8_000)
+    await harness.drain()
+    const refused = harness.outcomes.filter(({ status }) => status === 503)
     expect(refused.length).toBeGreaterThan(100)
     for (const { retryAfter, tookMs } of refused) {
       expect(retryAfter).toBeGreaterThan(0)
       expect(tookMs).toBeLessThan(100)
     }
-    expect(world.outcomes.every(({ status }) => status === 200 || status === 503)).toBe(true)
+    expect(harness.outcomes.every(({ status }) => status === 200 || status === 503)).toBe(true)
   })
 
   it('serve a caller who comes now and then, whose entry has no permit yet', async () => {
-    const world = await start(8, 1)
-    world.name(0, 5)
-    await world.play(2, 20_000)
-    await world.drain()
-    expect(world.servedInTime()).toBeGreaterThan(0.97)
+    const harness = await start(8, 1)
+    harness.announceRate(0, 5)
+    await harness.play(2, 20_000)
+    await harness.drain()
+    expect(harness.servedInTime()).toBeGreaterThan(0.97)
   })
 
   it('get all again once they take their word back, at entries too that got nothing there meanwhile', async () => {
-    const world = await start(8)
-    await world.play(30, 1_000)
-    world.name(0, 0.5)
-    await world.play(30, 8_000)
-    world.name(0, undefined)
-    await world.play(30, 3_000)
-    const from = world.clock.now()
-    await world.play(30, 4_000)
-    expect(world.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
-    expect(world.workers[0]!.rateWithin(from, world.clock.now())).toBeGreaterThan(6)
+    const harness = await start(8)
+    await harness.play(30, 1_000)
+    harness.announceRate(0, 0.5)
+    await harness.play(30, 8_000)
+    harness.announceRate(0, undefined)
+    await harness.play(30, 3_000)
+    const from = harness.clock.now()
+    await harness.play(30, 4_000)
+    expect(harness.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
+    expect(harness.workers[0]!.rateWithin(from, harness.clock.now())).toBeGreaterThan(6)
   })
 
   // An endpoint still names its rate while nobody asks: what was forgotten of it would let the next burst through whole.
   it('get no more than that allows in a burst after a quiet minute', async () => {
-    const world = await start(8, 2)
-    await world.play(30, 1_000)
-    world.name(0, 3)
-    await world.play(30, 6_000)
-    await world.rest(60_000)
-    await world.play(2_000, 500)
-    await world.drain()
-    expect(world.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
+    const harness = await start(8, 2)
+    await harness.play(30, 1_000)
+    harness.announceRate(0, 3)
+    await harness.play(30, 6_000)
+    await harness.rest(60_000)
+    await harness.play(2_000, 500)
+    await harness.drain()
+    expect(harness.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
   })
 
   it('are tried now and then where they take nothing, since they could not say otherwise that they are well', async () => {
-    const world = await start(8, 2)
-    await world.play(30, 1_000)
-    world.name(0, 0)
-    await world.play(30, 3_000)
-    const before = world.workers[0]!.arrivals.length
-    await world.play(10, 100_000)
-    const tries = world.workers[0]!.arrivals.length - before
+    const harness = await start(8, 2)
+    await harness.play(30, 1_000)
+    harness.announceRate(0, 0)
+    await harness.play(30, 3_000)
+    const before = harness.workers[0]!.arrivals.length
+    await harness.play(10, 100_000)
+    const tries = harness.workers[0]!.arrivals.length - before
     expect(tries).toBeGreaterThanOrEqual(1)
     expect(tries).toBeLessThanOrEqual(4)
   })
 
   it('get nothing where they take nothing', async () => {
-    const world = await start(8, 2)
-    await world.play(30, 1_000)
-    world.name(0, 0)
-    await world.play(30, 3_000)
-    const from = world.clock.now()
-    await world.play(30, 8_000)
-    expect(world.workers[0]!.rateWithin(from, world.clock.now())).toBe(0)
+    const harness = await start(8, 2)
+    await harness.play(30, 1_000)
+    harness.announceRate(0, 0)
+    await harness.play(30, 3_000)
+    const from = harness.clock.now()
+    await harness.play(30, 8_000)
+    expect(harness.workers[0]!.rateWithin(from, harness.clock.now())).toBe(0)
   })
 })
 
@@ -124,56 +124,56 @@
   ])(
     'get no more than that allows from %i entries at %d a second, with a new leader each second or none',
     async (entries, rate) => {
-      const world = await start(entries, 1)
+      const harness = await start(entries, 1)
       const demand = rate * 3 + 20
-      await world.play(demand, 1_000)
-      world.name(0, rate)
-      await world.play(demand, 4_000)
+      await harness.play(demand, 1_000)
+      harness.announceRate(0, rate)
+      await harness.play(demand, 4_000)
       for (let second = 0; second < 8; second += 1) {
-        world.elect()
-        await world.play(demand, 1_000)
+        harness.elect()
+        await harness.play(demand, 1_000)
       }
-      world.leader = undefined
-      await world.play(demand, 6_000)
-      world.elect()
-      await world.play(demand, 4_000)
-      expect(world.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
+      harness.leader = undefined
+      await harness.play(demand, 6_000)
+      harness.elect()
+      await harness.play(demand, 4_000)
+      expect(harness.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
     },
   )
 
   it('go on being used without a leader, and where a third of the entries is cut off from it', async () => {
-    const world = await start(8, 1)
-    await world.play(30, 1_000)
-    world.name(0, 10)
-    await world.play(30, 3_000)
-    world.leader = undefined
-    await world.play(30, 2_000)
-    const from = world.clock.now()
-    await world.play(30, 4_000)
-    expect(world.workers[0]!.rateWithin(from, world.clock.now())).toBeGreaterThan(1)
-    world.elect()
-    for (const entry of [0, 1, 2]) world.cutOff.add(entry)
-    await world.play(30, 8_000)
-    expect(world.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
+    const harness = await start(8, 1)
+    await harness.play(30, 1_000)
+    harness.announceRate(0, 10)
+    await harness.play(30, 3_000)
+    harness.leader = undefined
+    await harness.play(30, 2_000)
+    const from = harness.clock.now()
+    await harness.play(30, 4_000)
+    expect(harness.workers[0]!.rateWithin(from, harness.clock.now())).toBeGreaterThan(1)
+    harness.elect()
+    for (const entry of [0, 1, 2]) harness.cutOff.add(entry)
+    await harness.play(30, 8_000)
+    expect(harness.workers[0]!.worstExcess()).toBeLessThanOrEqual(0)
   })
 
   it.each([1, 2, 3, 4, 5, 6])('get no more than that allows, whatever fails when (seed %i)', async (seed) => {
-    const world = await start(24, 2)
+    const harness = await start(24, 2)
     const random = createSeededRandom(seed)
-    await world.play(60, 1_000)
-    world.name(0, 6)
-    world.name(1, 3)
-    await world.play(60, 3_000)
+    await harness.play(60, 1_000)
+    harness.announceRate(0, 6)
+    harness.announceRate(1, 3)
+    await harness.play(60, 3_000)
     for (let second = 0; second < 16; second += 1) {
       const draw = random()
       const entry = Math.floor(random() * 24)
-      if (draw < 0.2) world.elect()
-      else if (draw < 0.3) world.leader = undefined
-      else if (draw < 0.5) world.cutOff.add(entry)
-      else if (draw < 0.7) world.cutOff.clear()
-      else if (draw < 0.9) world.name(entry % 2, 1 + random() * 12)
-      await world.play(60, 1_000)
+      if (draw < 0.2) harness.elect()
+      else if (draw < 0.3) harness.leader = undefined
+      else if (draw < 0.5) harness.cutOff.add(entry)
+      else if (draw < 0.7) harness.cutOff.clear()
+      else if (draw < 0.9) harness.announceRate(entry % 2, 1 + random() * 12)
+      await harness.play(60, 1_000)
     }
-    expect(world.workers.map((one) => one.worstExcess())).toEqual([0, 0])
+    expect(harness.workers.map((one) => one.worstExcess())).toEqual([0, 0])
   })
 })
--- a/request/gateway/test/movingWorld.ts
+++ b/request/gateway/test/movingWorld.ts
@@ -1,7 +1,7 @@
 import { afterEach } from 'vitest'
 import type { Route } from '@forkstage/routes'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
@@ -80,7 +80,7 @@
     stage: 'decode' as const,
   }))
   const shares = [{ service: 'model', weight: 1 }]
-  const world = await GatewayWorld.start(endpoints, [{ kind: 'streaming', shares, attempts: 1, ...route }])
+  const world = await GatewayHarness.start(endpoints, [{ kind: 'streaming', shares, attempts: 1, ...route }])
   open.push(world, ...workers)
   const { request, answer } = world.open('/p/', { headers })
   request.end()
@@ -88,7 +88,7 @@
     request.on('response', (response) => response.once('data', () => resolve())),
   )
   await events
-  const move = () => world.places[0]!.moveTo!(world.pool.atHome('i-1', undefined)!)
+  const move = () => world.places[0]!.moveTo!(world.pool.getWithinRegions('i-1', undefined)!)
   return { world, workers, answer, request, move }
 }
 
--- a/request/gateway/test/parts.test.ts
+++ b/request/gateway/test/parts.test.ts
@@ -120,13 +120,13 @@
   it('takes one out that cannot be reached, for longer each time, and back after a while', () => {
     const { clock, pool: made, ids } = pool()
     const one = made.get('i-1')!
-    made.noteSent(one)
-    made.noteEnd(one, 'unreachable', 5)
+    made.recordSend(one)
+    made.recordEnd(one, 'unreachable', 5)
     expect(ids()).toEqual(['i-2'])
     clock.advance(1_000)
     expect(ids()).toEqual(['i-1', 'i-2'])
-    made.noteSent(one)
-    made.noteEnd(one, 'unreachable', 5)
+    made.recordSend(one)
+    made.recordEnd(one, 'unreachable', 5)
     clock.advance(1_000)
     expect(ids()).toEqual(['i-2'])
   })
@@ -142,7 +142,7 @@
     const order: string[] = []
     for (let times = 0; times < 5; times += 1) {
       const one = made.leastLoaded(made.candidates('s'))!
-      made.noteSent(one)
+      made.recordSend(one)
       order.push(one.endpoint.id)
     }
     expect(order).toEqual(['near', 'near', 'far', 'near', 'far'])
@@ -158,22 +158,22 @@
     ])
     const choose = (near?: string) => made.fewestTokens(made.candidates('s'), 1_000, near)!.endpoint.id
     expect([choose(), choose('e')]).toEqual(['near', 'far'])
-    made.noteSent(made.get('near')!, 1_500)
+    made.recordSend(made.get('near')!, 1_500)
     expect(choose()).toBe('far')
   })
 
   it('leaves out those that must get nothing, also where there is no other, and does not forget them', () => {
     const barred = ['i-1']
     const { pool: made, ids } = pool(barred)
-    made.noteSent(made.get('i-1')!)
+    made.recordSend(made.get('i-1')!)
     expect(ids()).toEqual(['i-2'])
-    expect(made.isEmptied('s')).toBe(false)
-    made.noteSent(made.get('i-2')!)
-    made.noteEnd(made.get('i-2')!, 'unreachable', 5)
+    expect(made.isFullyBarred('s')).toBe(false)
+    made.recordSend(made.get('i-2')!)
+    made.recordEnd(made.get('i-2')!, 'unreachable', 5)
     expect(ids()).toEqual(['i-2'])
     barred.push('i-2')
     expect(ids()).toEqual([])
-    expect([made.isEmptied('s'), made.isEmptied('other'), made.size]).toEqual([true, false, 2])
+    expect([made.isFullyBarred('s'), made.isFullyBarred('other'), made.size]).toEqual([true, false, 2])
     barred.length = 0
     expect(ids()).toEqual(['i-1'])
     expect(made.get('i-1')!.inFlight).toBe(1)
@@ -182,8 +182,8 @@
   it('uses those that are out where there is no other', () => {
     const { pool: made, ids } = pool()
     for (const id of ['i-1', 'i-2']) {
-      made.noteSent(made.get(id)!)
-      made.noteEnd(made.get(id)!, 'unreachable', 5)
+      made.recordSend(made.get(id)!)
+      made.recordEnd(made.get(id)!, 'unreachable', 5)
     }
     expect(ids()).toEqual(['i-1', 'i-2'])
   })
@@ -191,8 +191,8 @@
   it('gives no work to one that drains or whose address another process has', () => {
     const { pool: made, ids } = pool()
     made.update([{ ...base, id: 'i-1', state: 'draining', sequence: 2 }])
-    made.noteSent(made.get('i-2')!)
-    made.noteEnd(made.get('i-2')!, 'other-instance', 5)
+    made.recordSend(made.get('i-2')!)
+    made.recordEnd(made.get('i-2')!, 'other-instance', 5)
     expect(ids()).toEqual([])
   })
 })
--- a/request/gateway/test/plainRelay.test.ts
+++ b/request/gateway/test/plainRelay.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { CallerLimits, Route } from '@forkstage/routes'
 import { FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { deadAddress, GatewayWorld } from './gatewayWorld'
+import { deadAddress, GatewayHarness } from './gatewayHarness'
 
 type Answerer = (request: SeenRequest) => void
 
@@ -11,7 +11,7 @@
 /** An entry before workers that answer as given; each worker is an instance `i-0`, `i-1` and so on. */
 async function start(answerers: Answerer[], route: Partial<Route> = {}, limits: Partial<CallerLimits> = {}) {
   const workers = await Promise.all(answerers.map((answer) => FakeWorker.start(answer)))
-  const world = await GatewayWorld.start(
+  const world = await GatewayHarness.start(
     workers.map(({ address }) => ({ address })),
     [route],
     limits,
@@ -88,7 +88,7 @@
 
   it('go on where nobody listens at an address', async () => {
     const worker = await FakeWorker.start(good)
-    const world = await GatewayWorld.start(
+    const world = await GatewayHarness.start(
       [{ address: await deadAddress() }, { address: worker.address }],
       [{ kind: 'unsafe' }],
     )
@@ -170,7 +170,7 @@
     const { world, workers } = await start([() => undefined])
     const { request, answer } = world.open('/p/')
     request.end()
-    await workers[0]!.sees(1)
+    await workers[0]!.waitForSeen(1)
     request.destroy()
     await expect(answer).rejects.toThrow()
     await workers[0]!.seen[0]!.closed
--- a/request/gateway/test/plainWorld.ts
+++ b/request/gateway/test/plainWorld.ts
@@ -7,7 +7,7 @@
 import { relayPlain } from '../src/plainRelay'
 import type { RelayJob } from '../src/relayParts'
 import { FakeWorker, type SeenRequest } from './fakeWorker'
-import { fullEndpoint, fullRoute } from './fullRows'
+import { endpointWithDefaults, routeWithDefaults } from './rowsWithDefaults'
 import { TEST_WIRE } from './testWire'
 
 const STEP_MS = 5
@@ -16,7 +16,7 @@
 const SETTLED_MS = 31_000
 const SLOTS = 6
 const DEADLINE_MS = 3_000
-const ROUTE = fullRoute({ kind: 'safe', targetMs: 300, timeoutMs: 1_500, attempts: 2 })
+const ROUTE = routeWithDefaults({ kind: 'safe', targetMs: 300, timeoutMs: 1_500, attempts: 2 })
 /** How many turns of the event loop nothing must have moved in. */
 const QUIET_TURNS = 3
 
@@ -136,7 +136,7 @@
   }
 
   private endpoints(): RegisteredEndpoint[] {
-    return this.listeners.map(({ address }, index) => fullEndpoint({ address, slots: SLOTS }, index))
+    return this.listeners.map(({ address }, index) => endpointWithDefaults({ address, slots: SLOTS }, index))
   }
 
   private take(index: number, request: SeenRequest): void {
@@ -178,8 +178,8 @@
       arrivedAt,
       deadlineMs: DEADLINE_MS,
       response: response as unknown as ServerResponse,
-      isGone: () => false,
-      onGone: () => undefined,
+      isDisconnected: () => false,
+      onDisconnect: () => undefined,
     }
     const service = { name: 'plain', maxConnections: this.maxConnections }
     const endsAt = arrivedAt + ROUTE.timeoutMs
--- a/request/gateway/test/refusedContent.test.ts
+++ b/request/gateway/test/refusedContent.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { contentDigest } from '@forkstage/crashes'
 import type { SeenRequest } from './fakeWorker'
-import type { GatewayWorld } from './gatewayWorld'
+import type { GatewayHarness } from './gatewayHarness'
 import { answers, startRelay, streams } from './relayWorld'
 
 const BODY = 'ends engines'
@@ -10,7 +10,7 @@
   return contentDigest({ method, host: 'h.example', path: '/p/a', body: Buffer.from(body) })
 }
 
-const send = (world: GatewayWorld, body = BODY) =>
+const send = (world: GatewayHarness, body = BODY) =>
   world.send('/p/a', { body, headers: { 'x-tokens': '5,5', 'x-id': body } })
 
 describe('a request of a refused content', () => {
--- a/request/gateway/test/homes.test.ts
+++ b/request/gateway/test/regions.test.ts
@@ -2,7 +2,7 @@
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import type { Route, Workspace } from '@forkstage/routes'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
@@ -29,7 +29,7 @@
   const service = endpoints[0]?.stage === undefined ? 'plain' : 'model'
   const kind = service === 'model' ? 'streaming' : 'safe'
   const full: Partial<Route> = { kind, shares: [{ service, weight: 1 }], ...route }
-  const world = await GatewayWorld.start(
+  const harness = await GatewayHarness.start(
     endpoints.map(({ answer: _, ...rest }, index) => ({
       address: workers[index]!.address,
       service,
@@ -39,9 +39,9 @@
     {},
     workspaces,
   )
-  open.push(world, ...workers)
-  const narrow = (regions: string[]) => world.setWorkspaces(workspaces, [{ ...full, regions }])
-  return { world, workers, narrow, seen: () => workers.map((worker) => worker.seen.length) }
+  open.push(harness, ...workers)
+  const narrow = (regions: string[]) => harness.setWorkspaces(workspaces, [{ ...full, regions }])
+  return { harness, workers, narrow, seen: () => workers.map((worker) => worker.seen.length) }
 }
 
 const member = (regions?: string[]): Workspace => ({ name: 'w', keys: ['key-1'], priority: 0, regions })
@@ -53,22 +53,22 @@
 
 describe('a request with homes', () => {
   it("goes to endpoints of its route's regions only, however near others are", async () => {
-    const { world, seen } = await start(TWO, { regions: ['east'] })
-    for (let times = 0; times < 4; times += 1) expect((await world.send('/p/')).status).toBe(200)
+    const { harness, seen } = await start(TWO, { regions: ['east'] })
+    for (let times = 0; times < 4; times += 1) expect((await harness.send('/p/')).status).toBe(200)
     expect(seen()).toEqual([0, 4])
   })
 
   it('is bound by its route and by its workspace, both together', async () => {
-    const { world, seen } = await start(TWO, { regions: ['west', 'south'] }, [member(['west', 'east'])])
-    expect((await world.send('/p/', WITH_KEY)).status).toBe(200)
-    world.setWorkspaces([member(['east'])])
-    expect((await world.send('/p/', WITH_KEY)).status).toBe(503)
+    const { harness, seen } = await start(TWO, { regions: ['west', 'south'] }, [member(['west', 'east'])])
+    expect((await harness.send('/p/', WITH_KEY)).status).toBe(200)
+    harness.setWorkspaces([member(['east'])])
+    expect((await harness.send('/p/', WITH_KEY)).status).toBe(503)
     expect(seen()).toEqual([1, 0])
   })
 
   it('is bound by its workspace also on a public route', async () => {
-    const { world, seen } = await start(TWO, { isPublic: true }, [member(['east'])])
-    for (let times = 0; times < 4; times += 1) expect((await world.send('/p/', WITH_KEY)).status).toBe(200)
+    const { harness, seen } = await start(TWO, { isPublic: true }, [member(['east'])])
+    for (let times = 0; times < 4; times += 1) expect((await harness.send('/p/', WITH_KEY)).status).toBe(200)
     expect(seen()).toEqual([0, 4])
   })
 
@@ -77,8 +77,8 @@
     ['a region that no failure domain bears', ['nowhere']],
     ['a region without endpoints', ['south']],
   ])('is refused at once as not run with %s', async (_, regions) => {
-    const { world, seen } = await start(TWO, { regions, targetMs: 60_000, timeoutMs: 60_000 })
-    const answer = await world.send('/p/', { headers: { 'x-deadline': '60000' } })
+    const { harness, seen } = await start(TWO, { regions, targetMs: 60_000, timeoutMs: 60_000 })
+    const answer = await harness.send('/p/', { headers: { 'x-deadline': '60000' } })
     expect(answer.status).toBe(503)
     expect(answer.headers['retry-after']).toBeDefined()
     expect(answer.body).toContain('FORKSTAGE_NOT_RUN')
@@ -86,21 +86,21 @@
   })
 
   it('is refused as not run while its region is cut off, and served again after', async () => {
-    const { world, workers, seen } = await start(TWO, { regions: ['east'], targetMs: 300 })
+    const { harness, workers, seen } = await start(TWO, { regions: ['east'], targetMs: 300 })
     const { address } = workers[1]!
-    const cutOff = { ...world.pool.get('i-1')!.endpoint, address: '127.0.0.1:1' }
-    world.pool.update([cutOff])
-    const refused = await world.send('/p/')
+    const cutOff = { ...harness.pool.get('i-1')!.endpoint, address: '127.0.0.1:1' }
+    harness.pool.update([cutOff])
+    const refused = await harness.send('/p/')
     expect(refused.status).toBe(503)
     expect(seen()).toEqual([0, 0])
-    world.pool.update([{ ...cutOff, address }])
-    expect((await world.send('/p/')).status).toBe(200)
+    harness.pool.update([{ ...cutOff, address }])
+    expect((await harness.send('/p/')).status).toBe(200)
     expect(seen()).toEqual([0, 1])
   })
 
   it('may not lie in a failure domain that nobody has given a region', async () => {
-    const { world, seen } = await start([{ zone: 'unnamed', answer: answers }], { regions: ['west'] })
-    expect((await world.send('/p/')).status).toBe(503)
+    const { harness, seen } = await start([{ zone: 'unnamed', answer: answers }], { regions: ['west'] })
+    expect((await harness.send('/p/')).status).toBe(503)
     expect(seen()).toEqual([0])
   })
 })
@@ -111,11 +111,11 @@
       narrow(['west'])
       reads(request)
     }
-    const { world, narrow, seen } = await start([
+    const { harness, narrow, seen } = await start([
       { zone: 'z', stage: 'prefill', answer: narrows },
       { zone: 'e1', stage: 'decode', answer: streams },
     ])
-    const answer = await world.send('/p/', { body: 'x' })
+    const answer = await harness.send('/p/', { body: 'x' })
     expect(answer.status).toBe(503)
     expect(seen()[1]).toBe(0)
   })
@@ -129,22 +129,22 @@
       }
       reads(request)
     }
-    const { world, workers, narrow } = await start([
+    const { harness, workers, narrow } = await start([
       { zone: 'e1', stage: 'prefill', answer: narrows },
       { zone: 'z', stage: 'decode', answer: streams },
     ])
-    const back = world.pool.get('i-0')!.endpoint
+    const back = harness.pool.get('i-0')!.endpoint
     const atHome = await FakeWorker.start(reads)
     open.push(atHome)
-    world.pool.update([{ ...back, id: 'i-2', address: atHome.address, zone: 'z', state: 'draining' }])
-    const answering = world.send('/p/', { body: 'x' })
-    await workers[0]!.sees(1)
-    world.pool.update([{ ...back, id: 'i-2', address: atHome.address, zone: 'z', sequence: 2 }])
+    harness.pool.update([{ ...back, id: 'i-2', address: atHome.address, zone: 'z', state: 'draining' }])
+    const answering = harness.send('/p/', { body: 'x' })
+    await workers[0]!.waitForSeen(1)
+    harness.pool.update([{ ...back, id: 'i-2', address: atHome.address, zone: 'z', sequence: 2 }])
     expect(await answering).toMatchObject({ status: 200, isWhole: true })
     expect(reader).toBe(1)
     const source = workers[1]!.seen[0]!.headers['x-kv-from']
     expect(source).toBe(`${atHome.address}#handle7`)
-    await workers[0]!.sees(2)
+    await workers[0]!.waitForSeen(2)
     expect(workers[0]!.seen[1]!.line).toContain('DELETE /free/handle7')
   })
 })
--- a/request/gateway/test/homesRandom.test.ts
+++ b/request/gateway/test/regionsRandom.test.ts
@@ -3,7 +3,7 @@
 import { bothHomes, isWithin, type Homes } from '@forkstage/topology'
 import type { Route } from '@forkstage/routes'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld, TOPOLOGY } from './gatewayWorld'
+import { GatewayHarness, TOPOLOGY } from './gatewayHarness'
 
 const RUNS = Number(process.env.RUNS ?? 40)
 const SEED = Number(process.env.SEED ?? 20261202)
@@ -94,13 +94,13 @@
             const { deed, newSheet } = steps[at++ % steps.length]!
             if (newSheet !== undefined) {
               inForce = newSheet
-              world.setWorkspaces(workspaceOf(newSheet), routesOf(newSheet))
+              harness.setWorkspaces(workspaceOf(newSheet), routesOf(newSheet))
             }
             answer(request, deed)
           }
           const workers = await Promise.all(endpoints.map(({ zone }) => FakeWorker.start(arrive(zone))))
           workers.forEach(({ address }, index) => domainAt.set(address, endpoints[index]!.zone))
-          const world = await GatewayWorld.start(
+          const harness = await GatewayHarness.start(
             endpoints.map((fields, index) => ({
               ...fields,
               service: fields.stage === undefined ? 'plain' : 'model',
@@ -112,14 +112,14 @@
           )
           try {
             for (let request = 0; request < 6; request += 1) {
-              const got = world.send(request % 2 === 0 ? '/m/' : '/p/', {
+              const got = harness.send(request % 2 === 0 ? '/m/' : '/p/', {
                 headers: { 'x-key': 'key-1', 'x-id': `r${request}`, 'x-tokens': '10,10' },
                 body: 'x',
               })
               if ((await got).status === 200) answered += 1
             }
           } finally {
-            await Promise.all([world, ...workers].map((each) => each.stop()))
+            await Promise.all([harness, ...workers].map((each) => each.stop()))
           }
           expect(wrong).toEqual([])
         },
--- a/request/gateway/test/relayWorld.ts
+++ b/request/gateway/test/relayWorld.ts
@@ -2,7 +2,7 @@
 import type { Stage } from '@forkstage/directory'
 import type { Route } from '@forkstage/routes'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
@@ -28,7 +28,7 @@
 ) {
   const workers = await Promise.all(endpoints.map(([, answer]) => FakeWorker.start(answer)))
   const service = endpoints[0]![0] !== undefined ? 'model' : 'plain'
-  const world = await GatewayWorld.start(
+  const world = await GatewayHarness.start(
     workers.map(({ address }, index) => ({ address, service, stage: endpoints[index]![0] })),
     [
       {
--- a/request/gateway/test/remotePlacer.test.ts
+++ b/request/gateway/test/remotePlacer.test.ts
@@ -4,7 +4,7 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { StatementBook } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
-import { EndpointPool, LeaderWay, LocalPlacer, RemotePlacer, type ModelWork } from '../src'
+import { EndpointPool, LeaderClient, LocalPlacer, RemotePlacer, type ModelWork } from '../src'
 
 const TOPOLOGY = new Topology({ z: 'west', e: 'east' })
 
@@ -37,7 +37,7 @@
 }
 
 /** A placer whose leader is known when it is told so, and whose engine is free. */
-function world(entries = 1, kvTokens = 10_000) {
+function createPlacers(entries = 1, kvTokens = 10_000) {
   const clock = new ManualClock()
   const logger = createSilentLogger()
   const statements = new StatementBook({ clock, logger })
@@ -63,10 +63,10 @@
     },
     notify: () => undefined,
   }
-  const options = { neighbours: () => [], peers, clock, logger, forwarded: [] }
-  const way = new LeaderWay({ leader: () => told.leader, ...options })
+  const options = { neighbours: () => [], peers, clock, logger, forwardableMethods: [] }
+  const leaderClient = new LeaderClient({ leader: () => told.leader, ...options })
   const fallback = new LocalPlacer({ pool, kvTokens: () => kvTokens, entries: () => entries })
-  const placer = new RemotePlacer({ entry: 'e', pool, fallback, way, clock, logger })
+  const placer = new RemotePlacer({ entry: 'e', pool, fallback, leaderClient: leaderClient, clock, logger })
   return {
     clock,
     placer,
@@ -90,7 +90,7 @@
 
 describe('RemotePlacer', () => {
   it('tells with its ask which engines want nothing from its entry, and asks nobody where all do', async () => {
-    const { placer, told, asks, asked, pool, statements, clock } = world()
+    const { placer, told, asks, asked, pool, statements, clock } = createPlacers()
     pool.update([{ ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1' }])
     told.leader = '10.0.0.9:1'
     await placer.place(WORK)
@@ -111,7 +111,7 @@
   })
 
   it('lets an answer that has begun go on though a newer sheet has not its service any more', async () => {
-    const { placer, told } = world(1, 0)
+    const { placer, told } = createPlacers(1, 0)
     told.leader = '10.0.0.9:1'
     told.refusal = UNKNOWN_SERVICE
     expect(await placer.place(WORK)).toMatchObject({ type: 'refused', reason: UNKNOWN_SERVICE })
@@ -124,7 +124,7 @@
   })
 
   it('waits a moment for a leader that is being elected, and asks it', async () => {
-    const { clock, placer, told, asked } = world()
+    const { clock, placer, told, asked } = createPlacers()
     const answer = placer.place(WORK)
     await advance(clock, 60)
     told.leader = '10.0.0.9:1'
@@ -134,7 +134,7 @@
   })
 
   it('places alone where none comes before the caller should hear', async () => {
-    const { clock, placer, asked } = world()
+    const { clock, placer, asked } = createPlacers()
     const answer = placer.place(WORK)
     await advance(clock, 150)
     expect((await answer).type).toBe('place')
@@ -146,7 +146,7 @@
   const away = { ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1', zone: 'e' }
 
   it('bind also where a leader that knows nothing of them, or has another map of them, places elsewhere', async () => {
-    const { clock, placer, pool, told } = world()
+    const { clock, placer, pool, told } = createPlacers()
     pool.update([away])
     told.leader = '10.0.0.9:1'
     const answer = placer.place({ ...WORK, regions: ['east'] })
@@ -156,7 +156,7 @@
   })
 
   it('bind the moves that a leader wants', async () => {
-    const { clock, placer, pool, told } = world()
+    const { clock, placer, pool, told } = createPlacers()
     pool.update([away, { ...away, id: 'd3', address: '10.0.0.3:1', zone: 'z' }])
     told.leader = '10.0.0.9:1'
     placer.start()
@@ -175,14 +175,14 @@
   })
 
   it('leave an entry alone without a place where no engine lies there', async () => {
-    const { fallback } = world()
+    const { fallback } = createPlacers()
     expect(await fallback.place({ ...WORK, regions: ['east'] })).toMatchObject({ type: 'refused' })
   })
 })
 
 describe('LocalPlacer', () => {
   it('lets an entry have thrice its even share, since callers come unevenly, and no more', async () => {
-    const { fallback } = world(5)
+    const { fallback } = createPlacers(5)
     const small = { ...WORK, promptTokens: 500, mostTokens: 500 }
     const answers = []
     for (let count = 0; count < 6; count += 1) answers.push((await fallback.place(small)).type)
@@ -190,7 +190,7 @@
   })
 
   it('asks the next leader where the one it asked leads no more before it has answered', async () => {
-    const { clock, placer, told, asked, hang } = world()
+    const { clock, placer, told, asked, hang } = createPlacers()
     hang('10.0.0.9:1')
     told.leader = '10.0.0.9:1'
     const answer = placer.place(WORK)
@@ -202,7 +202,7 @@
   })
 
   it('places alone where the leader that it asked is gone and none follows', async () => {
-    const { clock, placer, told, asked, hang } = world()
+    const { clock, placer, told, asked, hang } = createPlacers()
     hang('10.0.0.9:1')
     told.leader = '10.0.0.9:1'
     const answer = placer.place(WORK)
@@ -214,7 +214,7 @@
   })
 
   it('lets the decode engine read where the prefill queue that entries make alone would be too long', async () => {
-    const { fallback, pool } = world(7, 100_000)
+    const { fallback, pool } = createPlacers(7, 100_000)
     pool.update([{ ...ENGINE_OF_TEST, id: 'p1', address: '10.0.0.2:1', stage: 'prefill' }])
     const readers = []
     for (const request of ['a', 'b', 'c']) {
@@ -231,7 +231,7 @@
   })
 
   it('lets an answer go on at another engine when the leader says so, and reports it there once it does', async () => {
-    const { clock, placer, pool, told } = world()
+    const { clock, placer, pool, told } = createPlacers()
     pool.update([{ ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1' }])
     told.leader = '10.0.0.9:1'
     placer.start()
@@ -247,7 +247,7 @@
     await advance(clock, 500)
     placer.stop()
     expect(moved).toEqual(['d2'])
-    place.noteMoved(pool.atHome('d2', undefined)!)
+    place.reportMoved(pool.getWithinRegions('d2', undefined)!)
     expect([place.decode.endpoint.id, pool.get('d1')!.inFlight, pool.get('d2')!.inFlight]).toEqual([
       'd2',
       0,
--- a/request/gateway/test/reservedFields.test.ts
+++ b/request/gateway/test/reservedFields.test.ts
@@ -1,7 +1,7 @@
 import { connect } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
 import { FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 import { TEST_WIRE } from './testWire'
 
 const open: { stop(): unknown }[] = []
@@ -9,9 +9,9 @@
 
 async function start() {
   const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, 'whole')))
-  const world = await GatewayWorld.start([{ address: worker.address }], [{ kind: 'safe' }])
-  open.push(world, worker)
-  return { world, worker }
+  const harness = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
+  open.push(harness, worker)
+  return { harness, worker }
 }
 
 /** Sends bytes as they are, and gives what the worker saw once the answer has come. */
@@ -54,8 +54,8 @@
     ['named as fields of the connection', [...FROM_CALLER, `Connection: ${TEST_WIRE.reserved.join(', ')}`]],
     ['with blanks around the value', FROM_CALLER.map((row) => `${row} \t`)],
   ])('do not reach an endpoint as a caller sent them %s', async (_how, rows) => {
-    const { world, worker } = await start()
-    const answer = await sendRaw(world.port, [...rows, 'Content-Length: 2'], 'ab')
+    const { harness, worker } = await start()
+    const answer = await sendRaw(harness.port, [...rows, 'Content-Length: 2'], 'ab')
     expect(answer).toContain('200 OK')
     expect(smuggled(worker.seen[0]!)).toEqual([])
     expect(worker.seen[0]!.headers['x-expect']).not.toContain('from the caller')
@@ -63,10 +63,10 @@
   })
 
   it('do not reach an endpoint out of a trailer or the extension of a chunk', async () => {
-    const { world, worker } = await start()
+    const { harness, worker } = await start()
     const trailer = FROM_CALLER.join('\r\n')
     const body = `2;x-stage="from the caller"\r\nab\r\n0\r\n${trailer}\r\n\r\n`
-    const answer = await sendRaw(world.port, ['Transfer-Encoding: chunked', 'Trailer: x-stage'], body)
+    const answer = await sendRaw(harness.port, ['Transfer-Encoding: chunked', 'Trailer: x-stage'], body)
     expect(answer).toContain('200 OK')
     expect(smuggled(worker.seen[0]!)).toEqual([])
     expect(worker.seen[0]!).toMatchObject({ body: 'ab', headers: { 'content-length': '2' } })
@@ -74,10 +74,10 @@
   })
 
   it('do not reach an endpoint in a request hidden behind another length: it is refused or read as one body', async () => {
-    const { world, worker } = await start()
+    const { harness, worker } = await start()
     const hidden = ['POST /p/y HTTP/1.1', 'x-stage: from the caller', 'x-id: r2', '', ''].join('\r\n')
     const rows = ['Content-Length: 4', 'Transfer-Encoding: chunked']
-    await sendRaw(world.port, rows, `0\r\n\r\n${hidden}`)
+    await sendRaw(harness.port, rows, `0\r\n\r\n${hidden}`)
     expect(worker.seen.map(({ headers }) => headers['x-id'])).not.toContain('r2')
   })
 })
--- a/request/gateway/test/fullRows.ts
+++ b/request/gateway/test/rowsWithDefaults.ts
@@ -2,7 +2,7 @@
 import type { Route } from '@forkstage/routes'
 
 /** An endpoint of a test with what it leaves out. */
-export function fullEndpoint(fields: Partial<RegisteredEndpoint>, index: number): RegisteredEndpoint {
+export function endpointWithDefaults(fields: Partial<RegisteredEndpoint>, index: number): RegisteredEndpoint {
   const base = {
     id: `i-${index}`,
     service: 'plain',
@@ -16,7 +16,7 @@
 }
 
 /** A route of a test with what it leaves out. */
-export function fullRoute(fields: Partial<Route>): Route {
+export function routeWithDefaults(fields: Partial<Route>): Route {
   return {
     name: 'r',
     host: 'h.example',
--- a/request/gateway/test/runAlone.test.ts
+++ b/request/gateway/test/runAlone.test.ts
@@ -134,7 +134,7 @@
     const { world, seen, send } = await start(undefined, {})
     world.decide = () => ({ type: 'serialize' })
     const asked: string[] = []
-    world.turn = (request) => {
+    world.turnAnswer = (request) => {
       asked.push(request)
       return asked.length === 1 ? { type: 'later', retryAfterMs: 20 } : { type: 'anywhere' }
     }
@@ -147,14 +147,14 @@
   it('runs without its turn where that does not come in time, and nobody is refused for it', async () => {
     const { world, send } = await start()
     world.decide = () => ({ type: 'serialize' })
-    world.turn = () => ({ type: 'later', retryAfterMs: 5_000 })
+    world.turnAnswer = () => ({ type: 'later', retryAfterMs: 5_000 })
     expect((await send()).status).toBe(200)
   })
 
   it('runs isolated where the leader knows of more crashes than its entry', async () => {
     const { world, seen, send } = await start()
     world.decide = () => ({ type: 'serialize' })
-    world.turn = () => ({ type: 'isolate' })
+    world.turnAnswer = () => ({ type: 'isolate' })
     world.keptFree.add('i-2')
     world.alone = () => ({ type: 'granted', endpoint: 'i-2', forMs: 2_000 })
     expect((await send()).status).toBe(200)
