--- a/request/gateway/test/runMoves.test.ts
+++ b/request/gateway/test/runMoves.test.ts
@@ -148,7 +148,7 @@
       if (by.startsWith('by the lists')) pool.update([{ ...source.endpoint, state: 'draining' }])
       else {
         statements.noteLeaving('i-0', 'r0')
-        pool.noteLeaving(source)
+        pool.recordLeaving(source)
       }
       const since = source.leavingSince! - agoMs
       source.leavingSince = since
@@ -244,7 +244,7 @@
     answer.catch(() => undefined)
     leave = () => request.destroy()
     move()
-    await workers[0]!.sees(4)
+    await workers[0]!.waitForSeen(4)
     expect(workers[0]!.seen[3]!.line).toContain('DELETE /free/h2')
     expect(workers[1]!.seen).toHaveLength(0)
   })
--- a/request/gateway/test/startedAnew.test.ts
+++ b/request/gateway/test/startedAnew.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { lifeId, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 import { streams } from './relayWorld'
 
 /** Takes the request and says nothing, as a process that has vanished without a reset. */
@@ -28,7 +28,7 @@
   const worker = await FakeWorker.start(answer)
   const service = stage === undefined ? 'plain' : 'model'
   const route = { kind, resumable, attempts: 2, shares: [{ service, weight: 1 }] }
-  const world = await GatewayWorld.start([life(100, worker.address, stage)], [route])
+  const world = await GatewayHarness.start([life(100, worker.address, stage)], [route])
   /** The directory hears of another life, at an address of its own. */
   const startAnew = async (next: (request: SeenRequest) => void) => {
     const other = await FakeWorker.start(next)
@@ -49,7 +49,7 @@
   it('is answered at once that it may have run, where it must not run twice', async () => {
     const { world, worker, startAnew } = await startWorld(silent, 'unsafe')
     const answer = world.send('/p/a', sent)
-    await worker.sees(1)
+    await worker.waitForSeen(1)
     const other = await startAnew(answers)
     expect((await answer).status).toBe(502)
     expect(other.seen).toEqual([])
@@ -61,7 +61,7 @@
   it('runs again at the new life where it may, and the new life begins with nothing of the earlier', async () => {
     const { world, worker, startAnew } = await startWorld(silent, 'safe')
     const answer = world.send('/p/a', sent)
-    await worker.sees(1)
+    await worker.waitForSeen(1)
     const other = await startAnew(answers)
     expect(await answer).toMatchObject({ status: 200, body: 'hello' })
     expect(other.seen[0]!.headers['x-expect']).toBe('i-1')
@@ -76,7 +76,7 @@
     const { world, worker, startAnew } = await startWorld(begins, 'streaming', resumable)
     const { request, answer } = world.open('/p/a', { ...sent, method: 'POST' })
     request.end('b')
-    await worker.sees(1)
+    await worker.waitForSeen(1)
     // The first event has arrived at the caller, so that the stream is under way.
     await new Promise<void>((resolve) =>
       request.on('response', (response) => response.once('data', () => resolve())),
--- a/request/gateway/test/streamRelay.test.ts
+++ b/request/gateway/test/streamRelay.test.ts
@@ -2,7 +2,7 @@
 import type { Stage } from '@forkstage/directory'
 import type { Route } from '@forkstage/routes'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 type Answerer = (request: SeenRequest) => void
 
@@ -18,7 +18,7 @@
     stage: engines[index]![0],
   }))
   const shares = [{ service: 'model', weight: 1 }]
-  const world = await GatewayWorld.start(endpoints, [{ kind: 'streaming', shares, attempts: 1, ...route }])
+  const world = await GatewayHarness.start(endpoints, [{ kind: 'streaming', shares, attempts: 1, ...route }])
   open.push(world, ...workers)
   return { world, workers }
 }
@@ -134,7 +134,7 @@
       ['decode', notRun],
     ])
     expect((await world.send('/p/')).status).toBe(503)
-    await workers[0]!.sees(2)
+    await workers[0]!.waitForSeen(2)
     expect(workers[0]!.seen[1]!.line).toBe('DELETE /free/handle7 HTTP/1.1')
     expect(workers[0]!.seen[1]!.headers.host).toBe(workers[0]!.address)
   })
@@ -196,7 +196,7 @@
     )
     const reading = workers[0]!
     const answer = world.send('/p/')
-    await reading.sees(1)
+    await reading.waitForSeen(1)
     while (world.allowance.take('model'));
     expect((await answer).status).toBe(502)
     expect(reading.seen.filter(({ line }) => !line.startsWith('DELETE'))).toHaveLength(1)
--- a/request/gateway/test/suspended.test.ts
+++ b/request/gateway/test/suspended.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
-import { ColdGate } from '../src'
+import { ColdEndpointLimiter } from '../src'
 import { reads, startRelay, streams } from './relayWorld'
 
 const SENT = { body: 'b', headers: { 'x-tokens': '5,5' } }
@@ -37,22 +37,22 @@
 
   it('uses no grant for a cold endpoint from before', () => {
     const clock = new ManualClock()
-    const gate = new ColdGate({
+    const gate = new ColdEndpointLimiter({
       clock,
       random: () => 0.999,
       leftMs: () => 3_000,
-      hasSaid: () => true,
+      hasReportedCold: () => true,
       perSecond: () => 1,
       entries: () => 100,
     })
     clock.advance(60_000)
     const grant = { type: 'placed' as const, decode: 'i-1', cold: { waitedMs: 0, decodeMs: 500 } }
     const endpoint = { ...ENDPOINT, id: 'i-1' }
-    gate.take('r1', grant, clock.now())
-    expect(gate.whyNot(endpoint, 'r1', 'decode')).toBeUndefined()
-    gate.take('r2', grant, clock.now())
+    gate.addGrants('r1', grant, clock.now())
+    expect(gate.checkAndCount(endpoint, 'r1', 'decode')).toBeUndefined()
+    gate.addGrants('r2', grant, clock.now())
     clock.suspend()
-    expect(gate.whyNot(endpoint, 'r2', 'decode')).toBeDefined()
+    expect(gate.checkAndCount(endpoint, 'r2', 'decode')).toBeDefined()
   })
 })
 
--- a/request/gateway/test/workspaceGate.test.ts
+++ b/request/gateway/test/workspaceAdmission.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { Workspace } from '@forkstage/routes'
 import { FakeWorker, goodAnswer } from './fakeWorker'
-import { GatewayWorld } from './gatewayWorld'
+import { GatewayHarness } from './gatewayHarness'
 
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
@@ -13,9 +13,9 @@
 async function start(workspaces: Workspace[] | undefined = [ONE, TWO], isPublic = false) {
   const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, 'whole')))
   const routes = [{ kind: 'safe' as const, isPublic, attempts: 1 }]
-  const world = await GatewayWorld.start([{ address: worker.address }], routes, {}, workspaces)
-  open.push(world, worker)
-  return { world, worker }
+  const harness = await GatewayHarness.start([{ address: worker.address }], routes, {}, workspaces)
+  open.push(harness, worker)
+  return { harness, worker }
 }
 
 /** Sends rows as they are on a connection of their own and gives the answer's text. */
@@ -31,12 +31,12 @@
 
 describe('a route that is not public', () => {
   it('lets in who shows a key of a workspace, whose name the endpoint gets in place of the key', async () => {
-    const { world, worker } = await start()
-    const answer = await world.send('/p/x', { headers: { 'x-key': 'k1b', 'x-workspace': 'two' } })
+    const { harness, worker } = await start()
+    const answer = await harness.send('/p/x', { headers: { 'x-key': 'k1b', 'x-workspace': 'two' } })
     expect(answer).toMatchObject({ status: 200, body: 'whole' })
     expect(worker.seen[0]!.headers).toMatchObject({ 'x-workspace': 'one' })
     expect(worker.seen[0]!.headers).not.toHaveProperty('x-key')
-    expect(world.reports[0]).toMatchObject({ workspace: 'one', status: 200 })
+    expect(harness.reports[0]).toMatchObject({ workspace: 'one', status: 200 })
   })
 
   it.each([
@@ -52,48 +52,48 @@
     ['a key that is too long', [`x-key: ${'k'.repeat(2_000)}`]],
     ['only the name of a workspace', ['x-workspace: one']],
   ])('refuses %s with 401 before any endpoint sees it', async (_what, rows) => {
-    const { world, worker } = await start()
-    const answer = await sendRows(world.port, rows)
+    const { harness, worker } = await start()
+    const answer = await sendRows(harness.port, rows)
     expect(answer).toMatch(/^HTTP\/1\.1 401 /)
     expect(answer).toContain('FORKSTAGE_NO_KNOWN_KEY')
     expect(worker.seen).toEqual([])
-    expect(world.reports[0]).toMatchObject({ status: 401, outcome: 'no known key' })
+    expect(harness.reports[0]).toMatchObject({ status: 401, outcome: 'no known key' })
   })
 
   it('refuses a key that was taken away, also on a connection that stays open', async () => {
-    const { world, worker } = await start()
-    const socket = connect(world.port, '127.0.0.1')
+    const { harness, worker } = await start()
+    const socket = connect(harness.port, '127.0.0.1')
     open.push({ stop: () => socket.destroy() })
     expect(await ask(socket, 'k1')).toMatch(/^HTTP\/1\.1 200 /)
-    world.setWorkspaces([{ ...ONE, keys: ['k1b'] }, TWO])
+    harness.setWorkspaces([{ ...ONE, keys: ['k1b'] }, TWO])
     expect(await ask(socket, 'k1')).toMatch(/^HTTP\/1\.1 401 /)
     expect(await ask(socket, 'k1b')).toMatch(/^HTTP\/1\.1 200 /)
     expect(worker.seen).toHaveLength(2)
   })
 
   it('gives a key that passed to another workspace that workspace', async () => {
-    const { world, worker } = await start()
-    world.setWorkspaces([ONE, TWO].map((one) => ({ ...one, keys: one === TWO ? ['k1'] : [] })))
-    await world.send('/p/x', { headers: { 'x-key': 'k1' } })
+    const { harness, worker } = await start()
+    harness.setWorkspaces([ONE, TWO].map((one) => ({ ...one, keys: one === TWO ? ['k1'] : [] })))
+    await harness.send('/p/x', { headers: { 'x-key': 'k1' } })
     expect(worker.seen[0]!.headers).toMatchObject({ 'x-workspace': 'two' })
   })
 
   it('promises no refusal for ever where its sheet may be old: the key may be one of a newer one', async () => {
-    const { world, worker } = await start()
-    world.isCurrent = false
-    const answer = await world.send('/p/x', { headers: { 'x-key': 'k3' } })
+    const { harness, worker } = await start()
+    harness.isCurrent = false
+    const answer = await harness.send('/p/x', { headers: { 'x-key': 'k3' } })
     expect(answer).toMatchObject({ status: 503, headers: { 'retry-after': '0.500' } })
     expect(answer.body).toContain('FORKSTAGE_SHEET_MAY_BE_OLD')
     // What is certain without the newest sheet is said at once.
-    expect(await world.send('/p/x')).toMatchObject({ status: 401 })
+    expect(await harness.send('/p/x')).toMatchObject({ status: 401 })
     expect(worker.seen).toEqual([])
   })
 
   it('waits a moment for a newer sheet that it has heard of', async () => {
-    const { world, worker } = await start()
-    world.isCurrent = false
-    const answer = world.send('/p/x', { headers: { 'x-key': 'k3' } })
-    world.setWorkspaces([ONE, { ...TWO, keys: ['k2', 'k3'] }])
+    const { harness, worker } = await start()
+    harness.isCurrent = false
+    const answer = harness.send('/p/x', { headers: { 'x-key': 'k3' } })
+    harness.setWorkspaces([ONE, { ...TWO, keys: ['k2', 'k3'] }])
     expect(await answer).toMatchObject({ status: 200 })
     expect(worker.seen[0]!.headers).toMatchObject({ 'x-workspace': 'two' })
   })
@@ -105,9 +105,9 @@
     ['with an unknown key', { 'x-key': 'k3' }, undefined],
     ['with a known key', { 'x-key': 'k2' }, 'two'],
   ])('lets in who comes %s, and passes no key on', async (_what, headers, name) => {
-    const { world, worker } = await start([ONE, TWO], true)
+    const { harness, worker } = await start([ONE, TWO], true)
     const sent = { ...headers, 'x-workspace': 'one' }
-    expect(await world.send('/p/x', { headers: sent })).toMatchObject({ status: 200 })
+    expect(await harness.send('/p/x', { headers: sent })).toMatchObject({ status: 200 })
     expect(worker.seen[0]!.headers['x-workspace']).toBe(name)
     expect(worker.seen[0]!.headers).not.toHaveProperty('x-key')
   })
@@ -116,16 +116,16 @@
 describe('a sheet without workspaces', () => {
   it('asks for no key, leaves the field to the endpoint, and passes no name of a workspace on', async () => {
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, 'whole')))
-    const world = await GatewayWorld.start([{ address: worker.address }], [{ kind: 'safe' }])
-    open.push(world, worker)
-    await world.send('/p/x', { headers: { 'x-key': 'k3', 'x-workspace': 'one' } })
+    const harness = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
+    open.push(harness, worker)
+    await harness.send('/p/x', { headers: { 'x-key': 'k3', 'x-workspace': 'one' } })
     expect(worker.seen[0]!.headers).toMatchObject({ 'x-key': 'k3' })
     expect(worker.seen[0]!.headers).not.toHaveProperty('x-workspace')
   })
 
   it('lets nobody in without a public route where the list of workspaces is empty', async () => {
-    const { world, worker } = await start([])
-    expect(await world.send('/p/x', { headers: { 'x-key': 'k1' } })).toMatchObject({ status: 401 })
+    const { harness, worker } = await start([])
+    expect(await harness.send('/p/x', { headers: { 'x-key': 'k1' } })).toMatchObject({ status: 401 })
     expect(worker.seen).toEqual([])
   })
 })
@@ -134,23 +134,23 @@
   const quota = { unit: 'tokens' as const, perSecond: 10, burst: 1_000, plainTokens: 300 }
 
   it('counts declared tokens, and plain requests as the sheet says, and refuses what lies beyond with 429', async () => {
-    const { world, worker } = await start([{ ...ONE, quota }])
+    const { harness, worker } = await start([{ ...ONE, quota }])
     const statuses: number[] = []
     for (const tokens of ['500,100', undefined, '100,80', '1,0']) {
       const headers = { 'x-key': 'k1', ...(tokens === undefined ? {} : { 'x-tokens': tokens }) }
-      statuses.push((await world.send('/p/x', { headers })).status)
+      statuses.push((await harness.send('/p/x', { headers })).status)
     }
     // 10 a second over 8 s and 1,000 at once are 1,080: 600, 300 and 180 use them up, and not one token is left.
     expect(statuses).toEqual([200, 200, 200, 429])
     expect(worker.seen).toHaveLength(3)
-    expect(world.reports[3]).toMatchObject({ status: 429, outcome: 'over quota' })
+    expect(harness.reports[3]).toMatchObject({ status: 429, outcome: 'over quota' })
   })
 
   it('says when to come back, within the time that the caller has', async () => {
-    const { world } = await start([{ ...ONE, quota }])
+    const { harness } = await start([{ ...ONE, quota }])
     const headers = { 'x-key': 'k1', 'x-tokens': '5000,5000' }
     const answers = []
-    for (let turn = 0; turn < 12; turn += 1) answers.push(await world.send('/p/x', { headers }))
+    for (let turn = 0; turn < 12; turn += 1) answers.push(await harness.send('/p/x', { headers }))
     const refused = answers.filter(({ status }) => status === 429)
     expect(refused.length).toBeGreaterThan(0)
     for (const { headers: got } of refused) {
@@ -160,23 +160,23 @@
   })
 
   it('counts nothing for what did not run', async () => {
-    const { world, worker } = await start([{ ...ONE, quota: { ...quota, burst: 700 } }])
+    const { harness, worker } = await start([{ ...ONE, quota: { ...quota, burst: 700 } }])
     await worker.stop()
     const headers = { 'x-key': 'k1', 'x-tokens': '600,0' }
     const statuses = []
-    for (let turn = 0; turn < 3; turn += 1) statuses.push((await world.send('/p/x', { headers })).status)
+    for (let turn = 0; turn < 3; turn += 1) statuses.push((await harness.send('/p/x', { headers })).status)
     expect(statuses).toEqual([503, 503, 503])
   })
 
   it.each(['x', '1', '-5,3', '5,-3', '1,2,3', '1.5,2', '99999999999999,1', '1e3,1', ', ', 'NaN,NaN'])(
     'answers 400 to the token counts "%s" and spends nothing',
     async (tokens) => {
-      const { world, worker } = await start([{ ...ONE, quota }])
-      const answer = await world.send('/p/x', { headers: { 'x-key': 'k1', 'x-tokens': tokens } })
+      const { harness, worker } = await start([{ ...ONE, quota }])
+      const answer = await harness.send('/p/x', { headers: { 'x-key': 'k1', 'x-tokens': tokens } })
       expect(answer.status).toBe(400)
       expect(answer.body).toContain('FORKSTAGE_TOKEN_COUNTS')
       expect(worker.seen).toEqual([])
-      const rest = await world.send('/p/x', { headers: { 'x-key': 'k1', 'x-tokens': '900,50' } })
+      const rest = await harness.send('/p/x', { headers: { 'x-key': 'k1', 'x-tokens': '900,50' } })
       expect(rest.status).toBe(200)
     },
   )
