--- a/request/gateway/src/promptPrefill.ts
+++ b/request/gateway/src/promptPrefill.ts
@@ -1,7 +1,7 @@
 import { RETRY_AFTER_REASON } from '@forkstage/statements'
 import type { PooledEndpoint } from './endpointPool'
-import { COLD_REASON } from './coldGate'
-import { LIMIT_REASON } from './limitGate'
+import { COLD_LIMIT_REASON } from './coldEndpointLimiter'
+import { RATE_LIMIT_REASON } from './endpointRateLimiter'
 import type { Exchange } from './exchange'
 import type { ModelPlace } from './modelPlacer'
 import { reportLostSending } from './reportLostSending'
@@ -15,7 +15,7 @@
 const USABLE_HANDLE_SHARE = 0.5
 
 /** Why an engine may get nothing at the moment, though it may in the next. */
-const TRANSIENT_REASONS = new Set([COLD_REASON, LIMIT_REASON, SUSPENDED, RETRY_AFTER_REASON])
+const TRANSIENT_REASONS = new Set([COLD_LIMIT_REASON, RATE_LIMIT_REASON, SUSPENDED, RETRY_AFTER_REASON])
 
 /** What the reading of a prompt needs of its request. */
 export interface PrefillContext {
@@ -45,14 +45,14 @@
     if (at === undefined) return 'none'
     const withheld = whyNotSend(parts, job, at.endpoint, 'prefill')
     if (withheld !== undefined) {
-      place.notePrefilled('cancelled', 0)
+      place.reportPrefilled('cancelled', 0)
       this.exclude(at, withheld)
       return 'not-read'
     }
     const sending = this.sendCounter.open('prefill')
     // Without one the decode engine reads the prompt, which no other sending has to precede.
     if (sending === undefined) {
-      place.notePrefilled('cancelled', 0)
+      place.reportPrefilled('cancelled', 0)
       return 'none'
     }
     const onOpen = (exchange: Exchange) => void (context.exchange = exchange)
@@ -69,7 +69,7 @@
     }
     // What never arrived has taken none of the engine's time, however long it was waited for.
     const busyMs = sendOutcome === 'failed' && arrival === 'not-arrived' ? 0 : tookMs
-    place.notePrefilled(context.isOver ? 'cancelled' : sendOutcome, busyMs)
+    place.reportPrefilled(context.isOver ? 'cancelled' : sendOutcome, busyMs)
     context.sends.push({
       to: at.endpoint.id,
       step: 'prefill',
@@ -116,7 +116,7 @@
   }
 
   private isAtHome({ at }: Prefilled): boolean {
-    return this.parts.pool.atHome(at.endpoint.id, this.job.homes()) !== undefined
+    return this.parts.pool.getWithinRegions(at.endpoint.id, this.job.homes()) !== undefined
   }
 
   /** Notes that a decode engine has taken the memory. */
--- a/request/gateway/src/recordStatements.ts
+++ b/request/gateway/src/recordStatements.ts
@@ -1,5 +1,5 @@
 import { readRetryAfter } from '@forkstage/statements'
-import { single } from './callerRequest'
+import { firstValue } from './callerRequest'
 import type { PooledEndpoint } from './endpointPool'
 import type { AnswerHead } from './exchange'
 import { recordRate } from './recordRate'
@@ -29,10 +29,10 @@
   if (statements === undefined) return
   const { id } = at.endpoint
   // A field that comes twice has both values in one.
-  const values = single(head.headers[wire.headers.leaving])?.split(',') ?? []
+  const values = firstValue(head.headers[wire.headers.leaving])?.split(',') ?? []
   if (values.some((value) => wire.readLeaving(value.trim()))) {
     statements.recordLeaving(id, request)
-    pool.noteLeaving(at)
+    pool.recordLeaving(at)
   }
   statements.recordRetryAfter(id, readRetryAfter(head), request)
 }
--- a/request/gateway/src/runMigrations.ts
+++ b/request/gateway/src/runMigrations.ts
@@ -58,7 +58,7 @@
     this.migration = migration
     const isCopied = await migration.copy()
     // Also the rest must not be copied where the request must not go any more.
-    const isAllowed = parts.pool.atHome(to.endpoint.id, job.homes()) !== undefined
+    const isAllowed = parts.pool.getWithinRegions(to.endpoint.id, job.homes()) !== undefined
     const isSame = this.isRunning() && context.exchange === stream && isAllowed
     this.sending = isCopied && isSame ? this.sendCounter.open('decode') : undefined
     if (this.sending !== undefined) return migration.stop()
