--- a/api/caller/src/createCallerApp.ts
+++ b/api/caller/src/createCallerApp.ts
@@ -155,7 +155,7 @@
   return () => {
     if (left) return
     left = true
-    source.leave()
+    source.close()
   }
 }
 
--- a/api/operator/src/operatorService.ts
+++ b/api/operator/src/operatorService.ts
@@ -2,7 +2,7 @@
 import type { Claim } from '@forkstage/claims'
 import type { ReplicaStatus } from '@forkstage/group'
 import type { OrderRequest } from '@forkstage/orders'
-import type { StoryLine } from '@forkstage/runner'
+import type { TraceEntry } from '@forkstage/runner'
 import type { EndpointName, Table, VersionedTable } from '@forkstage/types'
 
 /** An operator's confirm: the whole new table, made from a base version, under an id of its own. */
@@ -48,7 +48,7 @@
 export interface Explanation {
   request: string
   claim?: Claim
-  story: StoryLine[]
+  story: TraceEntry[]
   /** Boxes that did not answer; their lines are missing. */
   missing: string[]
 }
@@ -61,7 +61,7 @@
   control(): Promise<ControlStatus>
   status(): Promise<FleetStatus>
   explain(request: string): Promise<Explanation>
-  decisions(limit: number): { request: string; story: StoryLine[] }[]
+  decisions(limit: number): { request: string; story: TraceEntry[] }[]
   replace(lost: string, withAddress: string): Promise<unknown>
   order(order: OrderRequest): Promise<{ fence: number }>
   stop(): void
--- a/daemon/daemon/src/boxDaemon.ts
+++ b/daemon/daemon/src/boxDaemon.ts
@@ -165,7 +165,7 @@
     state.phase = 'draining'
     const endsAt = clock.now() + settings.stop.drain_ms
     await this.waitWhile(() => this.running() > 0, settings.stop.drain_ms)
-    const cut = parts.get(PARTS.runs).cutAll()
+    const cut = parts.get(PARTS.runs).cancelAll()
     // What has ended may still lie here while its caller reads slowly.
     await this.waitWhile(() => (this.answers?.count ?? 0) > 0, Math.max(SETTLE_MS, endsAt - clock.now()))
     await this.waitWhile(() => parts.get(PARTS.releases).pending > 0, SETTLE_MS * 4)
--- a/daemon/daemon/src/buildContainer.ts
+++ b/daemon/daemon/src/buildContainer.ts
@@ -7,13 +7,13 @@
 import { EngineClient } from '@forkstage/engine-client'
 import { GroupClient } from '@forkstage/group'
 import { TableFollower } from '@forkstage/lease'
-import { EndpointBook, OutputForecast, RetryBudget } from '@forkstage/load'
+import { EndpointTracker, OutputForecast, RetryBudget } from '@forkstage/load'
 import { createLogger } from '@forkstage/logger'
 import { CreditClient, OwnerService } from '@forkstage/owner'
 import { EndpointSubset, OwnerMap } from '@forkstage/owners'
 import { parseAddress, PeerClient } from '@forkstage/peer-rpc'
 import { ALL_PARTS, type PlacePolicy } from '@forkstage/place'
-import { Placer, PlainCalls, ReleaseKeeper, RequestMeters, RunRegistry, StoryBook } from '@forkstage/runner'
+import { Placer, PlainCalls, ReleaseSender, RequestMetrics, RunRegistry, TraceStore } from '@forkstage/runner'
 import { advertisedAddress, type Settings } from '@forkstage/settings'
 import { BoxGroups, journalGroup } from './boxGroups'
 import { BoxState } from './boxState'
@@ -56,7 +56,7 @@
   container.bind(PARTS.origin).toConstantValue({ box: box.name, incarnation: randomBytes(5).toString('hex') })
   container.bind(PARTS.state).toConstantValue(new BoxState())
   container.bind(PARTS.registry).toConstantValue(registry)
-  container.bind(PARTS.meters).toConstantValue(new RequestMeters(registry))
+  container.bind(PARTS.meters).toConstantValue(new RequestMetrics(registry))
   container.bind(PARTS.peers).toDynamicValue((context) => {
     const credentials = {
       box: box.name,
@@ -123,7 +123,7 @@
 function bindPlacement(container: Container, settings: Settings): void {
   const { box, policy } = settings
   container.bind(PARTS.book).toDynamicValue((context) => {
-    return new EndpointBook({
+    return new EndpointTracker({
       clock: context.get(PARTS.clock),
       random: context.get(PARTS.random),
       logger: context.get(PARTS.logger),
@@ -153,7 +153,7 @@
     return new CreditClient({
       box: box.name,
       owners: context.get(PARTS.owners),
-      book: context.get(PARTS.book),
+      tracker: context.get(PARTS.book),
       peers: context.get(PARTS.peers),
       clock: context.get(PARTS.clock),
       renewEvery: RENEW_CREDITS_EVERY_MS,
@@ -162,12 +162,12 @@
         const isPlain = container.get(PARTS.book).row(endpoint)?.pool === 'plain'
         return isPlain ? container.get(PARTS.plain).waiting : container.get(PARTS.placer).waiting
       },
-      onNews: () => container.get(PARTS.placer).drain(),
+      onUpdate: () => container.get(PARTS.placer).drain(),
     })
   })
   container.bind(PARTS.placer).toDynamicValue((context) => {
     return new Placer({
-      book: context.get(PARTS.book),
+      tracker: context.get(PARTS.book),
       policyName: policy.name,
       policy: readPolicy(settings),
       forecast: context.get(PARTS.forecast),
@@ -175,8 +175,8 @@
       clock: context.get(PARTS.clock),
       random: context.get(PARTS.random),
       logger: context.get(PARTS.logger),
-      meters: context.get(PARTS.meters),
-      wantCredits: () => container.get(PARTS.credits).renewSoon(),
+      metrics: context.get(PARTS.meters),
+      requestCredits: () => container.get(PARTS.credits).renewSoon(),
     })
   })
 }
@@ -196,7 +196,9 @@
 
 function bindRequests(container: Container, settings: Settings): void {
   const { box, request, policy, journal } = settings
-  container.bind(PARTS.stories).toDynamicValue((context) => new StoryBook(box.name, context.get(PARTS.clock)))
+  container
+    .bind(PARTS.stories)
+    .toDynamicValue((context) => new TraceStore(box.name, context.get(PARTS.clock)))
   container.bind(PARTS.journal).toDynamicValue((context) => {
     const follower = context.get(PARTS.follower)
     const [peers, clock] = [context.get(PARTS.peers), context.get(PARTS.clock)]
@@ -217,7 +219,7 @@
   })
   container.bind(PARTS.releases).toDynamicValue((context) => {
     const book = context.get(PARTS.book)
-    return new ReleaseKeeper({
+    return new ReleaseSender({
       engines: context.get(PARTS.engines),
       row: (endpoint) => book.row(endpoint),
       clock: context.get(PARTS.clock),
@@ -233,12 +235,12 @@
     const parts = {
       ...shared,
       engines: context.get(PARTS.engines),
-      book: context.get(PARTS.book),
+      tracker: context.get(PARTS.book),
       forecast: context.get(PARTS.forecast),
       placer: context.get(PARTS.placer),
       releases: context.get(PARTS.releases),
-      stories: context.get(PARTS.stories),
-      meters: context.get(PARTS.meters),
+      traces: context.get(PARTS.stories),
+      metrics: context.get(PARTS.meters),
       logger: context.get(PARTS.logger),
       engineStepMs: request.engine_step_ms,
       stallMs: request.stall_ms,
@@ -258,13 +260,13 @@
   container.bind(PARTS.plain).toDynamicValue((context) => {
     return new PlainCalls({
       journal: context.get(PARTS.journal),
-      book: context.get(PARTS.book),
-      stories: context.get(PARTS.stories),
+      tracker: context.get(PARTS.book),
+      traces: context.get(PARTS.stories),
       clock: context.get(PARTS.clock),
       logger: context.get(PARTS.logger),
       outcomeBytes: journal.outcome_bytes,
       random: context.get(PARTS.random),
-      wantCredits: () => container.get(PARTS.credits).renewSoon(),
+      requestCredits: () => container.get(PARTS.credits).renewSoon(),
     })
   })
 }
--- a/daemon/daemon/src/fleetService.ts
+++ b/daemon/daemon/src/fleetService.ts
@@ -20,7 +20,7 @@
 import type { OrderRequest } from '@forkstage/orders'
 import type { PeerMethod } from '@forkstage/peer-rpc'
 import { replaceReplica } from '@forkstage/repair'
-import type { StoryLine } from '@forkstage/runner'
+import type { TraceEntry } from '@forkstage/runner'
 import { checkTable, diffTables, digestTable, formatDiff, TableError } from '@forkstage/table'
 import type { Table, VersionedTable } from '@forkstage/types'
 import { CONTROL_GROUP, journalGroup } from './boxGroups'
@@ -110,7 +110,7 @@
 
   async explain(request: string): Promise<Explanation> {
     const [stories, claim] = await Promise.all([
-      this.askBoxes<StoryLine[]>('box.story', { request }),
+      this.askBoxes<TraceEntry[]>('box.story', { request }),
       this.parts.get(PARTS.journal).findRequest(request),
     ])
     const lines = stories.flatMap(({ answer }) => answer ?? [])
--- a/daemon/daemon/src/parts.ts
+++ b/daemon/daemon/src/parts.ts
@@ -2,7 +2,7 @@
 import type { Clock, Random } from '@forkstage/clock'
 import type { EngineClient } from '@forkstage/engine-client'
 import type { TableFollower } from '@forkstage/lease'
-import type { EndpointBook, OutputForecast, RetryBudget } from '@forkstage/load'
+import type { EndpointTracker, OutputForecast, RetryBudget } from '@forkstage/load'
 import type { Logger } from '@forkstage/logger'
 import type { CreditClient, OwnerService, RequestOrigin } from '@forkstage/owner'
 import type { OwnerMap } from '@forkstage/owners'
@@ -10,10 +10,10 @@
 import type {
   Placer,
   PlainCalls,
-  ReleaseKeeper,
-  RequestMeters,
+  ReleaseSender,
+  RequestMetrics,
   RunRegistry,
-  StoryBook,
+  TraceStore,
 } from '@forkstage/runner'
 import type { JournalClient } from '@forkstage/claims'
 import type { Settings } from '@forkstage/settings'
@@ -34,7 +34,7 @@
   origin: token<RequestOrigin>('origin'),
   state: token<BoxState>('state'),
   registry: token<Registry>('registry'),
-  meters: token<RequestMeters>('meters'),
+  meters: token<RequestMetrics>('meters'),
   peers: token<PeerClient>('peers'),
   engines: token<EngineClient>('engines'),
   groups: token<BoxGroups>('groups'),
@@ -42,12 +42,12 @@
   owners: token<OwnerMap>('owners'),
   ownerService: token<OwnerService>('ownerService'),
   credits: token<CreditClient>('credits'),
-  book: token<EndpointBook>('book'),
+  book: token<EndpointTracker>('book'),
   forecast: token<OutputForecast>('forecast'),
   budget: token<RetryBudget>('budget'),
   placer: token<Placer>('placer'),
-  releases: token<ReleaseKeeper>('releases'),
-  stories: token<StoryBook>('stories'),
+  releases: token<ReleaseSender>('releases'),
+  stories: token<TraceStore>('stories'),
   journal: token<JournalClient>('journal'),
   runs: token<RunRegistry>('runs'),
   plain: token<PlainCalls>('plain'),
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -19,7 +19,7 @@
 } from '@forkstage/gateway'
 import { LIMIT_REPORT } from '@forkstage/limits'
 import { startPeerServer, type PeerServer } from '@forkstage/peer-rpc'
-import { QUOTA_REPORT, QuotaKeeper, type QuotaAnswer } from '@forkstage/quota'
+import { QUOTA_REPORT, QuotaLimiter, type QuotaAnswer } from '@forkstage/quota'
 import { RouteBook, type RouteSheet } from '@forkstage/routes'
 import { StatementBook } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
@@ -70,7 +70,7 @@
   private readonly follower: ControlFollower
   private readonly placer: RemotePlacer
   private readonly way: LeaderWay
-  private readonly quotas: QuotaKeeper
+  private readonly quotas: QuotaLimiter
   private peerServer: PeerServer | undefined
   private readonly ingress: Ingress
   private readonly meters: FleetMeters
@@ -293,9 +293,9 @@
     return cut
   }
 
-  private createQuotas(entries: () => number): QuotaKeeper {
+  private createQuotas(entries: () => number): QuotaLimiter {
     const { settings, clock, random, epoch } = this.basics
-    return new QuotaKeeper({
+    return new QuotaLimiter({
       entry: settings.machine.name,
       life: epoch,
       clock,
--- a/daemon/fleet/src/quotaMethods.ts
+++ b/daemon/fleet/src/quotaMethods.ts
@@ -6,7 +6,7 @@
   return {
     [QUOTA_REPORT]: (raw: unknown): QuotaAnswer => {
       const report = readQuotaReport(raw)
-      return report !== undefined && isLeader() ? ledger.take(report) : {}
+      return report !== undefined && isLeader() ? ledger.applyReport(report) : {}
     },
   }
 }
--- a/placement/load/src/ejection.ts
+++ b/placement/load/src/ejection.ts
@@ -30,11 +30,11 @@
   }
 
   /** Notes that a request was sent; after an ejection it is the probe. */
-  noteSent(now: Millis): void {
+  recordSent(now: Millis): void {
     if (this.ejections > 0 && now >= this.until) this.probing = true
   }
 
-  noteSuccess(): EjectionChange {
+  recordSuccess(): EjectionChange {
     const wasEjected = this.ejections > 0
     this.failuresInRow = 0
     this.ejections = 0
@@ -42,7 +42,7 @@
     return wasEjected ? { type: 'restored' } : undefined
   }
 
-  noteFailure(now: Millis, random: Random): EjectionChange {
+  recordFailure(now: Millis, random: Random): EjectionChange {
     this.failuresInRow += 1
     const failedProbe = this.probing
     this.probing = false
--- a/placement/load/src/endpointBook.ts
+++ b/placement/load/src/endpointTracker.ts
@@ -20,7 +20,7 @@
 }
 
 /** What an owner says of an endpoint, with this box's share of its limits. */
-export interface EndpointNews {
+export interface EndpointUpdate {
   /** Absent while the owner has no report. */
   report?: EngineReport
   share: number
@@ -47,8 +47,8 @@
   ejection: Ejection
 }
 
-/** Options of {@link EndpointBook}. */
-export interface EndpointBookOptions {
+/** Options of {@link EndpointTracker}. */
+export interface EndpointTrackerOptions {
   clock: Clock
   random: Random
   logger: Logger
@@ -58,12 +58,12 @@
 const ASSUMED_TOKENS_PER_SECOND = 10_000
 const ASSUMED_STEP_MS = 20
 /** A link of 1 Mbit/s carries so many bytes a millisecond. */
-const BYTES_PER_MS_A_MEGABIT = 125
+const BYTES_PER_MS_PER_MEGABIT = 125
 /** Prompt budgets may save up this much. */
-const BUDGET_SECONDS = 1
+const PROMPT_BUDGET_SECONDS = 1
 
 /** All that this box knows about the endpoints it uses. */
-export class EndpointBook {
+export class EndpointTracker {
   private readonly entries = new Map<EndpointName, Entry>()
   private readonly shares = new ShareCounter()
   private readonly linkRates = new Map<string, number>()
@@ -71,7 +71,7 @@
   private leaving = new Set<string>()
   private readonly statements: StatementBook
 
-  constructor(private readonly options: EndpointBookOptions) {
+  constructor(private readonly options: EndpointTrackerOptions) {
     this.statements = new StatementBook(options)
   }
 
@@ -92,7 +92,7 @@
     }
     this.linkRates.clear()
     for (const { from, to, megabitsPerSecond } of table.links) {
-      this.linkRates.set(`${from}>${to}`, megabitsPerSecond * BYTES_PER_MS_A_MEGABIT)
+      this.linkRates.set(`${from}>${to}`, megabitsPerSecond * BYTES_PER_MS_PER_MEGABIT)
     }
     return hasNew
   }
@@ -144,28 +144,28 @@
     return this.entries.get(endpoint)?.row
   }
 
-  noteNews(endpoint: EndpointName, news: EndpointNews): void {
+  applyUpdate(endpoint: EndpointName, update: EndpointUpdate): void {
     const entry = this.entries.get(endpoint)
     if (entry === undefined) return
     const now = this.options.clock.now()
-    if (news.report !== undefined) {
-      entry.report = news.report
-      entry.reportTakenAt = now - news.report.ageMs
+    if (update.report !== undefined) {
+      entry.report = update.report
+      entry.reportTakenAt = now - update.report.ageMs
     }
-    entry.share = news.share
-    entry.shareUntil = now + news.leaseMs
-    entry.promptRate = news.promptTokensPerSecond
-    entry.othersPrefillTokens = news.othersPrefillTokens
-    entry.prefixes.noteEvents(news.cacheEvents)
+    entry.share = update.share
+    entry.shareUntil = now + update.leaseMs
+    entry.promptRate = update.promptTokensPerSecond
+    entry.othersPrefillTokens = update.othersPrefillTokens
+    entry.prefixes.applyEvents(update.cacheEvents)
   }
 
-  noteSent(endpoint: EndpointName, request: RequestId, work: Omit<SentWork, 'at'>, blocks: string[]): void {
+  recordSent(endpoint: EndpointName, request: RequestId, work: Omit<SentWork, 'at'>, blocks: string[]): void {
     const entry = this.entries.get(endpoint)
     if (entry === undefined) return
     const now = this.options.clock.now()
     entry.sent.set(request, { ...work, at: now })
-    entry.prefixes.noteSent(blocks)
-    entry.ejection.noteSent(now)
+    entry.prefixes.recordSent(blocks)
+    entry.ejection.recordSent(now)
     this.statements.noteSent(endpoint)
     entry.promptBudget = this.promptBudget(entry, now) - work.promptTokens
     entry.promptBudgetAt = now
@@ -173,43 +173,43 @@
   }
 
   /** The prefill part of some work is done; its memory is still held. */
-  notePrefilled(endpoint: EndpointName, request: RequestId): void {
+  recordPrefilled(endpoint: EndpointName, request: RequestId): void {
     const work = this.entries.get(endpoint)?.sent.get(request)
     if (work !== undefined) work.prefillTokens = 0
   }
 
-  noteEnded(endpoint: EndpointName, request: RequestId): void {
+  recordEnded(endpoint: EndpointName, request: RequestId): void {
     this.entries.get(endpoint)?.sent.delete(request)
   }
 
-  noteTransfer(link: string, request: RequestId, bytes: number): void {
+  recordTransfer(link: string, request: RequestId, bytes: number): void {
     const queue = this.linkQueues.get(link) ?? new Map<RequestId, number>()
     this.linkQueues.set(link, queue)
     if (bytes > 0) queue.set(request, bytes)
     else queue.delete(request)
   }
 
-  noteResult(endpoint: EndpointName, failed: string | undefined): void {
+  recordResult(endpoint: EndpointName, error: string | undefined): void {
     const entry = this.entries.get(endpoint)
     if (entry === undefined) return
     const { clock, random } = this.options
-    if (failed === undefined) this.statements.noteWell(endpoint)
+    if (error === undefined) this.statements.noteWell(endpoint)
     const change =
-      failed === undefined ? entry.ejection.noteSuccess() : entry.ejection.noteFailure(clock.now(), random)
-    this.logChange(endpoint, change, failed)
+      error === undefined ? entry.ejection.recordSuccess() : entry.ejection.recordFailure(clock.now(), random)
+    this.logChange(endpoint, change, error)
   }
 
   /**
    * Takes a refusal, or a failure that says when to come back. One that does has said what it can do, which is no failure:
    * it gets nothing until then, and is not put out.
    */
-  noteRefused(endpoint: EndpointName, rest: Rest, request: RequestId, reason: string): void {
+  recordRefusal(endpoint: EndpointName, rest: Rest, request: RequestId, reason: string): void {
     if (rest.type === 'rest') this.statements.noteRest(endpoint, rest, request)
-    else this.noteResult(endpoint, reason)
+    else this.recordResult(endpoint, reason)
   }
 
   /** Until some endpoints that all want nothing may be asked again, in milliseconds; undefined where one may be now. */
-  restLeft(endpoints: EndpointName[]): Millis | undefined {
+  restLeftMs(endpoints: EndpointName[]): Millis | undefined {
     const bound = this.statements.firstFree(endpoints)
     return bound && bound.untilMs - this.options.clock.now()
   }
@@ -250,9 +250,9 @@
   ): EndpointView {
     const { row, report } = entry
     const since = this.sentSinceReport(entry)
-    const lived = report === undefined ? 0 : Math.max(0, now - entry.reportTakenAt)
+    const elapsed = report === undefined ? 0 : Math.max(0, now - entry.reportTakenAt)
     const rate = (report?.prefillTokensPerSecond ?? ASSUMED_TOKENS_PER_SECOND) / 1_000
-    const reported = Math.max(0, (report?.queuedPrefillTokens ?? 0) - lived * rate) + since.prefillTokens
+    const reported = Math.max(0, (report?.queuedPrefillTokens ?? 0) - elapsed * rate) + since.prefillTokens
     return {
       row,
       closed: this.closed(entry, now),
@@ -294,7 +294,7 @@
   private promptBudget(entry: Entry, now: Millis): number {
     if (!Number.isFinite(entry.promptRate)) return Infinity
     const earned = ((now - entry.promptBudgetAt) / 1_000) * entry.promptRate
-    return Math.min(entry.promptRate * BUDGET_SECONDS, entry.promptBudget + earned)
+    return Math.min(entry.promptRate * PROMPT_BUDGET_SECONDS, entry.promptBudget + earned)
   }
 
   private poolRatios(now: Millis): Map<EndpointName, number> {
@@ -318,10 +318,10 @@
     return views
   }
 
-  private logChange(endpoint: EndpointName, change: EjectionChange, failed: string | undefined): void {
+  private logChange(endpoint: EndpointName, change: EjectionChange, error: string | undefined): void {
     const { logger } = this.options
     if (change?.type === 'ejected')
-      logger.warn('endpoint.ejected', { endpoint, reason: failed ?? '', forMs: Math.round(change.forMs) })
+      logger.warn('endpoint.ejected', { endpoint, reason: error ?? '', forMs: Math.round(change.forMs) })
     if (change?.type === 'restored') logger.info('endpoint.restored', { endpoint })
   }
 
--- a/placement/load/src/index.ts
+++ b/placement/load/src/index.ts
@@ -1,6 +1,6 @@
 /** What a box knows of the endpoints it uses, and its share of their limits. */
-export { EndpointBook } from './endpointBook'
-export type { EndpointBookOptions, EndpointNews, SentWork } from './endpointBook'
+export { EndpointTracker } from './endpointTracker'
+export type { EndpointTrackerOptions, EndpointUpdate, SentWork } from './endpointTracker'
 export { shareFor, targetShares } from './shareCredits'
 export type { Demand, Grant } from './shareCredits'
 export { OutputForecast } from './outputForecast'
--- a/placement/load/src/outputForecast.ts
+++ b/placement/load/src/outputForecast.ts
@@ -2,7 +2,7 @@
 const LEARNING_RATE = 0.05
 /** The quantile of answer lengths that memory is reserved for. */
 const QUANTILE = 0.9
-const FIRST_FORECAST = 64
+const INITIAL_FORECAST_TOKENS = 64
 
 /** Learns how long answers of a class get: follows a high quantile, one step an answer. */
 export class OutputForecast {
@@ -10,7 +10,7 @@
 
   /** The expected length of an answer of a class, in tokens, never above the caller's own limit. */
   expect(className: string, maxTokens: number): number {
-    return Math.min(this.forecasts.get(className) ?? FIRST_FORECAST, maxTokens)
+    return Math.min(this.forecasts.get(className) ?? INITIAL_FORECAST_TOKENS, maxTokens)
   }
 
   learn(className: string, tokens: number): void {
--- a/placement/load/src/prefixIndex.ts
+++ b/placement/load/src/prefixIndex.ts
@@ -8,11 +8,11 @@
   private readonly blocks = new Map<string, true>()
 
   /** Notes blocks that this box has sent there. */
-  noteSent(blocks: string[]): void {
+  recordSent(blocks: string[]): void {
     for (const block of blocks) this.add(block)
   }
 
-  noteEvents(events: CacheEvent[]): void {
+  applyEvents(events: CacheEvent[]): void {
     for (const event of events) {
       if (event.type === 'added') this.add(event.block)
       else this.blocks.delete(event.block)
--- a/placement/load/src/shareCounter.ts
+++ b/placement/load/src/shareCounter.ts
@@ -3,7 +3,7 @@
 /** Work counts half after this long: weights are followed over about a minute. */
 const HALF_LIFE_MS = 20_000
 /** Below this much work in a pool there is no share to speak of. */
-const LEAST_WORK = 4
+const MIN_WORK = 4
 
 interface Count {
   work: number
@@ -23,11 +23,11 @@
     const works = pool.map((each) => this.workOf(each.endpoint, now))
     const totalWork = works.reduce((sum, work) => sum + work, 0)
     const totalWeight = pool.reduce((sum, each) => sum + each.weight, 0)
-    const enough = totalWork >= LEAST_WORK && totalWeight > 0
+    const enough = totalWork >= MIN_WORK && totalWeight > 0
     return new Map(
       pool.map((each, position) => {
-        const asked = each.weight / totalWeight
-        return [each.endpoint, enough && asked > 0 ? works[position]! / totalWork / asked : 1]
+        const targetShare = each.weight / totalWeight
+        return [each.endpoint, enough && targetShare > 0 ? works[position]! / totalWork / targetShare : 1]
       }),
     )
   }
--- a/placement/load/src/shareCredits.ts
+++ b/placement/load/src/shareCredits.ts
@@ -33,7 +33,7 @@
 }
 
 /** Part of what nobody needs that stays with the owner, for a box whose burst comes next. */
-const RESERVE = 0.5
+const RESERVE_SHARE = 0.5
 
 /**
  * Divides a limit: to each what it needs as far as it goes, then part of what is left in equal parts.
@@ -43,8 +43,8 @@
   const boxes = [...demands.keys()].sort()
   const needs = new Map(boxes.map((box) => [box, demands.get(box)!.inFlight + demands.get(box)!.waiting]))
   const shares = new Map(boxes.map((box) => [box, 0]))
-  const left = fill(limit, boxes, needs, shares)
-  const spread = Math.min(left, Math.max(Math.floor(left * (1 - RESERVE)), boxes.length))
+  const left = fillNeeds(limit, boxes, needs, shares)
+  const spread = Math.min(left, Math.max(Math.floor(left * (1 - RESERVE_SHARE)), boxes.length))
   for (let position = 0; position < spread; position += 1) {
     const box = boxes[position % boxes.length]!
     shares.set(box, shares.get(box)! + 1)
@@ -53,7 +53,12 @@
 }
 
 /** Gives one each in turn until every need is met or nothing is left. */
-function fill(limit: number, boxes: BoxId[], needs: Map<BoxId, number>, shares: Map<BoxId, number>): number {
+function fillNeeds(
+  limit: number,
+  boxes: BoxId[],
+  needs: Map<BoxId, number>,
+  shares: Map<BoxId, number>,
+): number {
   let left = Math.floor(limit)
   let open = boxes.filter((box) => needs.get(box)! > 0)
   while (left > 0 && open.length > 0) {
--- a/placement/load/test/endpointBook.test.ts
+++ b/placement/load/test/endpointTracker.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@forkstage/clock'
 import { createSilentLogger } from '@forkstage/logger'
 import type { EndpointRow } from '@forkstage/types'
-import { Ejection, EndpointBook, OutputForecast, RetryBudget, ShareCounter } from '../src'
+import { Ejection, EndpointTracker, OutputForecast, RetryBudget, ShareCounter } from '../src'
 
 const row = (patch: Partial<EndpointRow> = {}): EndpointRow => ({
   endpoint: 'd',
@@ -31,7 +31,7 @@
   leaving: false,
   deterministic: true,
 }
-const news = {
+const update = {
   report,
   share: 2,
   leaseMs: 1_000,
@@ -40,81 +40,84 @@
   cacheEvents: [],
 }
 
-function createBook(patch: Partial<EndpointRow> = {}) {
+function createTracker(patch: Partial<EndpointRow> = {}) {
   const clock = new ManualClock(1_000)
-  const book = new EndpointBook({ clock, random: () => 0.5, logger: createSilentLogger() })
-  book.setTable({ endpoints: [row(patch)], links: [] })
-  return { clock, book }
+  const tracker = new EndpointTracker({ clock, random: () => 0.5, logger: createSilentLogger() })
+  tracker.setTable({ endpoints: [row(patch)], links: [] })
+  return { clock, tracker }
 }
 
 describe('endpointBook', () => {
   it('sends nothing without a share, beyond it, or after its lease', () => {
-    const { clock, book } = createBook()
-    expect(book.closedReason('d')).toBe('no-credit')
-    book.noteNews('d', news)
-    expect(book.closedReason('d')).toBeUndefined()
+    const { clock, tracker } = createTracker()
+    expect(tracker.closedReason('d')).toBe('no-credit')
+    tracker.applyUpdate('d', update)
+    expect(tracker.closedReason('d')).toBeUndefined()
     for (const request of ['r1', 'r2'])
-      book.noteSent('d', request, { promptTokens: 1, prefillTokens: 0, kvTokens: 1 }, [])
-    expect(book.closedReason('d')).toBe('no-credit')
-    book.noteEnded('d', 'r1')
-    expect(book.closedReason('d')).toBeUndefined()
+      tracker.recordSent('d', request, { promptTokens: 1, prefillTokens: 0, kvTokens: 1 }, [])
+    expect(tracker.closedReason('d')).toBe('no-credit')
+    tracker.recordEnded('d', 'r1')
+    expect(tracker.closedReason('d')).toBeUndefined()
     clock.advance(1_001)
-    expect(book.closedReason('d')).toBe('no-credit')
+    expect(tracker.closedReason('d')).toBe('no-credit')
   })
 
   it.each([
     [{ state: 'drain' as const }, 'state'],
     [{ weight: 0 }, 'weight'],
   ])('closes a row with %j', (patch, reason) => {
-    const { book } = createBook(patch)
-    book.noteNews('d', news)
-    expect(book.closedReason('d')).toBe(reason)
+    const { tracker } = createTracker(patch)
+    tracker.applyUpdate('d', update)
+    expect(tracker.closedReason('d')).toBe(reason)
   })
 
   it('closes what leaves, by its own word or by the platform’s', () => {
-    const { book } = createBook()
-    book.noteNews('d', { ...news, report: { ...report, leaving: true } })
-    expect(book.closedReason('d')).toBe('leaving')
-    book.noteNews('d', news)
-    book.setLeaving(['d'])
-    expect(book.closedReason('d')).toBe('leaving')
+    const { tracker } = createTracker()
+    tracker.applyUpdate('d', { ...update, report: { ...report, leaving: true } })
+    expect(tracker.closedReason('d')).toBe('leaving')
+    tracker.applyUpdate('d', update)
+    tracker.setLeaving(['d'])
+    expect(tracker.closedReason('d')).toBe('leaving')
   })
 
   it('joins a lagging report with what was sent since, and with what has drained', () => {
-    const { clock, book } = createBook()
-    book.noteNews('d', news)
+    const { clock, tracker } = createTracker()
+    tracker.applyUpdate('d', update)
     clock.advance(50)
-    book.noteSent('d', 'r', { promptTokens: 300, prefillTokens: 300, kvTokens: 300 }, [])
-    const view = book.view([]).endpoints[0]!
+    tracker.recordSent('d', 'r', { promptTokens: 300, prefillTokens: 300, kvTokens: 300 }, [])
+    const view = tracker.view([]).endpoints[0]!
     expect([view.queuedPrefillTokens, view.kvTokensUsed]).toEqual([350, 500])
     clock.advance(10)
-    book.noteNews('d', { ...news, report: { ...report, kvTokensUsed: 500, queuedPrefillTokens: 340 } })
-    expect(book.view([]).endpoints[0]!.kvTokensUsed).toBe(500)
+    tracker.applyUpdate('d', {
+      ...update,
+      report: { ...report, kvTokensUsed: 500, queuedPrefillTokens: 340 },
+    })
+    expect(tracker.view([]).endpoints[0]!.kvTokensUsed).toBe(500)
   })
 
   it('believes the other boxes’ word on what they sent over an older report', () => {
-    const { book } = createBook()
-    book.noteNews('d', { ...news, othersPrefillTokens: 5_000 })
-    book.noteSent('d', 'r', { promptTokens: 300, prefillTokens: 300, kvTokens: 300 }, [])
-    expect(book.view([]).endpoints[0]!.queuedPrefillTokens).toBe(5_300)
-    book.notePrefilled('d', 'r')
-    expect(book.prefillTokens('d')).toBe(0)
+    const { tracker } = createTracker()
+    tracker.applyUpdate('d', { ...update, othersPrefillTokens: 5_000 })
+    tracker.recordSent('d', 'r', { promptTokens: 300, prefillTokens: 300, kvTokens: 300 }, [])
+    expect(tracker.view([]).endpoints[0]!.queuedPrefillTokens).toBe(5_300)
+    tracker.recordPrefilled('d', 'r')
+    expect(tracker.prefillTokens('d')).toBe(0)
   })
 
   it('holds to the row’s prompt tokens a second', () => {
-    const { clock, book } = createBook({ promptTokensPerSecond: 100 })
-    book.noteNews('d', { ...news, promptTokensPerSecond: 100 })
+    const { clock, tracker } = createTracker({ promptTokensPerSecond: 100 })
+    tracker.applyUpdate('d', { ...update, promptTokensPerSecond: 100 })
     clock.advance(1_000)
-    expect(book.closedReason('d')).not.toBe('rate-limit')
-    book.noteNews('d', { ...news, promptTokensPerSecond: 100 })
-    book.noteSent('d', 'r', { promptTokens: 250, prefillTokens: 0, kvTokens: 0 }, [])
-    expect(book.closedReason('d')).toBe('rate-limit')
+    expect(tracker.closedReason('d')).not.toBe('rate-limit')
+    tracker.applyUpdate('d', { ...update, promptTokensPerSecond: 100 })
+    tracker.recordSent('d', 'r', { promptTokens: 250, prefillTokens: 0, kvTokens: 0 }, [])
+    expect(tracker.closedReason('d')).toBe('rate-limit')
     clock.advance(900)
-    expect(book.closedReason('d')).toBe('rate-limit')
+    expect(tracker.closedReason('d')).toBe('rate-limit')
     clock.advance(99)
     clock.advance(700)
-    book.noteNews('d', { ...news, promptTokensPerSecond: 100 })
-    expect(book.closedReason('d')).toBeUndefined()
+    tracker.applyUpdate('d', { ...update, promptTokensPerSecond: 100 })
+    expect(tracker.closedReason('d')).toBeUndefined()
   })
 })
 
@@ -122,14 +125,14 @@
   it('ejects after failures in a row, lets one probe through, and doubles the next ejection', () => {
     const ejection = new Ejection({ failures: 2, firstMs: 100, longestMs: 1_000 })
     const random = () => 0.5
-    expect(ejection.noteFailure(0, random)).toBeUndefined()
-    expect(ejection.noteFailure(0, random)).toEqual({ type: 'ejected', forMs: 100 })
+    expect(ejection.recordFailure(0, random)).toBeUndefined()
+    expect(ejection.recordFailure(0, random)).toEqual({ type: 'ejected', forMs: 100 })
     expect([ejection.isOpen(99), ejection.isOpen(100)]).toEqual([false, true])
-    ejection.noteSent(100)
+    ejection.recordSent(100)
     expect(ejection.isOpen(100)).toBe(false)
-    expect(ejection.noteFailure(101, random)).toEqual({ type: 'ejected', forMs: 200 })
-    ejection.noteSent(301)
-    expect(ejection.noteSuccess()).toEqual({ type: 'restored' })
+    expect(ejection.recordFailure(101, random)).toEqual({ type: 'ejected', forMs: 200 })
+    ejection.recordSent(301)
+    expect(ejection.recordSuccess()).toEqual({ type: 'restored' })
     expect(ejection.isOpen(302)).toBe(true)
   })
 })
@@ -137,13 +140,13 @@
 describe('what is learned and saved up', () => {
   it('lets retries through as a share of first tries', () => {
     const budget = new RetryBudget(0.1)
-    while (budget.take());
-    for (let n = 0; n < 100; n += 1) budget.noteFirstTry()
+    while (budget.tryConsume());
+    for (let n = 0; n < 100; n += 1) budget.recordFirstTry()
     let taken = 0
-    while (budget.take()) taken += 1
+    while (budget.tryConsume()) taken += 1
     expect(taken).toBeGreaterThanOrEqual(9)
     expect(taken).toBeLessThanOrEqual(11)
-    expect(new RetryBudget(0).take()).toBe(false)
+    expect(new RetryBudget(0).tryConsume()).toBe(false)
   })
 
   it('forecasts a high quantile of answer lengths, never beyond the caller’s limit', () => {
--- a/placement/owner/src/creditClient.ts
+++ b/placement/owner/src/creditClient.ts
@@ -1,16 +1,16 @@
 import { every, type CancelTimer, type Clock } from '@forkstage/clock'
-import type { EndpointBook } from '@forkstage/load'
+import type { EndpointTracker } from '@forkstage/load'
 import type { OwnerMap } from '@forkstage/owners'
 import type { PeerCaller } from '@forkstage/peer-rpc'
 import type { Address, BoxId, EndpointName, Millis } from '@forkstage/types'
-import type { CreditAnswer, CreditQuestion, PackedCredit, PackedDemand } from './ownerTypes'
+import type { CreditAnswer, CreditRequest, PackedCredit, PackedDemand } from './ownerTypes'
 import { unpackReport } from './reportCodec'
 
 /** Options of {@link CreditClient}. */
 export interface CreditClientOptions {
   box: BoxId
   owners: OwnerMap
-  book: EndpointBook
+  tracker: EndpointTracker
   peers: PeerCaller
   clock: Clock
   /** How often shares are renewed while this box has work. */
@@ -20,11 +20,11 @@
   /** How many requests wait for an endpoint's pool. */
   waitingFor: (endpoint: EndpointName) => number
   /** Called when new shares have come. */
-  onNews: () => void
+  onUpdate: () => void
 }
 
-const DEADLINE_MS = 1_000
-const SOONEST_RENEWAL_MS = 20
+const RENEWAL_DEADLINE_MS = 1_000
+const MIN_RENEWAL_INTERVAL_MS = 20
 
 /** Renews this box's shares of the endpoints it uses: one call an owner, for all its endpoints. */
 export class CreditClient {
@@ -46,25 +46,25 @@
   /** Asks every owner at once, but not again and again: for when a request finds no share left. */
   renewSoon(): void {
     const { clock } = this.options
-    if (clock.now() - this.renewedAt >= SOONEST_RENEWAL_MS) this.renew()
+    if (clock.now() - this.renewedAt >= MIN_RENEWAL_INTERVAL_MS) this.renew()
   }
 
   private renewIfDue(): void {
-    const { clock, renewIdleEvery, book } = this.options
+    const { clock, renewIdleEvery, tracker } = this.options
     const idleFor = clock.now() - this.renewedAt
-    if (book.hasWork || book.lacksShares || idleFor >= renewIdleEvery) this.renew()
+    if (tracker.hasWork || tracker.lacksShares || idleFor >= renewIdleEvery) this.renew()
   }
 
   /** Asks every owner now. */
   renew(): void {
     this.renewedAt = this.options.clock.now()
-    for (const [address, endpoints] of this.endpointsByOwner()) void this.ask(address, endpoints)
+    for (const [address, endpoints] of this.endpointsByOwner()) void this.renewAt(address, endpoints)
   }
 
   private endpointsByOwner(): Map<Address, EndpointName[]> {
-    const { book, owners } = this.options
+    const { tracker, owners } = this.options
     const byOwner = new Map<Address, EndpointName[]>()
-    for (const { endpoint, state } of book.rows) {
+    for (const { endpoint, state } of tracker.rows) {
       if (state === 'out') continue
       const owner = owners.ownerOf(endpoint)?.owner
       if (owner !== undefined) byOwner.set(owner.address, [...(byOwner.get(owner.address) ?? []), endpoint])
@@ -72,30 +72,32 @@
     return byOwner
   }
 
-  private async ask(address: Address, endpoints: EndpointName[]): Promise<void> {
-    const { box, book, peers, waitingFor, onNews } = this.options
+  private async renewAt(address: Address, endpoints: EndpointName[]): Promise<void> {
+    const { box, tracker, peers, waitingFor, onUpdate } = this.options
     const demands = endpoints.map((endpoint): PackedDemand => {
       const cacheAfter = this.cacheSeqs.get(endpoint) ?? 0
       return [
         endpoint,
-        book.inFlight(endpoint),
+        tracker.inFlight(endpoint),
         waitingFor(endpoint),
         cacheAfter,
-        book.prefillTokens(endpoint),
+        tracker.prefillTokens(endpoint),
       ]
     })
-    const question: CreditQuestion = { box, endpoints: demands }
-    const options = { deadline: DEADLINE_MS, step: 'renew credits' }
+    const request: CreditRequest = { box, endpoints: demands }
+    const options = { deadline: RENEWAL_DEADLINE_MS, step: 'renew credits' }
     try {
-      const answer = await peers.call<CreditAnswer>(address, 'owner.credits', question, options)
-      endpoints.forEach((endpoint, position) => this.take(endpoint, answer, answer.credits[position] ?? null))
-      onNews()
+      const answer = await peers.call<CreditAnswer>(address, 'owner.credits', request, options)
+      endpoints.forEach((endpoint, position) =>
+        this.applyCredit(endpoint, answer, answer.credits[position] ?? null),
+      )
+      onUpdate()
     } catch {
       // The owner is gone or has changed: the shares run out, and the next renewal asks whoever owns it then.
     }
   }
 
-  private take(endpoint: EndpointName, answer: CreditAnswer, credit: PackedCredit | null): void {
+  private applyCredit(endpoint: EndpointName, answer: CreditAnswer, credit: PackedCredit | null): void {
     const known = this.epochs.get(endpoint) ?? [0, 0]
     const { epoch, leaseMs } = answer
     const isOld = epoch[0] < known[0] || (epoch[0] === known[0] && epoch[1] < known[1])
@@ -103,7 +105,7 @@
     const [share, promptTokensPerSecond, cacheSeq, report, othersPrefillTokens, cacheEvents = []] = credit
     this.epochs.set(endpoint, epoch)
     this.cacheSeqs.set(endpoint, cacheSeq)
-    this.options.book.noteNews(endpoint, {
+    this.options.tracker.applyUpdate(endpoint, {
       report: report === null ? undefined : unpackReport(report),
       share,
       leaseMs,
--- a/placement/owner/src/holdSweep.ts
+++ b/placement/owner/src/judgeHold.ts
@@ -17,7 +17,7 @@
   /** The holds of a box that is not live are left alone this long: it may be cut off, with streams running. */
   goneGraceMs: Millis
   /** How long each box has not been in the list. */
-  goneFor: (box: string, incarnation: string) => Millis
+  goneForMs: (box: string, incarnation: string) => Millis
 }
 
 /**
@@ -29,10 +29,10 @@
   if (origin === undefined || hold.ageMs < options.graceMs) return { type: 'keep' }
   const { boxes } = options.members
   if (boxes.length === 0) return { type: 'keep' }
-  const home = boxes.find((box) => box.box === origin.box && box.incarnation === origin.incarnation)
-  if (home !== undefined) return { type: 'ask', boxes: [home] }
+  const originBox = boxes.find((box) => box.box === origin.box && box.incarnation === origin.incarnation)
+  if (originBox !== undefined) return { type: 'ask', boxes: [originBox] }
   const replaced = boxes.some((box) => box.box === origin.box)
-  const longGone = options.goneFor(origin.box, origin.incarnation) >= options.goneGraceMs
+  const longGone = options.goneForMs(origin.box, origin.incarnation) >= options.goneGraceMs
   // A box that came back under a new incarnation runs nothing of its earlier life.
   return replaced || longGone ? { type: 'ask', boxes } : { type: 'keep' }
 }
--- a/placement/owner/src/ownedEndpoint.ts
+++ b/placement/owner/src/ownedEndpoint.ts
@@ -34,19 +34,19 @@
     return this.events.at(-1)?.seq ?? 0
   }
 
-  noteReport(report: EngineReport): void {
+  setReport(report: EngineReport): void {
     this.report = report
     this.reportAt = this.clock.now()
   }
 
-  noteEvents(events: CacheEvent[]): void {
+  addEvents(events: CacheEvent[]): void {
     this.events = [...this.events, ...events].slice(-MAX_CACHE_EVENTS)
   }
 
   /** Leases a share to a box, for what it asks. */
   grant(box: BoxId, demand: BoxDemand, cacheAfter: number): PackedCredit {
     const now = this.clock.now()
-    this.noteDemand(box, demand, now)
+    this.recordDemand(box, demand, now)
     const share = shareFor(box, this.row.maxInFlight, this.demands, this.grants, now)
     this.grants.set(box, { share, until: now + CREDIT_LEASE_MS })
     const events = this.events.filter((event) => event.seq > cacheAfter).slice(0, EVENTS_PER_ANSWER)
@@ -64,7 +64,7 @@
     return tokens
   }
 
-  private noteDemand(box: BoxId, demand: BoxDemand, now: Millis): void {
+  private recordDemand(box: BoxId, demand: BoxDemand, now: Millis): void {
     this.demands.set(box, { ...demand, at: now })
     for (const [other, known] of this.demands) {
       if (now - known.at > CREDIT_LEASE_MS * 2) this.demands.delete(other)
--- a/placement/owner/src/ownerService.ts
+++ b/placement/owner/src/ownerService.ts
@@ -5,9 +5,9 @@
 import type { OwnerMap } from '@forkstage/owners'
 import type { PeerCaller, PeerMethod } from '@forkstage/peer-rpc'
 import type { BoxId, EndpointName, EndpointRow, Millis } from '@forkstage/types'
-import { judgeHold } from './holdSweep'
+import { judgeHold } from './judgeHold'
 import { CREDIT_LEASE_MS, OwnedEndpoint } from './ownedEndpoint'
-import type { CreditAnswer, CreditQuestion, LiveAnswer } from './ownerTypes'
+import type { CreditAnswer, CreditRequest, LiveRequestsAnswer } from './ownerTypes'
 
 /** Options of {@link OwnerService}. */
 export interface OwnerServiceOptions {
@@ -39,7 +39,7 @@
   constructor(private readonly options: OwnerServiceOptions) {}
 
   methods(): Record<string, PeerMethod> {
-    return { 'owner.credits': (question: CreditQuestion) => this.answerCredits(question) }
+    return { 'owner.credits': (request: CreditRequest) => this.answerCredits(request) }
   }
 
   start(): void {
@@ -74,31 +74,31 @@
     }
   }
 
-  private answerCredits(question: CreditQuestion): CreditAnswer {
+  private answerCredits(request: CreditRequest): CreditAnswer {
     const { owners, holdsLease } = this.options
-    const credits = question.endpoints.map(([endpoint, inFlight, waiting, cacheAfter, prefillTokens]) => {
+    const credits = request.endpoints.map(([endpoint, inFlight, waiting, cacheAfter, prefillTokens]) => {
       const owned = holdsLease() ? this.owned.get(endpoint) : undefined
-      return owned?.grant(question.box, { inFlight, waiting, prefillTokens }, cacheAfter) ?? null
+      return owned?.grant(request.box, { inFlight, waiting, prefillTokens }, cacheAfter) ?? null
     })
     return { epoch: owners.currentEpoch, leaseMs: CREDIT_LEASE_MS, credits }
   }
 
   private readReports(): void {
-    this.noteSeen()
-    for (const owned of this.owned.values()) if (reports(owned.row)) void this.readReport(owned)
+    this.recordSeen()
+    for (const owned of this.owned.values()) if (hasReports(owned.row)) void this.readReport(owned)
   }
 
   private async readReport(owned: OwnedEndpoint): Promise<void> {
     const { engines } = this.options
     try {
-      owned.noteReport(await engines.report(owned.row))
-      owned.noteEvents(await engines.cacheEvents(owned.row, owned.cacheSeq))
+      owned.setReport(await engines.report(owned.row))
+      owned.addEvents(await engines.cacheEvents(owned.row, owned.cacheSeq))
     } catch {
       // Reports get lost; placement works from the last one and from what was sent since.
     }
   }
 
-  private noteSeen(): void {
+  private recordSeen(): void {
     const now = this.options.clock.now()
     for (const box of this.options.members().boxes) this.lastSeen.set(`${box.box}/${box.incarnation}`, now)
   }
@@ -129,7 +129,7 @@
       members: members(),
       graceMs,
       goneGraceMs,
-      goneFor: (box, incarnation) => this.goneFor(`${box}/${incarnation}`),
+      goneForMs: (box, incarnation) => this.goneForMs(`${box}/${incarnation}`),
     })
     if (verdict.type === 'keep' || (await this.runsAnywhere(hold, verdict.boxes))) return
     await engines.release(row, { request: hold.request, epoch: hold.epoch })
@@ -141,7 +141,7 @@
   private async runsAnywhere(hold: EngineHold, boxes: BoxInfo[]): Promise<boolean> {
     const { peers } = this.options
     const asked = boxes.map((box) =>
-      peers.call<LiveAnswer>(
+      peers.call<LiveRequestsAnswer>(
         box.address,
         'requests.live',
         { requests: [hold.request] },
@@ -152,7 +152,7 @@
     return answers.some((answer) => answer.status === 'rejected' || answer.value.live.length > 0)
   }
 
-  private goneFor(boxAndIncarnation: string): Millis {
+  private goneForMs(boxAndIncarnation: string): Millis {
     const now = this.options.clock.now()
     const seen = this.lastSeen.get(boxAndIncarnation)
     // A box that this process has never seen counts as gone from the first time it is asked about.
@@ -162,6 +162,6 @@
 }
 
 /** Whether an endpoint is an engine that is in use, and so has reports and holds to be read. */
-function reports(row: EndpointRow): boolean {
+function hasReports(row: EndpointRow): boolean {
   return row.pool !== 'plain' && row.state !== 'out'
 }
--- a/placement/owner/src/ownerTypes.ts
+++ b/placement/owner/src/ownerTypes.ts
@@ -13,7 +13,7 @@
 ]
 
 /** A box asks the owner for its shares of several endpoints at once. */
-export interface CreditQuestion {
+export interface CreditRequest {
   box: BoxId
   endpoints: PackedDemand[]
 }
@@ -42,10 +42,10 @@
 }
 
 /** Asks a box which of these requests it runs. */
-export interface LiveQuestion {
+export interface LiveRequestsQuery {
   requests: string[]
 }
 
-export interface LiveAnswer {
+export interface LiveRequestsAnswer {
   live: string[]
 }
--- a/placement/owner/src/reportCodec.ts
+++ b/placement/owner/src/reportCodec.ts
@@ -7,12 +7,12 @@
  */
 export type PackedReport = [number, number, number, number, number, number, number, number]
 
-const LEAVING = 1
-const DETERMINISTIC = 2
+const LEAVING_FLAG = 1
+const DETERMINISTIC_FLAG = 2
 const STEP_SCALE = 10
 
 export function packReport(report: EngineReport): PackedReport {
-  const marks = (report.leaving ? LEAVING : 0) + (report.deterministic ? DETERMINISTIC : 0)
+  const flags = (report.leaving ? LEAVING_FLAG : 0) + (report.deterministic ? DETERMINISTIC_FLAG : 0)
   return [
     Math.round(report.ageMs),
     Math.round(report.queuedPrefillTokens),
@@ -21,7 +21,7 @@
     Math.round(report.kvTokensUsed),
     report.kvTokensTotal,
     Math.round(report.stepMs * STEP_SCALE),
-    marks,
+    flags,
   ]
 }
 
@@ -34,7 +34,7 @@
     kvTokensUsed,
     kvTokensTotal,
     step,
-    marks,
+    flags,
   ] = packed
   return {
     ageMs,
@@ -44,7 +44,7 @@
     kvTokensUsed,
     kvTokensTotal,
     stepMs: step / STEP_SCALE,
-    leaving: (marks & LEAVING) > 0,
-    deterministic: (marks & DETERMINISTIC) > 0,
+    leaving: (flags & LEAVING_FLAG) > 0,
+    deterministic: (flags & DETERMINISTIC_FLAG) > 0,
   }
 }
--- a/placement/owner/test/judgeHold.test.ts
+++ b/placement/owner/test/judgeHold.test.ts
@@ -19,7 +19,7 @@
   ageMs,
 })
 const judge = (of: Members, ageMs = 9_000, goneMs = 0) =>
-  judgeHold(hold(ageMs), { members: of, graceMs: 3_000, goneGraceMs: 8_000, goneFor: () => goneMs })
+  judgeHold(hold(ageMs), { members: of, graceMs: 3_000, goneGraceMs: 8_000, goneForMs: () => goneMs })
 
 describe('judgeHold', () => {
   it('leaves young holds, foreign holds, and all holds while no box is known', () => {
@@ -27,7 +27,7 @@
     expect(judge(members())).toEqual({ type: 'keep' })
     const foreign = { ...hold(9_000), request: 'not ours' }
     expect(
-      judgeHold(foreign, { members: members(box('a')), graceMs: 1, goneGraceMs: 1, goneFor: () => 9 }),
+      judgeHold(foreign, { members: members(box('a')), graceMs: 1, goneGraceMs: 1, goneForMs: () => 9 }),
     ).toEqual({ type: 'keep' })
   })
 
--- a/placement/place/src/baselines.ts
+++ b/placement/place/src/baselines.ts
@@ -1,5 +1,5 @@
 import { toPlacement } from './place'
-import { weigh } from './costModel'
+import { estimatePair } from './costModel'
 import type { EndpointView, PlacementView, PlacePolicy, PlaceRequest, PlaceResult } from './placeTypes'
 
 /** The policies that forkstage's own is measured against. */
@@ -43,7 +43,7 @@
     const reason = prefill === undefined ? 'no-prefill' : 'no-decode'
     return { type: 'refused', reason, retryAfter: RETRY_AFTER_MS, mayWait: false, candidates: [], closed: [] }
   }
-  const figures = weigh(request, prefill, decode, view, policy)
+  const figures = estimatePair(request, prefill, decode, view, policy)
   return toPlacement(request, { prefill, decode, figures }, view, policy, [figures])
 }
 
--- a/placement/place/src/costModel.ts
+++ b/placement/place/src/costModel.ts
@@ -5,7 +5,7 @@
 /** A decode engine that prefills slows its own streams about this much. */
 const LOCAL_PREFILL_STEP_FACTOR = 1.8
 /** How strongly a share above the weight's is held against an engine. */
-const WEIGHT_PULL = 0.6
+const WEIGHT_PENALTY = 0.6
 /** How strongly the wait for the first token counts against the targets. */
 const LATE_PENALTY = 4
 
@@ -44,7 +44,7 @@
 }
 
 /** The figures of one pair. */
-export function weigh(
+export function estimatePair(
   request: PlaceRequest,
   prefill: EndpointView,
   decode: EndpointView,
@@ -115,7 +115,7 @@
   const memory = decode.kvTokensUsed / Math.max(1, decode.row.kvTokens)
   // A prefill is thrown away most often where decode memory is nearly full, and costs what was not cached.
   const wasteRisk = inputs.freshShare * memory ** 4
-  const weights = parts.weights ? WEIGHT_PULL * (overShare(prefill) + overShare(decode)) : 0
+  const weights = parts.weights ? WEIGHT_PENALTY * (overShare(prefill) + overShare(decode)) : 0
   return goodputWeight * (first + between + late) + wastedPrefillWeight * wasteRisk + weights
 }
 
--- a/placement/place/src/place.ts
+++ b/placement/place/src/place.ts
@@ -1,5 +1,5 @@
 import type { Random } from '@forkstage/clock'
-import { linkName, prefillTimes, stepWithOneMore, transferBytes, weigh } from './costModel'
+import { linkName, prefillTimes, stepWithOneMore, transferBytes, estimatePair } from './costModel'
 import type {
   CandidateFigures,
   EndpointView,
@@ -13,14 +13,14 @@
 } from './placeTypes'
 
 /** How many engines of each pool are weighed as pairs; the rest are ruled out one by one first. */
-const SHORTLIST = 4
+const SHORTLIST_SIZE = 4
 /** Pairs within this much of the best are as good; one of them is drawn, so that boxes do not herd. */
-const NEAR_EQUAL = 0.08
+const NEAR_EQUAL_SHARE = 0.08
 /** Part of the KV memory kept free for answers that grow beyond the forecast. */
-const MEMORY_HEADROOM = 0.03
+const MEMORY_HEADROOM_SHARE = 0.03
 /** The first token must be foreseen within this part of the target: reports lag, and other boxes send too. */
 const LATE_TOLERANCE = 0.85
-const SHORTEST_RETRY_MS = 100
+const MIN_RETRY_MS = 100
 
 /** Options of {@link place}. */
 export interface PlaceOptions {
@@ -28,7 +28,7 @@
   random: Random
 }
 
-interface Weighed {
+interface EstimatedPair {
   figures: CandidateFigures
   prefill: EndpointView
   decode: EndpointView
@@ -46,12 +46,12 @@
   )
   const prefills = open.filter((each) => each.row.pool === 'prefill')
   const decodes = open.filter((each) => each.row.pool === 'decode')
-  const roomy = decodes.filter((each) => hasMemory(request, each) && isFastEnough(each, policy))
-  if (roomy.length === 0 || (prefills.length === 0 && !policy.parts.localPrefill)) {
-    return refuseWithout(request, engines, { prefills, decodes, roomy })
+  const withMemory = decodes.filter((each) => hasMemory(request, each) && isFastEnough(each, policy))
+  if (withMemory.length === 0 || (prefills.length === 0 && !policy.parts.localPrefill)) {
+    return refuseNoEngine(request, engines, { prefills, decodes, withMemory })
   }
-  const weighed = weighPairs(request, prefills, roomy, view, policy)
-  return choose(request, weighed, view, policy, random)
+  const pairs = estimatePairs(request, prefills, withMemory, view, policy)
+  return choose(request, pairs, view, policy, random)
 }
 
 function serves(endpoint: EndpointView, request: PlaceRequest): boolean {
@@ -64,7 +64,7 @@
 }
 
 function hasMemory(request: PlaceRequest, decode: EndpointView): boolean {
-  const room = decode.row.kvTokens * (1 - MEMORY_HEADROOM) - decode.kvTokensUsed
+  const room = decode.row.kvTokens * (1 - MEMORY_HEADROOM_SHARE) - decode.kvTokensUsed
   return room >= reserveTokens(request)
 }
 
@@ -72,16 +72,16 @@
   return !policy.parts.decodeLoad || stepWithOneMore(decode) <= policy.tbtTarget
 }
 
-function weighPairs(
+function estimatePairs(
   request: PlaceRequest,
   prefills: EndpointView[],
   decodes: EndpointView[],
   view: PlacementView,
   policy: PlacePolicy,
-): Weighed[] {
+): EstimatedPair[] {
   const bestPrefills = shortlist(prefills, (each) => {
     const { waitMs, prefillMs } = prefillTimes(request, each, policy)
-    return waitMs + prefillMs + pullOf(each, policy)
+    return waitMs + prefillMs + weightPenalty(each, policy)
   })
   const bestDecodes = shortlist(decodes, (each) => decodeScore(each, policy))
   const pairs = bestPrefills.flatMap((prefill) => bestDecodes.map((decode) => [prefill, decode] as const))
@@ -89,7 +89,7 @@
   return [...pairs, ...local].map(([prefill, decode]) => ({
     prefill,
     decode,
-    figures: weigh(request, prefill, decode, view, policy),
+    figures: estimatePair(request, prefill, decode, view, policy),
   }))
 }
 
@@ -100,50 +100,55 @@
     const entry = { endpoint, score: score(endpoint) }
     const position = best.findIndex((other) => entry.score < other.score)
     if (position >= 0) best.splice(position, 0, entry)
-    else if (best.length < SHORTLIST) best.push(entry)
-    if (best.length > SHORTLIST) best.pop()
+    else if (best.length < SHORTLIST_SIZE) best.push(entry)
+    if (best.length > SHORTLIST_SIZE) best.pop()
   }
   return best.map((entry) => entry.endpoint)
 }
 
 function decodeScore(decode: EndpointView, policy: PlacePolicy): number {
   const memory = decode.kvTokensUsed / Math.max(1, decode.row.kvTokens)
-  return decode.stepMs + memory * policy.tbtTarget + pullOf(decode, policy)
+  return decode.stepMs + memory * policy.tbtTarget + weightPenalty(decode, policy)
 }
 
-function pullOf(endpoint: EndpointView, policy: PlacePolicy): number {
+function weightPenalty(endpoint: EndpointView, policy: PlacePolicy): number {
   return policy.parts.weights ? (endpoint.shareRatio - 1) * policy.tbtTarget : 0
 }
 
 function choose(
   request: PlaceRequest,
-  weighed: Weighed[],
+  pairs: EstimatedPair[],
   view: PlacementView,
   policy: PlacePolicy,
   random: Random,
 ): PlaceResult {
-  const best = weighed.reduce((least, each) => (each.figures.cost < least.figures.cost ? each : least))
-  const candidates = weighed.map((each) => each.figures)
+  const best = pairs.reduce((least, each) => (each.figures.cost < least.figures.cost ? each : least))
+  const candidates = pairs.map((each) => each.figures)
   const late = best.figures.ttftMs > policy.ttftTarget * LATE_TOLERANCE
-  const soonest = weighed.reduce((least, each) => (each.figures.ttftMs < least.figures.ttftMs ? each : least))
+  const soonest = pairs.reduce((least, each) => (each.figures.ttftMs < least.figures.ttftMs ? each : least))
   if (late && policy.parts.refuseLate && soonest.figures.ttftMs > policy.ttftTarget * LATE_TOLERANCE) {
-    const retryAfter = Math.max(SHORTEST_RETRY_MS, soonest.figures.ttftMs - policy.ttftTarget)
+    const retryAfter = Math.max(MIN_RETRY_MS, soonest.figures.ttftMs - policy.ttftTarget)
     return { type: 'refused', reason: 'too-late', retryAfter, mayWait: false, candidates, closed: [] }
   }
-  const pick = late ? soonest : draw(weighed, best, policy, random)
+  const pick = late ? soonest : pickNearBest(pairs, best, policy, random)
   return toPlacement(request, pick, view, policy, candidates)
 }
 
-function draw(weighed: Weighed[], best: Weighed, policy: PlacePolicy, random: Random): Weighed {
+function pickNearBest(
+  pairs: EstimatedPair[],
+  best: EstimatedPair,
+  policy: PlacePolicy,
+  random: Random,
+): EstimatedPair {
   if (!policy.parts.spread) return best
-  const limit = best.figures.cost + Math.abs(best.figures.cost) * NEAR_EQUAL
-  const near = weighed.filter((each) => each.figures.cost <= limit)
+  const limit = best.figures.cost + Math.abs(best.figures.cost) * NEAR_EQUAL_SHARE
+  const near = pairs.filter((each) => each.figures.cost <= limit)
   return near[Math.floor(random() * near.length)] ?? best
 }
 
 export function toPlacement(
   request: PlaceRequest,
-  pick: Weighed,
+  pick: EstimatedPair,
   view: PlacementView,
   policy: PlacePolicy,
   candidates: CandidateFigures[],
@@ -163,32 +168,36 @@
   }
 }
 
-interface Narrowed {
+interface CandidateEngines {
   prefills: EndpointView[]
   decodes: EndpointView[]
-  roomy: EndpointView[]
+  withMemory: EndpointView[]
 }
 
 /** Says why there is nothing to place on, and whether waiting may change that. */
-function refuseWithout(request: PlaceRequest, engines: EndpointView[], narrowed: Narrowed): Refusal {
+function refuseNoEngine(
+  request: PlaceRequest,
+  engines: EndpointView[],
+  candidates: CandidateEngines,
+): Refusal {
   const closed = engines.flatMap((each) =>
     each.closed === undefined ? [] : [{ endpoint: each.row.endpoint, reason: each.closed }],
   )
-  const reason = reasonWithout(engines, narrowed)
+  const reason = refusalReason(engines, candidates)
   const soonest = Math.min(
     ...engines.filter((each) => each.row.pool === 'decode').map((each) => each.stepMs),
     1_000,
   )
-  const retryAfter = Math.max(SHORTEST_RETRY_MS, soonest * Math.max(1, request.expectedOutput))
+  const retryAfter = Math.max(MIN_RETRY_MS, soonest * Math.max(1, request.expectedOutput))
   const mayWait = reason === 'no-memory' || reason === 'no-credit'
   return { type: 'refused', reason, retryAfter, mayWait, candidates: [], closed }
 }
 
-function reasonWithout(engines: EndpointView[], narrowed: Narrowed): RefusalReason {
+function refusalReason(engines: EndpointView[], candidates: CandidateEngines): RefusalReason {
   if (engines.length === 0) return 'no-endpoint'
-  const starved = (pool: string) =>
+  const lacksCredit = (pool: string) =>
     engines.some((each) => each.row.pool === pool && each.closed === 'no-credit')
-  if (narrowed.decodes.length > 0 && narrowed.roomy.length === 0) return 'no-memory'
-  if (narrowed.decodes.length === 0) return starved('decode') ? 'no-credit' : 'no-decode'
-  return starved('prefill') ? 'no-credit' : 'no-prefill'
+  if (candidates.decodes.length > 0 && candidates.withMemory.length === 0) return 'no-memory'
+  if (candidates.decodes.length === 0) return lacksCredit('decode') ? 'no-credit' : 'no-decode'
+  return lacksCredit('prefill') ? 'no-credit' : 'no-prefill'
 }
--- a/placement/queue/src/fairQueue.ts
+++ b/placement/queue/src/fairQueue.ts
@@ -7,7 +7,7 @@
   cost: number
 }
 
-interface Lane<Item> {
+interface WorkspaceQueue<Item> {
   items: Item[]
   /** Cost served so far, on the scale of {@link FairQueue.floor}. */
   served: number
@@ -18,9 +18,9 @@
  * rest. A workspace that comes back after a pause starts level with the others, not with credit.
  */
 export class FairQueue<Item extends QueueItem> {
-  private readonly lanes = new Map<string, Lane<Item>>()
+  private readonly queues = new Map<string, WorkspaceQueue<Item>>()
   /** The served cost of the workspace that was served last. */
-  private floor = 0
+  private virtualTime = 0
   private count = 0
 
   get length(): number {
@@ -29,53 +29,53 @@
 
   /** How many of a workspace wait. */
   lengthOf(workspace: string): number {
-    return this.lanes.get(workspace)?.items.length ?? 0
+    return this.queues.get(workspace)?.items.length ?? 0
   }
 
   push(item: Item): void {
-    const lane = this.lanes.get(item.workspace) ?? { items: [], served: this.floor }
-    this.lanes.set(item.workspace, lane)
-    const position = lane.items.findIndex((other) => other.priority < item.priority)
-    lane.items.splice(position < 0 ? lane.items.length : position, 0, item)
+    const queue = this.queues.get(item.workspace) ?? { items: [], served: this.virtualTime }
+    this.queues.set(item.workspace, queue)
+    const position = queue.items.findIndex((other) => other.priority < item.priority)
+    queue.items.splice(position < 0 ? queue.items.length : position, 0, item)
     this.count += 1
   }
 
   /** The next to be served; stays in the queue. */
   peek(): Item | undefined {
-    return this.nextLane()?.items[0]
+    return this.nextQueue()?.items[0]
   }
 
   /** Takes out one item: served ones count against their workspace, others do not. */
   remove(item: Item, served: boolean): void {
-    const lane = this.lanes.get(item.workspace)
-    const position = lane?.items.indexOf(item) ?? -1
-    if (lane === undefined || position < 0) return
-    lane.items.splice(position, 1)
+    const queue = this.queues.get(item.workspace)
+    const position = queue?.items.indexOf(item) ?? -1
+    if (queue === undefined || position < 0) return
+    queue.items.splice(position, 1)
     this.count -= 1
-    if (served) this.charge(lane, item.cost)
-    if (lane.items.length === 0 && lane.served <= this.floor) this.lanes.delete(item.workspace)
+    if (served) this.charge(queue, item.cost)
+    if (queue.items.length === 0 && queue.served <= this.virtualTime) this.queues.delete(item.workspace)
   }
 
   /** Charges a workspace for work that was served without waiting. */
-  noteServed(workspace: string, cost: number): void {
-    const lane = this.lanes.get(workspace)
-    if (lane !== undefined) this.charge(lane, cost)
+  recordServed(workspace: string, cost: number): void {
+    const queue = this.queues.get(workspace)
+    if (queue !== undefined) this.charge(queue, cost)
   }
 
   items(): Item[] {
-    return [...this.lanes.values()].flatMap((lane) => lane.items)
+    return [...this.queues.values()].flatMap((queue) => queue.items)
   }
 
-  private charge(lane: Lane<Item>, cost: number): void {
-    this.floor = Math.max(this.floor, lane.served)
-    lane.served = Math.max(lane.served, this.floor) + cost
+  private charge(queue: WorkspaceQueue<Item>, cost: number): void {
+    this.virtualTime = Math.max(this.virtualTime, queue.served)
+    queue.served = Math.max(queue.served, this.virtualTime) + cost
   }
 
-  private nextLane(): Lane<Item> | undefined {
-    let next: Lane<Item> | undefined
-    for (const lane of this.lanes.values()) {
-      if (lane.items.length === 0) continue
-      if (next === undefined || lane.served < next.served) next = lane
+  private nextQueue(): WorkspaceQueue<Item> | undefined {
+    let next: WorkspaceQueue<Item> | undefined
+    for (const queue of this.queues.values()) {
+      if (queue.items.length === 0) continue
+      if (next === undefined || queue.served < next.served) next = queue
     }
     return next
   }
--- a/request/gateway/src/ingress.ts
+++ b/request/gateway/src/ingress.ts
@@ -212,7 +212,7 @@
     if (entrant.type === 'answered') return { route: route.name, ...entrant.result }
     const result = await this.relay(entrant, route, index, tokens)
     if (isWhole(result)) parts.crashes?.noteServed(request.content)
-    if (result.hasNotRun === true) entrant.spent?.giveBack()
+    if (result.hasNotRun === true) entrant.spent?.refund()
     return { route: route.name, workspace: entrant.workspace?.name, ...result }
   }
 
--- a/request/gateway/src/workspaceGate.ts
+++ b/request/gateway/src/workspaceGate.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@forkstage/clock'
 import type { Logger } from '@forkstage/logger'
-import type { QuotaKeeper, Spent } from '@forkstage/quota'
+import type { QuotaLimiter, QuotaCharge } from '@forkstage/quota'
 import type { KnownWorkspace, Route, RouteIndex } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
 import type { CallerRequest } from './callerRequest'
@@ -12,7 +12,7 @@
 /** Options of {@link WorkspaceGate}. */
 export interface WorkspaceGateOptions {
   wire: GatewayWire
-  quotas: QuotaKeeper
+  quotas: QuotaLimiter
   /** Whether the sheet in force here is the newest, as far as this entry can know. */
   isCurrent: () => boolean
   clock: Clock
@@ -27,7 +27,7 @@
   /** The workspace whose key it showed, also on a public route: its regions bind. */
   owner?: KnownWorkspace
   /** What it took of its workspace's quota. */
-  spent?: Spent
+  spent?: QuotaCharge
 }
 
 /** A request that has got its answer here. */
--- a/request/gateway/test/gatewayWorld.ts
+++ b/request/gateway/test/gatewayWorld.ts
@@ -5,7 +5,7 @@
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import { RateBook } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
-import { QuotaKeeper, QuotaLedger, quotaLimit } from '@forkstage/quota'
+import { QuotaLimiter, QuotaLedger, quotaLimit } from '@forkstage/quota'
 import { RouteBook, type CallerLimits, type Route, type Workspace } from '@forkstage/routes'
 import { StatementBook } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
@@ -174,14 +174,14 @@
       tolerance: { over: 0.1, slack: 0 },
     })
     // It has led for long enough to have heard from its entries.
-    ledger.take({ entry: 'e0', spent: {} })
+    ledger.applyReport({ entry: 'e0', spent: {} })
     ahead = LED_FOR_MS
-    const quotas = new QuotaKeeper({
+    const quotas = new QuotaLimiter({
       entry: 'e0',
       life: 'first',
       clock,
       random: createSeededRandom(5),
-      report: (report) => Promise.resolve(ledger.take(report)),
+      report: (report) => Promise.resolve(ledger.applyReport(report)),
       leader: () => 'leader',
       entries: () => 1,
       windowMs: QUOTA_WINDOW_MS,
--- a/request/machine/src/endRequest.ts
+++ b/request/machine/src/endRequest.ts
@@ -6,8 +6,8 @@
 /** Ends a request: everything it may hold is released, and the end is told once. */
 export function endRequest(state: RequestState, end: RequestEnd): void {
   assertInvariant(state.phase !== 'ended', 'a request ends once', () => state.request)
-  assertTruthful(state, end)
-  wasteKept(state, wasteCauseOf(end))
+  assertEndConsistent(state, end)
+  discardKeptPrefill(state, wasteCauseOf(end))
   // A finished stream holds no memory; the engine forgets its text by itself.
   const stillHolds = end.type !== 'answered'
   for (const [endpoint, epoch] of state.holds) {
@@ -43,7 +43,7 @@
 }
 
 /** Counts a kept prefill as thrown away. */
-export function wasteKept(state: RequestState, cause: WasteCause): void {
+export function discardKeptPrefill(state: RequestState, cause: WasteCause): void {
   if (state.kept === undefined) return
   const { endpoint, freshTokens } = state.kept
   state.kept = undefined
@@ -56,7 +56,7 @@
   return end.type === 'failed' && end.reason === 'deadline' ? 'deadline' : 'decode-failed'
 }
 
-function assertTruthful(state: RequestState, end: RequestEnd): void {
+function assertEndConsistent(state: RequestState, end: RequestEnd): void {
   const saysNotRun = (end.type === 'refused' || end.type === 'failed') && end.execution === 'not-run'
   assertInvariant(!saysNotRun || !state.dispatched, 'what is called not run did not run', () => state.request)
   const answers = end.type === 'answered'
@@ -65,5 +65,9 @@
     'only the owner of the claim answers',
     () => state.request,
   )
-  assertInvariant(!answers || state.order.whole, 'an answer ends only when it is whole', () => state.request)
+  assertInvariant(
+    !answers || state.order.isComplete,
+    'an answer ends only when it is whole',
+    () => state.request,
+  )
 }
--- a/request/machine/src/requestState.ts
+++ b/request/machine/src/requestState.ts
@@ -1,4 +1,4 @@
-import { FrameOrder } from '@forkstage/relay'
+import { FrameReorderBuffer } from '@forkstage/relay'
 import type { Placement } from '@forkstage/place'
 import type { EndpointName, Millis, RequestId } from '@forkstage/types'
 import type { ClaimState, CreateRequestOptions, RequestEffect, RequestPhase } from './requestTypes'
@@ -27,7 +27,7 @@
   dispatched: boolean
   avoid: EndpointName[]
   deterministic: boolean
-  order: FrameOrder
+  order: FrameReorderBuffer
   delivered: number
   finish: string
   resumes: number
@@ -54,7 +54,7 @@
     dispatched: false,
     avoid: [],
     deterministic: false,
-    order: new FrameOrder(),
+    order: new FrameReorderBuffer(),
     delivered: 0,
     finish: 'stop',
     resumes: 0,
--- a/request/machine/src/stepRequest.ts
+++ b/request/machine/src/stepRequest.ts
@@ -1,19 +1,19 @@
 import type { EngineLine } from '@forkstage/engine-client'
 import type { Placement } from '@forkstage/place'
 import type { EndpointName, Millis } from '@forkstage/types'
-import { FrameOrder } from '@forkstage/relay'
-import { endRequest, failRequest, refuseRequest, wasteKept } from './endRequest'
+import { FrameReorderBuffer } from '@forkstage/relay'
+import { endRequest, failRequest, refuseRequest, discardKeptPrefill } from './endRequest'
 import { engineEpoch, type RequestState } from './requestState'
 import type { RequestEffect, RequestEvent, RequestPhase, WasteCause } from './requestTypes'
 
 /** Attempts of one request at most, whatever the retry budget allows. */
-const MOST_ATTEMPTS = 4
+const MAX_ATTEMPTS = 4
 /** How often one stream is resumed before another engine is tried. */
-const MOST_RESUMES = 2
+const MAX_RESUMES = 2
 /** While it is turned away, an answer that has begun asks for a place this often at least. */
-const LONGEST_WAIT_MS: Millis = 400
+const MAX_PLACE_RETRY_MS: Millis = 400
 /** A kept result that expires sooner than this is not worth another transfer. */
-const LEAST_KEEP_MS = 300
+const MIN_KEEP_MS = 300
 
 /** Advances a request by one event. The only way its state changes; does no I/O. */
 export function stepRequest(state: RequestState, event: RequestEvent, now: Millis): RequestEffect[] {
@@ -71,7 +71,7 @@
     case 'streamClosed':
       return handleBrokenStream(state, event.reason, now)
     case 'adopt':
-      return adopt(state, event.endpoint, now)
+      return adoptStream(state, event.endpoint, now)
     case 'callerGone':
       return endRequest(state, { type: 'cancelled' })
     case 'tick':
@@ -89,8 +89,8 @@
 
 function startAttempt(state: RequestState, now: Millis): void {
   const { kept } = state
-  const usable = kept !== undefined && kept.expiresAt - now > LEAST_KEEP_MS
-  if (!usable) wasteKept(state, 'expired')
+  const usable = kept !== undefined && kept.expiresAt - now > MIN_KEEP_MS
+  if (!usable) discardKeptPrefill(state, 'expired')
   state.phase = 'placing'
   state.placement = undefined
   const waited = now - state.startedAt
@@ -105,7 +105,7 @@
   now: Millis,
 ): void {
   const mayGoOn = state.options.deliveredBefore > 0 || (state.delivered > 0 && state.deterministic)
-  const againAt = now + Math.min(retryAfter, LONGEST_WAIT_MS)
+  const againAt = now + Math.min(retryAfter, MAX_PLACE_RETRY_MS)
   if (!mayGoOn || againAt >= state.options.deadline) return refuseRequest(state, reason, retryAfter)
   state.placeAgainAt = againAt
 }
@@ -172,7 +172,13 @@
   const onlyDispatch = step === 'prefill' && state.attempt === 0
   // The endpoint's protocol proves that it ran nothing, and nothing else was sent.
   if (event.notRun && onlyDispatch) state.dispatched = false
-  retry(state, { reason: event.reason, step, peer: event.endpoint }, [event.endpoint], 'decode-failed', now)
+  retryElsewhere(
+    state,
+    { reason: event.reason, step, peer: event.endpoint },
+    [event.endpoint],
+    'decode-failed',
+    now,
+  )
 }
 
 interface Failure {
@@ -182,7 +188,7 @@
 }
 
 /** Leaves the present engines and starts again elsewhere, unless that may not be. */
-function retry(
+function retryElsewhere(
   state: RequestState,
   failure: Failure,
   avoid: EndpointName[],
@@ -190,14 +196,13 @@
   now: Millis,
 ): void {
   state.lastFailure = failure
-  if (state.attempt + 1 >= MOST_ATTEMPTS)
-    return failRequest(state, failure.reason, failure.step, failure.peer)
+  if (state.attempt + 1 >= MAX_ATTEMPTS) return failRequest(state, failure.reason, failure.step, failure.peer)
   state.avoid = [...new Set([...state.avoid, ...avoid])]
-  if (state.kept !== undefined && avoid.includes(state.kept.endpoint)) wasteKept(state, cause)
+  if (state.kept !== undefined && avoid.includes(state.kept.endpoint)) discardKeptPrefill(state, cause)
   releaseAllBut(state, state.kept?.endpoint)
   state.attempt += 1
   // Nothing has been shown yet, so another engine may give another answer.
-  if (state.delivered === 0) state.order = new FrameOrder()
+  if (state.delivered === 0) state.order = new FrameReorderBuffer()
   startAttempt(state, now)
 }
 
@@ -213,42 +218,42 @@
   state.lastLineAt = now
   if (line.type === 'transfer') return
   if (line.type === 'end') {
-    if (state.order.takeEnd(line.epoch, line.seq)) state.finish = line.finish
+    if (state.order.setEnd(line.epoch, line.seq)) state.finish = line.finish
     return finishIfWhole(state)
   }
-  const verdict = state.order.take(line)
+  const verdict = state.order.push(line)
   if (verdict !== 'taken') return
   if (state.firstTokenAt === undefined) state.firstTokenAt = now
-  noteFirstToken(state)
+  handleFirstToken(state)
   deliver(state)
   finishIfWhole(state)
 }
 
 /** The engine decodes: the prefill was not in vain, and its result has been fetched. */
-function noteFirstToken(state: RequestState): void {
+function handleFirstToken(state: RequestState): void {
   const { prefill, decode } = state.placement!
   state.kept = undefined
   if (prefill !== decode) state.holds.delete(prefill)
 }
 
 function deliver(state: RequestState): void {
-  if (state.claim !== 'won' || state.order.next <= state.delivered) return
-  state.delivered = state.order.next
+  if (state.claim !== 'won' || state.order.nextSeq <= state.delivered) return
+  state.delivered = state.order.nextSeq
   state.effects.push({ type: 'deliver', upTo: state.delivered })
 }
 
 function finishIfWhole(state: RequestState): void {
-  if (state.phase !== 'decoding' || state.claim !== 'won' || !state.order.whole) return
-  endRequest(state, { type: 'answered', tokens: state.order.next, finish: state.finish })
+  if (state.phase !== 'decoding' || state.claim !== 'won' || !state.order.isComplete) return
+  endRequest(state, { type: 'answered', tokens: state.order.nextSeq, finish: state.finish })
 }
 
 /** The stream ended or stalled before the answer was whole: resume at the gap, or go elsewhere. */
 function handleBrokenStream(state: RequestState, reason: string, now: Millis): void {
-  if (state.phase !== 'decoding' || state.order.whole) return
+  if (state.phase !== 'decoding' || state.order.isComplete) return
   const { decode } = state.placement!
   const failure = { reason, step: 'decode', peer: decode }
-  const mayResume = state.order.next > 0 && state.resumes < MOST_RESUMES
-  if (!mayResume) return retry(state, failure, [decode], 'transfer-stalled', now)
+  const mayResume = state.order.nextSeq > 0 && state.resumes < MAX_RESUMES
+  if (!mayResume) return retryElsewhere(state, failure, [decode], 'transfer-stalled', now)
   state.lastFailure = failure
   state.resumes += 1
   state.lastLineAt = now
@@ -257,12 +262,12 @@
     attempt: state.attempt,
     epoch: engineEpoch(state),
     endpoint: decode,
-    from: state.order.next,
+    from: state.order.nextSeq,
   })
 }
 
 /** Goes on with a stream that an earlier owner of the claim left at an engine. */
-function adopt(state: RequestState, endpoint: EndpointName, now: Millis): void {
+function adoptStream(state: RequestState, endpoint: EndpointName, now: Millis): void {
   const epoch = engineEpoch(state)
   state.dispatched = true
   state.phase = 'decoding'
--- a/request/machine/test/sessions.test.ts
+++ b/request/machine/test/sessions.test.ts
@@ -99,7 +99,7 @@
 const viewOf = (...endpoints: EndpointView[]): PlacementView => ({ endpoints, links: new Map() })
 const healthy = () => viewOf(engine('prefill'), engine('decode'))
 const golden = (name: string) => `./golden/${name}.golden.json`
-const told = (session: Session) => `${JSON.stringify(session.lines, null, 1)}\n`
+const serializeLines = (session: Session) => `${JSON.stringify(session.lines, null, 1)}\n`
 
 describe('whole sessions', () => {
   it('a streamed answer', async () => {
@@ -122,7 +122,7 @@
       attempt,
       line: { type: 'end', request: 'bole-1~i~1', epoch, seq: 3, finish: 'stop' },
     })
-    await expect(told(session)).toMatchFileSnapshot(golden('answered'))
+    await expect(serializeLines(session)).toMatchFileSnapshot(golden('answered'))
   })
 
   it('an answer whose stream broke and was resumed', async () => {
@@ -147,7 +147,7 @@
       attempt: 0,
       line: { type: 'end', request: 'bole-1~i~1', epoch: 64, seq: 2, finish: 'stop' },
     })
-    await expect(told(session)).toMatchFileSnapshot(golden('resumed'))
+    await expect(serializeLines(session)).toMatchFileSnapshot(golden('resumed'))
   })
 
   it('a caller that left while its prompt was prefilled', async () => {
@@ -155,7 +155,7 @@
     session.step({ type: 'start' })
     session.step({ type: 'reserved', attempt: 0 })
     session.step({ type: 'callerGone' })
-    await expect(told(session)).toMatchFileSnapshot(golden('cancelled'))
+    await expect(serializeLines(session)).toMatchFileSnapshot(golden('cancelled'))
   })
 
   const refusals: [string, PlacementView][] = [
@@ -172,7 +172,7 @@
     expect(session.lines.at(-1)).toMatchObject({
       effect: { type: 'end', end: { type: 'refused', reason, execution: 'not-run' } },
     })
-    await expect(told(session)).toMatchFileSnapshot(golden(`refused-${reason}`))
+    await expect(serializeLines(session)).toMatchFileSnapshot(golden(`refused-${reason}`))
   })
 
   it('a claim that another box holds, and one that cannot be made', async () => {
@@ -180,11 +180,11 @@
     lost.step({ type: 'start' })
     lost.step({ type: 'reserved', attempt: 0 })
     lost.step({ type: 'claimLost' })
-    await expect(told(lost)).toMatchFileSnapshot(golden('superseded'))
+    await expect(serializeLines(lost)).toMatchFileSnapshot(golden('superseded'))
     const failed = new Session(healthy())
     failed.step({ type: 'start' })
     failed.step({ type: 'claimFailed', reason: 'the journal is full' })
-    await expect(told(failed)).toMatchFileSnapshot(golden('refused-claim-failed'))
+    await expect(serializeLines(failed)).toMatchFileSnapshot(golden('refused-claim-failed'))
   })
 
   it('a prefill engine that refused with proof, and no other to go to', async () => {
@@ -200,6 +200,6 @@
       reason: 'refused',
       notRun: true,
     })
-    await expect(told(session)).toMatchFileSnapshot(golden('refused-by-engine'))
+    await expect(serializeLines(session)).toMatchFileSnapshot(golden('refused-by-engine'))
   })
 })
--- a/request/machine/test/stepRequest.test.ts
+++ b/request/machine/test/stepRequest.test.ts
@@ -37,7 +37,7 @@
   })
 
 /** Plays the world around a request: answers its effects, wrongly, late or not at all, as the numbers say. */
-class World {
+class RequestEnvironment {
   readonly state: RequestState = create()
   /** Events on their way; any of them may come next, or never. */
   waiting: RequestEvent[] = []
@@ -127,36 +127,36 @@
     })
     fc.assert(
       fc.property(choices, (steps) => {
-        const world = new World()
-        world.step({ type: 'start' })
+        const environment = new RequestEnvironment()
+        environment.step({ type: 'start' })
         for (const [pick, kind] of steps) {
-          world.now += kind % 7
-          if (kind === 0) world.step({ type: 'callerGone' })
-          else if (kind === 1) world.step({ type: 'claimLost' })
-          else if (kind === 2) world.step({ type: 'claimFailed', reason: 'x' })
-          else if (kind < 8) world.step({ type: 'tick' })
-          else if (kind < 13 && world.claimAsked) world.step({ type: 'claimed', epoch: 1 })
-          else if (world.waiting.length > 0) {
+          environment.now += kind % 7
+          if (kind === 0) environment.step({ type: 'callerGone' })
+          else if (kind === 1) environment.step({ type: 'claimLost' })
+          else if (kind === 2) environment.step({ type: 'claimFailed', reason: 'x' })
+          else if (kind < 8) environment.step({ type: 'tick' })
+          else if (kind < 13 && environment.claimAsked) environment.step({ type: 'claimed', epoch: 1 })
+          else if (environment.waiting.length > 0) {
             // Two in three in order of arrival, the others out of order; some come twice.
-            const index = kind % 3 === 0 ? pick % world.waiting.length : 0
-            const event = world.waiting[index]!
-            if (pick % 10 > 0) world.waiting.splice(index, 1)
-            world.step(event)
+            const index = kind % 3 === 0 ? pick % environment.waiting.length : 0
+            const event = environment.waiting[index]!
+            if (pick % 10 > 0) environment.waiting.splice(index, 1)
+            environment.step(event)
           }
         }
-        world.now = 2_000
-        world.step({ type: 'tick' })
-        expect(world.ends).toHaveLength(1)
-        const { end } = world.ends[0] as Extract<RequestEffect, { type: 'end' }>
-        if ('execution' in end && end.execution === 'not-run') expect(world.ran.size).toBe(0)
+        environment.now = 2_000
+        environment.step({ type: 'tick' })
+        expect(environment.ends).toHaveLength(1)
+        const { end } = environment.ends[0] as Extract<RequestEffect, { type: 'end' }>
+        if ('execution' in end && end.execution === 'not-run') expect(environment.ran.size).toBe(0)
         if (end.type === 'answered') {
-          expect(world.state.order.from(0).join('')).toBe('01234')
-          expect(world.delivered).toBe(5)
+          expect(environment.state.order.from(0).join('')).toBe('01234')
+          expect(environment.delivered).toBe(5)
         }
-        const stillHeld = [...world.held.keys()].filter(
+        const stillHeld = [...environment.held.keys()].filter(
           (endpoint) => end.type !== 'answered' || endpoint.startsWith('x'),
         )
-        expect(stillHeld.filter((endpoint) => !fetched(world, endpoint))).toEqual([])
+        expect(stillHeld.filter((endpoint) => !fetched(environment, endpoint))).toEqual([])
       }),
       { numRuns: RUNS, seed: SEED },
     )
@@ -243,6 +243,6 @@
 })
 
 /** A prefill engine whose result was fetched holds nothing any more. */
-function fetched(world: World, endpoint: string): boolean {
-  return endpoint.startsWith('p') && world.state.firstTokenAt !== undefined
+function fetched(environment: RequestEnvironment, endpoint: string): boolean {
+  return endpoint.startsWith('p') && environment.state.firstTokenAt !== undefined
 }
--- a/request/quota/src/quotaAccount.ts
+++ b/request/quota/src/quotaAccount.ts
@@ -14,18 +14,18 @@
 }
 
 /** What is asked at the moment is averaged over about this time, one report; demand over several seconds. */
-const ASKED_MEMORY_MS = 500
-const DEMAND_MEMORY_MS = 4_000
+const ASKED_AVERAGING_MS = 500
+const DEMAND_AVERAGING_MS = 4_000
 /** A grant is of all that is left, so that it holds only until the next word is due, with some time for its way. */
-const BELIEVED_MS = 700
+const GRANT_VALID_MS = 700
 /** An entry alone that had served nothing of a workspace still lets a little through: this much of an even part. */
-const LEAST_SHARE_OF_EVEN = 0.1
+const MIN_SHARE_OF_EVEN = 0.1
 /** Alone an entry that never heard of the others uses this much of an even part: many may be in the same place. */
-const UNHEARD_SHARE_OF_EVEN = 0.25
+const NO_GRANT_SHARE_OF_EVEN = 0.25
 const SECOND_MS = 1_000
 
 /** What the leader granted last. */
-interface Granted extends QuotaGrant {
+interface StoredGrant extends QuotaGrant {
   at: Millis
   /** When it was asked for. */
   askedAt: Millis
@@ -37,7 +37,7 @@
 }
 
 /** What one entry may still let through. */
-export interface QuotaLeft {
+export interface RemainingQuota {
   units: number
   /** This entry's part of the whole quota, from 0 to 1. */
   share: number
@@ -47,10 +47,10 @@
 export class QuotaAccount {
   private total = 0
   private readonly recent: WindowSum
-  private readonly asked = new FadingSum(ASKED_MEMORY_MS)
-  private readonly demand = new FadingSum(DEMAND_MEMORY_MS)
+  private readonly asked = new FadingSum(ASKED_AVERAGING_MS)
+  private readonly demand = new FadingSum(DEMAND_AVERAGING_MS)
   private readonly firstDraw: number
-  private granted: Granted | undefined
+  private granted: StoredGrant | undefined
   /** The limit that held last. */
   private limit = 0
   usedAt: Millis
@@ -67,16 +67,16 @@
   /** Whether the leader has said lately what is left. */
   isFresh(now: Millis): boolean {
     const { granted } = this
-    if (granted === undefined || now - granted.at >= BELIEVED_MS) return false
+    if (granted === undefined || now - granted.at >= GRANT_VALID_MS) return false
     return granted.askedAt >= this.options.suspendedAt()
   }
 
   /** The age of what the leader said last; Infinity where it never did. */
-  ageMs(now: Millis): Millis {
+  grantAgeMs(now: Millis): Millis {
     return this.granted === undefined ? Infinity : now - this.granted.at
   }
 
-  noteAsked(units: number, now: Millis): void {
+  recordDemand(units: number, now: Millis): void {
     this.usedAt = now
     this.asked.add(units, now)
     this.demand.add(units, now)
@@ -102,18 +102,24 @@
     return {
       life: this.options.life,
       recent: Math.max(0, this.recent.total(now)),
-      askedPerSecond: Math.round((this.asked.total(now) / ASKED_MEMORY_MS) * SECOND_MS),
-      demandPerSecond: Math.round((this.demand.total(now) / DEMAND_MEMORY_MS) * SECOND_MS),
+      askedPerSecond: Math.round((this.asked.total(now) / ASKED_AVERAGING_MS) * SECOND_MS),
+      demandPerSecond: Math.round((this.demand.total(now) / DEMAND_AVERAGING_MS) * SECOND_MS),
     }
   }
 
-  /** What is spent in all; to be read when a report is made, and given to {@link take} with its answer. */
-  get spentInAll(): number {
+  /** What is spent in all; to be read when a report is made, and given to {@link applyGrant} with its answer. */
+  get totalSpent(): number {
     return this.total
   }
 
   /** Takes what the leader answered to a report. */
-  take(grant: QuotaGrant, { recent }: SpentReport, ownTotal: number, askedAt: Millis, now: Millis): void {
+  applyGrant(
+    grant: QuotaGrant,
+    { recent }: SpentReport,
+    ownTotal: number,
+    askedAt: Millis,
+    now: Millis,
+  ): void {
     this.granted = { ...grant, at: now, askedAt, ownTotal, ownRecent: recent, draw: this.options.random() }
   }
 
@@ -122,14 +128,14 @@
    * often as it would pay for one. The draw holds until the leader's next word: drawn for each request anew, one of
    * many would always overdraw, at every entry.
    */
-  isEnough(left: number, units: number): boolean {
-    return left > units * (this.granted?.draw ?? this.firstDraw)
+  isEnough(remaining: number, units: number): boolean {
+    return remaining > units * (this.granted?.draw ?? this.firstDraw)
   }
 
   /** Units that this entry may spend now. */
-  left(entries: number, now: Millis): QuotaLeft {
+  remaining(entries: number, now: Millis): RemainingQuota {
     const { granted } = this
-    if (granted === undefined || !this.isFresh(now)) return this.leftAlone(entries, now)
+    if (granted === undefined || !this.isFresh(now)) return this.remainingWithoutLeader(entries, now)
     return { units: granted.units - (this.total - granted.ownTotal), share: granted.share }
   }
 
@@ -137,13 +143,13 @@
    * An entry that does not hear the leader spends its part of what was left at the last word, and what has left its own
    * window since then, so that all entries together stay where they were. One that never heard keeps to an even part.
    */
-  private leftAlone(entries: number, now: Millis): QuotaLeft {
-    const even = 1 / Math.max(1, entries)
+  private remainingWithoutLeader(entries: number, now: Millis): RemainingQuota {
+    const evenShare = 1 / Math.max(1, entries)
     const recent = this.recent.total(now)
     const { granted } = this
     if (granted === undefined)
-      return { units: this.limit * even * UNHEARD_SHARE_OF_EVEN - recent, share: even }
-    const share = Math.max(granted.share, even * LEAST_SHARE_OF_EVEN)
+      return { units: this.limit * evenShare * NO_GRANT_SHARE_OF_EVEN - recent, share: evenShare }
+    const share = Math.max(granted.share, evenShare * MIN_SHARE_OF_EVEN)
     return { units: granted.units * share + granted.ownRecent - recent, share }
   }
 }
--- a/request/quota/src/quotaLedger.ts
+++ b/request/quota/src/quotaLedger.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@forkstage/clock'
 import type { Millis } from '@forkstage/types'
 import type { QuotaAnswer, QuotaGrant, QuotaReport } from './quotaTypes'
-import { WorkspaceTally } from './workspaceTally'
+import { WorkspaceUsage } from './workspaceUsage'
 
 /** Options of {@link QuotaLedger}. */
 export interface QuotaLedgerOptions {
@@ -26,12 +26,12 @@
 }
 
 /** The rest is kept for what entries that were killed or cut off have let through unheard. */
-const TOLERANCE_USED = 0.1
+const TOLERANCE_SHARE = 0.1
 
 /** A new leader answers once every entry has reported, or after this time: an entry may be down. */
-const LISTEN_MS = 1_200
+const COLLECT_MS = 1_200
 /** A machine that was cut off itself has counted few entries yet: each that serves has reported once in this time. */
-const LEAST_LISTEN_MS = 600
+const MIN_COLLECT_MS = 600
 /** How often entries that are not heard are looked for, at a report. */
 const SWEEP_MS = 250
 
@@ -40,65 +40,66 @@
   private term = -1
   private since: Millis = 0
   private sweptAt: Millis = -Infinity
-  private tallies = new Map<string, WorkspaceTally>()
+  private usages = new Map<string, WorkspaceUsage>()
   /** When each entry was heard last. */
-  private heardAt = new Map<string, Millis>()
+  private reportedAt = new Map<string, Millis>()
 
   constructor(private readonly options: QuotaLedgerOptions) {}
 
   /** Takes what an entry has spent and answers what it may spend of the workspaces that it names. */
-  take({ entry, spent }: QuotaReport): QuotaAnswer {
+  applyReport({ entry, spent }: QuotaReport): QuotaAnswer {
     this.renewTerm()
     const now = this.options.clock.now()
     const reports = Object.entries(spent).filter(([name]) => this.options.limit(name) !== undefined)
-    for (const [name, report] of reports) this.tallyOf(name).note(entry, report, this.heardAt.get(entry))
-    this.heardAt.set(entry, now)
+    for (const [name, report] of reports)
+      this.usageOf(name).applyReport(entry, report, this.reportedAt.get(entry))
+    this.reportedAt.set(entry, now)
     this.sweep(now)
-    if (!this.hasListened(now)) return {}
+    if (!this.hasCollected(now)) return {}
     const grants: Record<string, QuotaGrant> = {}
     for (const [name] of reports) {
       const limit = this.options.limit(name)!
-      const bearable = this.bearable(limit) - limit * this.missingShare(now)
-      grants[name] = this.tallyOf(name).grant(entry, limit, bearable)
+      const toleratedUnits = this.toleratedUnits(limit) - limit * this.unreportedShare(now)
+      grants[name] = this.usageOf(name).grant(entry, limit, toleratedUnits)
     }
     return { grants }
   }
 
   /** The part of the entries that a new leader has not heard: what they spent in the last window is not known. */
-  private missingShare(now: Millis): number {
+  private unreportedShare(now: Millis): number {
     const known = this.options.entries()
     if (known === 0 || now - this.since >= this.options.windowMs) return 0
-    return Math.max(0, known - this.heardAt.size) / known
+    return Math.max(0, known - this.reportedAt.size) / known
   }
 
   /** Units that may be spent unheard without anything being refused for it. */
-  private bearable(limit: number): number {
+  private toleratedUnits(limit: number): number {
     const { over, slack } = this.options.tolerance
-    return (limit * over + slack) * TOLERANCE_USED
+    return (limit * over + slack) * TOLERANCE_SHARE
   }
 
   private sweep(now: Millis): void {
     if (now - this.sweptAt < SWEEP_MS) return
     this.sweptAt = now
-    for (const [name, tally] of this.tallies) {
+    for (const [name, usage] of this.usages) {
       const limit = this.options.limit(name)
-      if (limit !== undefined) tally.sweep(limit, this.heardAt, now)
-      if (limit === undefined || tally.isUnused) this.tallies.delete(name)
+      if (limit !== undefined) usage.sweep(limit, this.reportedAt, now)
+      if (limit === undefined || usage.isUnused) this.usages.delete(name)
     }
   }
 
-  private tallyOf(workspace: string): WorkspaceTally {
-    const known = this.tallies.get(workspace)
+  private usageOf(workspace: string): WorkspaceUsage {
+    const known = this.usages.get(workspace)
     if (known !== undefined) return known
-    const tally = new WorkspaceTally(this.options.windowMs)
-    this.tallies.set(workspace, tally)
-    return tally
+    const usage = new WorkspaceUsage(this.options.windowMs)
+    this.usages.set(workspace, usage)
+    return usage
   }
 
-  private hasListened(now: Millis): boolean {
+  private hasCollected(now: Millis): boolean {
     const known = this.options.entries()
-    const isHeard = known > 0 && this.heardAt.size >= known
-    return now - this.since >= (isHeard ? LEAST_LISTEN_MS : LISTEN_MS)
+    const haveAllReported = known > 0 && this.reportedAt.size >= known
+    return now - this.since >= (haveAllReported ? MIN_COLLECT_MS : COLLECT_MS)
   }
 
   private renewTerm(): void {
@@ -106,7 +107,7 @@
     if (term() === this.term) return
     this.term = term()
     this.since = clock.now()
-    this.tallies = new Map()
-    this.heardAt = new Map()
+    this.usages = new Map()
+    this.reportedAt = new Map()
   }
 }
--- a/request/quota/src/quotaKeeper.ts
+++ b/request/quota/src/quotaLimiter.ts
@@ -5,8 +5,8 @@
 import { quotaLimit } from './quotaLimit'
 import type { QuotaAnswer, QuotaReport, QuotaVerdict } from './quotaTypes'
 
-/** Options of {@link QuotaKeeper}. */
-export interface QuotaKeeperOptions {
+/** Options of {@link QuotaLimiter}. */
+export interface QuotaLimiterOptions {
   entry: string
   /** Names this life of the process. */
   life: string
@@ -24,31 +24,31 @@
 }
 
 /** A request of a workspace that this entry has not served lately waits so long for the leader's word at most. */
-const FIRST_WORD_MS = 100
-const LOOK_EVERY_MS = 50
+const FIRST_GRANT_WAIT_MS = 100
+const CHECK_EVERY_MS = 50
 const SECOND_MS = 1_000
 /** Whoever is over its quota is not told to come back sooner: something must have come back by then. */
-const LEAST_RETRY_MS = 100
-const MOST_RETRY_MS = 10_000
+const MIN_RETRY_MS = 100
+const MAX_RETRY_MS = 10_000
 
 /** Decides at one entry whether a request lies within its workspace's quota, by what all entries have spent. */
-export class QuotaKeeper {
+export class QuotaLimiter {
   private readonly accounts = new Map<string, QuotaAccount>()
   private reportedTo: string | undefined
   private reportedAt = -Infinity
   private reporting: Promise<void> | undefined
   /** Whether the leader left the last report unanswered, so that waiting for its word is in vain. */
-  private isUnheard = false
-  private cancelLook: CancelTimer = () => undefined
+  private isLeaderSilent = false
+  private cancelCheck: CancelTimer = () => undefined
 
-  constructor(private readonly options: QuotaKeeperOptions) {}
+  constructor(private readonly options: QuotaLimiterOptions) {}
 
   start(): void {
-    this.cancelLook = every(this.options.clock, LOOK_EVERY_MS, () => this.reportIfDue())
+    this.cancelCheck = every(this.options.clock, CHECK_EVERY_MS, () => this.reportIfDue())
   }
 
   stop(): void {
-    this.cancelLook()
+    this.cancelCheck()
   }
 
   /**
@@ -59,24 +59,24 @@
     const { clock } = this.options
     const account = this.accountOf(workspace.name)
     account.setLimit(quotaLimit(workspace.quota!, this.options.windowMs))
-    account.noteAsked(units, clock.now())
-    const isNew = account.ageMs(clock.now()) === Infinity
-    if (isNew && this.options.leader() !== undefined && !this.isUnheard) await this.hearLeader()
+    account.recordDemand(units, clock.now())
+    const isNew = account.grantAgeMs(clock.now()) === Infinity
+    if (isNew && this.options.leader() !== undefined && !this.isLeaderSilent) await this.requestGrants()
     return this.decide(workspace, account, units)
   }
 
   private decide(workspace: KnownWorkspace, account: QuotaAccount, units: number): QuotaVerdict {
     const { clock, entries, windowMs } = this.options
     const now = clock.now()
-    const left = account.left(entries(), now)
-    if (!account.isEnough(left.units, units)) {
+    const remaining = account.remaining(entries(), now)
+    if (!account.isEnough(remaining.units, units)) {
       const isAlone = !account.isFresh(now)
-      const perSecond = (quotaLimit(workspace.quota!, windowMs) * left.share * SECOND_MS) / windowMs
-      const retryAfterMs = timeUntil(units - left.units, perSecond)
-      return { type: 'over', level: left.units, ageMs: account.ageMs(now), isAlone, retryAfterMs }
+      const perSecond = (quotaLimit(workspace.quota!, windowMs) * remaining.share * SECOND_MS) / windowMs
+      const retryAfterMs = retryDelay(units - remaining.units, perSecond)
+      return { type: 'over', level: remaining.units, ageMs: account.grantAgeMs(now), isAlone, retryAfterMs }
     }
     account.spend(units, now)
-    return { type: 'admitted', spent: { giveBack: () => account.spend(-units, clock.now()) } }
+    return { type: 'admitted', spent: { refund: () => account.spend(-units, clock.now()) } }
   }
 
   private accountOf(name: string): QuotaAccount {
@@ -90,27 +90,27 @@
   }
 
   /** Asks the leader now, once for all that wait, for a short time. */
-  private hearLeader(): Promise<void> {
+  private requestGrants(): Promise<void> {
     this.reporting ??= this.report().finally(() => (this.reporting = undefined))
     const { clock } = this.options
     return Promise.race([
       this.reporting,
-      new Promise<void>((resolve) => void clock.after(FIRST_WORD_MS, resolve)),
+      new Promise<void>((resolve) => void clock.after(FIRST_GRANT_WAIT_MS, resolve)),
     ])
   }
 
   private reportIfDue(): void {
     const { clock, leader, reportEveryMs } = this.options
     const now = clock.now()
-    this.forgetUnused(now)
+    this.removeUnused(now)
     const isNew = leader() !== this.reportedTo
     const isDue = this.accounts.size > 0 && now - this.reportedAt >= reportEveryMs
     if (leader() === undefined || this.reporting !== undefined || !(isNew || isDue)) return
-    void this.hearLeader()
+    void this.requestGrants()
   }
 
   /** A workspace unused for two windows: all that it spent here has left the window, and the leader has heard of it. */
-  private forgetUnused(now: Millis): void {
+  private removeUnused(now: Millis): void {
     for (const [name, account] of this.accounts)
       if (now - account.usedAt > this.options.windowMs * 2) this.accounts.delete(name)
   }
@@ -121,21 +121,21 @@
     this.reportedTo = leader()
     this.reportedAt = now
     const reported = [...this.accounts].map(([name, account]) => {
-      return { name, account, spent: account.report(now), ownTotal: account.spentInAll }
+      return { name, account, spent: account.report(now), ownTotal: account.totalSpent }
     })
     const answer = await report({
       entry,
       spent: Object.fromEntries(reported.map((one) => [one.name, one.spent])),
     })
-    this.isUnheard = answer === undefined
+    this.isLeaderSilent = answer === undefined
     for (const { name, account, spent, ownTotal } of reported) {
       const grant = answer?.grants?.[name]
-      if (grant !== undefined) account.take(grant, spent, ownTotal, now, clock.now())
+      if (grant !== undefined) account.applyGrant(grant, spent, ownTotal, now, clock.now())
     }
   }
 }
 
-function timeUntil(units: number, perSecond: number): Millis {
-  const wait = perSecond > 0 ? (units / perSecond) * SECOND_MS : MOST_RETRY_MS
-  return Math.round(Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, wait)))
+function retryDelay(units: number, perSecond: number): Millis {
+  const wait = perSecond > 0 ? (units / perSecond) * SECOND_MS : MAX_RETRY_MS
+  return Math.round(Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, wait)))
 }
--- a/request/quota/src/quotaTypes.ts
+++ b/request/quota/src/quotaTypes.ts
@@ -38,11 +38,11 @@
 
 /** Whether a request may go on. */
 export type QuotaVerdict =
-  | { type: 'admitted'; spent: Spent }
+  | { type: 'admitted'; spent: QuotaCharge }
   | { type: 'over'; level: number; ageMs: Millis; isAlone: boolean; retryAfterMs: Millis }
 
 /** What was spent for a request. */
-export interface Spent {
+export interface QuotaCharge {
   /** Gives it back: no endpoint has run the request. Called once at most. */
-  giveBack(): void
+  refund(): void
 }
--- a/request/quota/src/readQuotaReport.ts
+++ b/request/quota/src/readQuotaReport.ts
@@ -12,8 +12,8 @@
   const read = report.safeParse(raw)
   if (!read.success) return undefined
   const rows = Object.entries(read.data.spent).flatMap(([workspace, row]) => {
-    const said = spent.safeParse(row)
-    return said.success ? [[workspace, said.data] as const] : []
+    const parsed = spent.safeParse(row)
+    return parsed.success ? [[workspace, parsed.data] as const] : []
   })
   return { entry: read.data.entry, spent: Object.fromEntries(rows) }
 }
--- a/request/quota/src/workspaceTally.ts
+++ b/request/quota/src/workspaceUsage.ts
@@ -2,11 +2,11 @@
 import type { QuotaGrant, SpentReport } from './quotaTypes'
 
 /** An entry spends no more than is asked of it in this time, two reports, before it is heard again. */
-const UNHEARD_MS = 1_000
+const UNREPORTED_MS = 1_000
 /** An entry that has not reported for so long, two reports, may be cut off and go on serving its part. */
 const SILENT_MS = 1_000
 /** For so long it is assumed to do so; then it counts as gone, as it does where entries are counted. */
-const ASSUMED_MS = 15_000
+const ASSUME_SERVING_MS = 15_000
 const SECOND_MS = 1_000
 
 /** What an entry said last of a workspace, and what it was granted then. */
@@ -15,7 +15,7 @@
 }
 
 /** What was spent by an entry's earlier life, which it has forgotten. */
-interface Forgotten {
+interface LostSpending {
   units: number
   at: Millis
 }
@@ -24,27 +24,27 @@
  * What all entries have spent of one workspace's quota. Sums are kept as reports come, so that a report costs the same
  * however many entries there are.
  */
-export class WorkspaceTally {
+export class WorkspaceUsage {
   private readonly entries = new Map<string, EntryRecord>()
-  private forgotten: Forgotten[] = []
+  private lostSpending: LostSpending[] = []
   /** Over all entries. */
   private spent = 0
   private demand = 0
-  private unheard = 0
+  private unreported = 0
 
   constructor(private readonly windowMs: Millis) {}
 
   /** Whether no entry speaks of the workspace any more. */
   get isUnused(): boolean {
-    return this.entries.size === 0 && this.forgotten.length === 0
+    return this.entries.size === 0 && this.lostSpending.length === 0
   }
 
-  /** @param heardAt when the entry was heard before; undefined where it was not. */
-  note(entry: string, report: SpentReport, heardAt: Millis | undefined): void {
+  /** @param reportedAt when the entry was heard before; undefined where it was not. */
+  applyReport(entry: string, report: SpentReport, reportedAt: Millis | undefined): void {
     const before = this.entries.get(entry)
-    if (before !== undefined && before.life !== report.life && heardAt !== undefined) {
+    if (before !== undefined && before.life !== report.life && reportedAt !== undefined) {
       // What it had spent leaves the window no later than this.
-      this.forgotten.push({ units: before.recent, at: heardAt })
+      this.lostSpending.push({ units: before.recent, at: reportedAt })
       this.spent += before.recent
     }
     this.drop(entry)
@@ -57,11 +57,11 @@
    * were heard, as far as that is more than `bearable`. Parts by demand would refuse what lies within the quota
    * wherever requests come unevenly.
    */
-  grant(entry: string, limit: number, bearable: number): QuotaGrant {
+  grant(entry: string, limit: number, toleratedUnits: number): QuotaGrant {
     const record = this.entries.get(entry)!
     this.drop(entry)
-    const unheard = Math.max(0, this.unheard - bearable)
-    const units = limit - this.spent - record.recent - unheard
+    const unreported = Math.max(0, this.unreported - toleratedUnits)
+    const units = limit - this.spent - record.recent - unreported
     this.put(entry, { ...record, granted: units })
     return { units, share: this.shareOf(record, limit) }
   }
@@ -76,21 +76,21 @@
   }
 
   /** Counts what entries that are not heard may spend alone, and forgets what has left the window. */
-  sweep(limit: number, heardAt: ReadonlyMap<string, Millis>, now: Millis): void {
+  sweep(limit: number, reportedAt: ReadonlyMap<string, Millis>, now: Millis): void {
     for (const [entry, record] of [...this.entries]) {
-      const silentMs = now - (heardAt.get(entry) ?? -Infinity)
+      const silentMs = now - (reportedAt.get(entry) ?? -Infinity)
       // One that has just reported gets its grant yet.
       const isUnused = silentMs > 0 && record.recent === 0 && record.demandPerSecond === 0
-      if (silentMs > ASSUMED_MS || isUnused) this.drop(entry)
-      else if (silentMs >= SILENT_MS) this.assumePart(entry, record, limit)
+      if (silentMs > ASSUME_SERVING_MS || isUnused) this.drop(entry)
+      else if (silentMs >= SILENT_MS) this.assumeSpent(entry, record, limit)
     }
-    const left = this.forgotten.filter(({ at }) => now - at >= this.windowMs)
+    const left = this.lostSpending.filter(({ at }) => now - at >= this.windowMs)
     for (const { units } of left) this.spent -= units
-    this.forgotten = this.forgotten.filter((one) => !left.includes(one))
+    this.lostSpending = this.lostSpending.filter((one) => !left.includes(one))
   }
 
   /** Alone an entry may come to have spent its part of the quota, or all that is asked of it. */
-  private assumePart(entry: string, record: EntryRecord, limit: number): void {
+  private assumeSpent(entry: string, record: EntryRecord, limit: number): void {
     const part = limit * this.shareOf(record, limit)
     this.drop(entry)
     this.put(entry, { ...record, recent: Math.max(record.recent, part), granted: 0 })
@@ -107,17 +107,17 @@
     this.entries.delete(entry)
     this.add(record, -1)
     // Rounding must not leave a rest behind.
-    if (this.entries.size === 0) this.demand = this.unheard = 0
+    if (this.entries.size === 0) this.demand = this.unreported = 0
   }
 
   private add(record: EntryRecord, sign: 1 | -1): void {
     this.spent += sign * record.recent
     this.demand += sign * record.demandPerSecond
-    this.unheard += sign * unheardOf(record)
+    this.unreported += sign * unreportedUnits(record)
   }
 }
 
 /** What an entry may have spent since it was heard. */
-function unheardOf({ granted, askedPerSecond }: EntryRecord): number {
-  return Math.max(0, Math.min(granted, (askedPerSecond * UNHEARD_MS) / SECOND_MS))
+function unreportedUnits({ granted, askedPerSecond }: EntryRecord): number {
+  return Math.max(0, Math.min(granted, (askedPerSecond * UNREPORTED_MS) / SECOND_MS))
 }
--- a/request/quota/test/quotaRandom.test.ts
+++ b/request/quota/test/quotaRandom.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { createSeededRandom, type Random } from '@forkstage/clock'
-import { QuotaWorld, runTraffic, WINDOW_MS, workspace } from './quotaWorld'
+import { QuotaSimulation, runTraffic, WINDOW_MS, workspace } from './quotaSimulation'
 
 const RUNS = Number(process.env.RUNS ?? 40)
 const FIRST_SEED = Number(process.env.SEED ?? 1)
@@ -15,15 +15,15 @@
 const SPAN_MS = 1_000
 
 /** What may happen at the start of a second; several in a row may overlap. */
-const FAULTS: Record<string, (world: QuotaWorld, random: Random) => void> = {
+const FAULTS: Record<string, (simulation: QuotaSimulation, random: Random) => void> = {
   nothing: () => undefined,
-  'an entry is cut off': (world, random) => world.cut.add(drawEntry(random)),
-  'all links heal': (world) => world.cut.clear(),
-  'an entry starts anew': (world, random) => world.startEntry(drawEntry(random)),
-  'no leader is there': (world) => (world.leader = undefined),
-  'another leads': (world) => {
-    world.leader = `leader-${world.term}`
-    world.term += 1
+  'an entry is cut off': (simulation, random) => simulation.disconnected.add(drawEntry(random)),
+  'all links heal': (simulation) => simulation.disconnected.clear(),
+  'an entry starts anew': (simulation, random) => simulation.startEntry(drawEntry(random)),
+  'no leader is there': (simulation) => (simulation.leader = undefined),
+  'another leads': (simulation) => {
+    simulation.leader = `leader-${simulation.term}`
+    simulation.term += 1
   },
 }
 
@@ -51,20 +51,20 @@
 
 async function play(seed: number, names: string[]): Promise<{ most: number; faults: string[] }> {
   const random = createSeededRandom(seed)
-  const world = new QuotaWorld({ entries: ENTRIES, slack: SLACK })
-  world.workspaces.set('w', workspace('w', RATE))
+  const simulation = new QuotaSimulation({ entries: ENTRIES, slack: SLACK })
+  simulation.workspaces.set('w', workspace('w', RATE))
   const faults: string[] = []
   for (let span = 0; span < SPANS; span += 1) {
     const name = names[Math.floor(random() * names.length)]!
     faults.push(`${span} s ${name}`)
-    FAULTS[name]!(world, random)
+    FAULTS[name]!(simulation, random)
     const load = 0.3 + random() * 5
     const perSecond = () => (load * RATE) / UNITS
     // The same seed throughout: the traffic keeps to the same entries.
-    await runTraffic(world, { name: 'w', forMs: SPAN_MS, perSecond, units: UNITS, seed })
+    await runTraffic(simulation, { name: 'w', forMs: SPAN_MS, perSecond, units: UNITS, seed })
   }
-  world.stop()
-  return { most: world.mostInWindow(), faults }
+  simulation.stop()
+  return { most: simulation.mostInWindow(), faults }
 }
 
 describe.each(Object.entries(SETS))('a quota under %s', (_what, names) => {
--- a/request/quota/test/quotaWorld.ts
+++ b/request/quota/test/quotaSimulation.ts
@@ -1,25 +1,25 @@
 import { createSeededRandom, ManualClock, type Random } from '@forkstage/clock'
-import { QuotaKeeper, QuotaLedger, quotaLimit, type QuotaAnswer, type QuotaReport } from '../src'
+import { QuotaLimiter, QuotaLedger, quotaLimit, type QuotaAnswer, type QuotaReport } from '../src'
 
 /** A workspace as the world knows it. */
-export interface WorldWorkspace {
+export interface SimulatedWorkspace {
   name: string
   priority: number
   quota: { unit: 'tokens'; perSecond: number; burst: number; plainTokens: number }
 }
 
-/** Options of {@link QuotaWorld}. */
-export interface QuotaWorldOptions {
+/** Options of {@link QuotaSimulation}. */
+export interface QuotaSimulationOptions {
   entries: number
   /** One way between an entry and the leader. */
-  wayMs?: number
+  oneWayMs?: number
   /** Units by which a window may exceed the quota, beside a tenth of it. */
   slack?: number
 }
 
 export const WINDOW_MS = 8_000
 
-export function workspace(name: string, perSecond: number, burst = perSecond): WorldWorkspace {
+export function workspace(name: string, perSecond: number, burst = perSecond): SimulatedWorkspace {
   return { name, priority: 1, quota: { unit: 'tokens', perSecond, burst, plainTokens: 200 } }
 }
 
@@ -31,11 +31,11 @@
 }
 
 /** Entries and a leader on a clock that stands still, with links that may be cut. */
-export class QuotaWorld {
+export class QuotaSimulation {
   readonly clock = new ManualClock()
-  readonly keepers: QuotaKeeper[] = []
-  readonly cut = new Set<number>()
-  readonly workspaces = new Map<string, WorldWorkspace>()
+  readonly limiters: QuotaLimiter[] = []
+  readonly disconnected = new Set<number>()
+  readonly workspaces = new Map<string, SimulatedWorkspace>()
   readonly admitted: Admitted[] = []
   refused: Admitted[] = []
   reports = 0
@@ -43,11 +43,11 @@
   term = 1
   /** How many entries the leader has counted; all where not set. */
   counted: number | undefined
-  private lives = 0
+  private incarnations = 0
   private readonly random = createSeededRandom(11)
   readonly ledger: QuotaLedger
 
-  constructor(private readonly options: QuotaWorldOptions) {
+  constructor(private readonly options: QuotaSimulationOptions) {
     this.ledger = this.createLedger()
     for (let entry = 0; entry < options.entries; entry += 1) this.startEntry(entry)
   }
@@ -68,33 +68,33 @@
 
   /** Starts an entry, anew where it ran before: it has forgotten all. */
   startEntry(entry: number): void {
-    this.keepers[entry]?.stop()
-    const keeper = new QuotaKeeper({
+    this.limiters[entry]?.stop()
+    const limiter = new QuotaLimiter({
       entry: `e${entry}`,
-      life: `life-${(this.lives += 1)}`,
+      life: `life-${(this.incarnations += 1)}`,
       clock: this.clock,
       random: this.random,
-      report: (report) => this.carry(entry, report),
+      report: (report) => this.deliverReport(entry, report),
       leader: () => this.leader,
       entries: () => this.options.entries,
       windowMs: WINDOW_MS,
       reportEveryMs: 500,
     })
-    this.keepers[entry] = keeper
-    keeper.start()
+    this.limiters[entry] = limiter
+    limiter.start()
   }
 
   /** One request; the promise settles as time goes on. */
   async ask(entry: number, name: string, units: number): Promise<boolean> {
     const at = this.clock.now()
-    const verdict = await this.keepers[entry]!.admit(this.workspaces.get(name)!, units)
+    const verdict = await this.limiters[entry]!.admit(this.workspaces.get(name)!, units)
     const list = verdict.type === 'admitted' ? this.admitted : this.refused
     list.push({ at, entry, units })
     return verdict.type === 'admitted'
   }
 
   /** Lets time pass, in steps short enough for what waits on promises. */
-  async pass(forMs: number): Promise<void> {
+  async advance(forMs: number): Promise<void> {
     for (let passed = 0; passed < forMs; passed += 10) {
       await this.clock.advance(Math.min(10, forMs - passed))
       await settle()
@@ -113,20 +113,20 @@
   }
 
   stop(): void {
-    this.keepers.forEach((keeper) => keeper.stop())
+    this.limiters.forEach((limiter) => limiter.stop())
   }
 
-  private async carry(entry: number, report: QuotaReport): Promise<QuotaAnswer | undefined> {
-    const { wayMs = 2 } = this.options
+  private async deliverReport(entry: number, report: QuotaReport): Promise<QuotaAnswer | undefined> {
+    const { oneWayMs = 2 } = this.options
     this.reports += 1
-    if (!(await this.travel(entry, wayMs))) return undefined
-    const answer = this.ledger.take(structuredClone(report))
-    return (await this.travel(entry, wayMs)) ? answer : undefined
+    if (!(await this.transmit(entry, oneWayMs))) return undefined
+    const answer = this.ledger.applyReport(structuredClone(report))
+    return (await this.transmit(entry, oneWayMs)) ? answer : undefined
   }
 
-  private async travel(entry: number, wayMs: number): Promise<boolean> {
-    await new Promise<void>((resolve) => void this.clock.after(wayMs, resolve))
-    return !this.cut.has(entry) && this.leader !== undefined
+  private async transmit(entry: number, oneWayMs: number): Promise<boolean> {
+    await new Promise<void>((resolve) => void this.clock.after(oneWayMs, resolve))
+    return !this.disconnected.has(entry) && this.leader !== undefined
   }
 }
 
@@ -136,18 +136,18 @@
 
 /** Requests of one workspace that come by chance, most of them at a few entries. */
 export async function runTraffic(
-  world: QuotaWorld,
+  simulation: QuotaSimulation,
   options: { name: string; forMs: number; perSecond: (at: number) => number; units: number; seed: number },
 ): Promise<void> {
   const random = createSeededRandom(options.seed)
-  const weights = world.keepers.map(() => random() ** 4)
-  const from = world.clock.now()
+  const weights = simulation.limiters.map(() => random() ** 4)
+  const from = simulation.clock.now()
   const STEP_MS = 10
   for (let passed = 0; passed < options.forMs; passed += STEP_MS) {
-    const expected = (options.perSecond(world.clock.now() - from) * STEP_MS) / 1_000
+    const expected = (options.perSecond(simulation.clock.now() - from) * STEP_MS) / 1_000
     for (let count = drawCount(expected, random); count > 0; count -= 1)
-      void world.ask(drawEntry(weights, random), options.name, options.units * (0.5 + random()))
-    await world.pass(STEP_MS)
+      void simulation.ask(drawEntry(weights, random), options.name, options.units * (0.5 + random()))
+    await simulation.advance(STEP_MS)
   }
 }
 
--- a/request/relay/src/frameOrder.ts
+++ b/request/relay/src/frameReorderBuffer.ts
@@ -1,7 +1,7 @@
 import { assertInvariant } from '@forkstage/error'
 
 /** How far ahead of the next token a frame may arrive and still be kept. */
-const MOST_AHEAD = 1_024
+const MAX_TOKENS_AHEAD = 1_024
 
 /** One token of an answer. */
 export interface TokenFrame {
@@ -17,7 +17,7 @@
  * Puts the tokens of one answer in order: drops doubles and what a fenced attempt sends late, holds
  * what comes too early, and says when the answer is whole.
  */
-export class FrameOrder {
+export class FrameReorderBuffer {
   private readonly tokens: string[] = []
   private readonly early = new Map<number, string>()
   private epoch = 0
@@ -25,12 +25,12 @@
   readonly counts: Record<FrameVerdict, number> = { taken: 0, held: 0, double: 0, fenced: 0, 'too-far': 0 }
 
   /** The number of the next token that is missing. */
-  get next(): number {
+  get nextSeq(): number {
     return this.tokens.length
   }
 
   /** Whether every token up to the announced end is there. */
-  get whole(): boolean {
+  get isComplete(): boolean {
     return this.length !== undefined && this.tokens.length === this.length
   }
 
@@ -53,8 +53,8 @@
     this.length = undefined
   }
 
-  take(frame: TokenFrame): FrameVerdict {
-    const verdict = this.judge(frame)
+  push(frame: TokenFrame): FrameVerdict {
+    const verdict = this.classify(frame)
     this.counts[verdict] += 1
     if (verdict === 'held') this.early.set(frame.seq, frame.text)
     if (verdict === 'taken') this.append(frame.text)
@@ -62,7 +62,7 @@
   }
 
   /** Notes the announced length. @returns false where the announcement is fenced. */
-  takeEnd(epoch: number, length: number): boolean {
+  setEnd(epoch: number, length: number): boolean {
     if (epoch !== this.epoch) return false
     assertInvariant(
       length >= this.tokens.length,
@@ -73,17 +73,17 @@
     return true
   }
 
-  private judge(frame: TokenFrame): FrameVerdict {
+  private classify(frame: TokenFrame): FrameVerdict {
     if (frame.epoch !== this.epoch) return 'fenced'
     if (frame.seq < this.tokens.length || this.early.has(frame.seq)) return 'double'
     if (frame.seq === this.tokens.length) return 'taken'
-    return frame.seq > this.tokens.length + MOST_AHEAD ? 'too-far' : 'held'
+    return frame.seq > this.tokens.length + MAX_TOKENS_AHEAD ? 'too-far' : 'held'
   }
 
   private append(text: string): void {
     this.tokens.push(text)
-    for (let next = this.early.get(this.next); next !== undefined; next = this.early.get(this.next)) {
-      this.early.delete(this.next)
+    for (let next = this.early.get(this.nextSeq); next !== undefined; next = this.early.get(this.nextSeq)) {
+      this.early.delete(this.nextSeq)
       this.tokens.push(next)
     }
   }
--- a/request/relay/src/index.ts
+++ b/request/relay/src/index.ts
@@ -1,3 +1,3 @@
 /** The order of a stream's frames. */
-export { FrameOrder } from './frameOrder'
-export type { FrameVerdict, TokenFrame } from './frameOrder'
+export { FrameReorderBuffer } from './frameReorderBuffer'
+export type { FrameVerdict, TokenFrame } from './frameReorderBuffer'
--- a/request/runner/src/answerSource.ts
+++ b/request/runner/src/answerSource.ts
@@ -14,11 +14,11 @@
   /** Waits for tokens after the first `from`, or the end. */
   next(from: number): Promise<AnswerPart>
   /** The caller is gone. */
-  leave(): void
+  close(): void
 }
 
 /** Follows a run on this box. */
-export function followRun(run: ModelRun, onLeave: () => void): AnswerSource {
+export function followRun(run: ModelRun, onClose: () => void): AnswerSource {
   let wake = () => undefined as void
   const unlisten = run.listen(() => wake())
   const read = (from: number): AnswerPart => ({ tokens: run.tokensFrom(from), end: run.end })
@@ -31,10 +31,10 @@
         await new Promise<void>((resolve) => (wake = resolve))
       }
     },
-    leave() {
+    close() {
       unlisten()
       wake()
-      onLeave()
+      onClose()
     },
   }
 }
@@ -45,6 +45,6 @@
   return {
     request,
     next: (from) => Promise.resolve({ tokens: tokens.slice(from), end }),
-    leave: () => undefined,
+    close: () => undefined,
   }
 }
--- a/request/runner/src/choosePlainEndpoint.ts
+++ b/request/runner/src/choosePlainEndpoint.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@forkstage/clock'
-import type { EndpointBook } from '@forkstage/load'
+import type { EndpointTracker } from '@forkstage/load'
 import type { Logger } from '@forkstage/logger'
 import type { EndpointRow, RequestId } from '@forkstage/types'
 
@@ -12,7 +12,7 @@
 
 /** Options of {@link choosePlainEndpoint}. */
 export interface ChoosePlainOptions {
-  book: EndpointBook
+  tracker: EndpointTracker
   clock: Clock
   logger: Logger
   random: () => number
@@ -24,12 +24,12 @@
   options: ChoosePlainOptions,
   tried: EndpointRow[],
 ): EndpointRow | undefined {
-  const { book, random, logger } = options
-  const rows = book.rows.filter((row) => row.service === call.service && row.pool === 'plain')
+  const { tracker, random, logger } = options
+  const rows = tracker.rows.filter((row) => row.service === call.service && row.pool === 'plain')
   const weighed = rows.map((row) => ({
     row,
-    closed: tried.includes(row) ? 'tried' : book.closedReason(row.endpoint),
-    load: (book.inFlight(row.endpoint) + random()) / Math.max(row.weight, Number.MIN_VALUE),
+    closed: tried.includes(row) ? 'tried' : tracker.closedReason(row.endpoint),
+    load: (tracker.inFlight(row.endpoint) + random()) / Math.max(row.weight, Number.MIN_VALUE),
   }))
   const open = weighed.filter((each) => each.closed === undefined)
   open.sort((left, right) => left.load - right.load)
--- a/request/runner/src/engineSteps.ts
+++ b/request/runner/src/engineSteps.ts
@@ -28,10 +28,10 @@
   async reserve(effect: Effect<'reserve'>): Promise<void> {
     const { attempt, epoch, endpoint, tokens, leaseMs } = effect
     const { id, emit } = this.options
-    const { book, engines } = this.options.parts
+    const { tracker, engines } = this.options.parts
     const row = this.findRow(endpoint, attempt, 'reserve')
     if (row === undefined) return
-    book.noteSent(endpoint, id, { promptTokens: 0, prefillTokens: 0, kvTokens: tokens }, [])
+    tracker.recordSent(endpoint, id, { promptTokens: 0, prefillTokens: 0, kvTokens: tokens }, [])
     try {
       await engines.reserve(row, { request: id, epoch }, tokens, leaseMs)
       emit({ type: 'reserved', attempt })
@@ -43,21 +43,21 @@
   async prefill(effect: Effect<'prefill'>): Promise<void> {
     const { attempt, epoch, endpoint } = effect
     const { id, model, state, emit, parts } = this.options
-    const { book, engines, meters, stories, engineStepMs } = parts
+    const { tracker, engines, metrics, traces, engineStepMs } = parts
     const row = this.findRow(endpoint, attempt, 'prefill')
     if (row === undefined) return
     const { promptTokens, blocks } = model
     const isLocal = endpoint === state.placement!.decode
     const kvTokens = isLocal ? state.placement!.reserveTokens : promptTokens
-    const prefillTokens = Math.max(1, promptTokens - book.cachedTokens(endpoint, blocks))
-    book.noteSent(endpoint, id, { promptTokens, prefillTokens, kvTokens }, blocks)
+    const prefillTokens = Math.max(1, promptTokens - tracker.cachedTokens(endpoint, blocks))
+    tracker.recordSent(endpoint, id, { promptTokens, prefillTokens, kvTokens }, blocks)
     try {
       const result = await engines.prefill(row, { request: id, epoch }, this.enginePrompt(), engineStepMs)
       const freshTokens = promptTokens - result.cachedTokens
-      meters.notePrefilled(freshTokens)
-      book.notePrefilled(endpoint, id)
-      book.noteResult(endpoint, undefined)
-      stories.tell(id, 'prefilled', { endpoint, freshTokens, cachedTokens: result.cachedTokens })
+      metrics.recordPrefilled(freshTokens)
+      tracker.recordPrefilled(endpoint, id)
+      tracker.recordResult(endpoint, undefined)
+      traces.record(id, 'prefilled', { endpoint, freshTokens, cachedTokens: result.cachedTokens })
       emit({ type: 'prefilled', attempt, freshTokens, keepMs: result.keepMs })
     } catch (error) {
       this.failStep(endpoint, attempt, 'prefill', error as EndpointError)
@@ -67,17 +67,17 @@
   decode(effect: Effect<'decode'>): void {
     const { attempt, epoch, placement } = effect
     const { id, model, parts, emit } = this.options
-    const { book, engines } = parts
-    const row = book.row(placement.decode)
+    const { tracker, engines } = parts
+    const row = tracker.row(placement.decode)
     if (row === undefined)
       return emit({ type: 'streamClosed', attempt, reason: 'the endpoint left the table', notRun: true })
-    const prefillRow = book.row(placement.prefill)
+    const prefillRow = tracker.row(placement.prefill)
     const isLocal = placement.prefill === placement.decode
     const source =
       isLocal || prefillRow === undefined
         ? undefined
         : { endpoint: placement.prefill, address: prefillRow.address, link: placement.link }
-    if (!isLocal) book.noteTransfer(placement.link, id, placement.kvBytes)
+    if (!isLocal) tracker.recordTransfer(placement.link, id, placement.kvBytes)
     const { maxTokens, seed } = model
     const { kvBytes, linkBytesPerMs } = placement
     const order = { prompt: this.enginePrompt(), maxTokens, seed, source, kvBytes, linkBytesPerMs }
@@ -88,18 +88,18 @@
   resume(effect: Effect<'resume'>): void {
     const { attempt, epoch, endpoint, from } = effect
     const { id, parts, emit } = this.options
-    const row = parts.book.row(endpoint)
+    const row = parts.tracker.row(endpoint)
     if (row === undefined)
       return emit({ type: 'streamClosed', attempt, reason: 'the endpoint left the table', notRun: false })
-    parts.stories.tell(id, 'resume', { endpoint, from })
+    parts.traces.record(id, 'resume', { endpoint, from })
     this.close()
     this.stream = parts.engines.resume(row, { request: id, epoch }, from, this.listener(attempt))
   }
 
   release({ endpoint, epoch }: Effect<'release'>): void {
     const { id, parts } = this.options
-    parts.stories.tell(id, 'release', { endpoint })
-    parts.book.noteEnded(endpoint, id)
+    parts.traces.record(id, 'release', { endpoint })
+    parts.tracker.recordEnded(endpoint, id)
     parts.releases.release(endpoint, { request: id, epoch })
   }
 
@@ -119,7 +119,7 @@
         const reason = error?.reason ?? 'the stream ended early'
         const at = state.placement?.decode
         if (error?.rest.type === 'rest' && at !== undefined)
-          parts.book.noteRefused(at, error.rest, id, reason)
+          parts.tracker.recordRefusal(at, error.rest, id, reason)
         emit({ type: 'streamClosed', attempt, reason, notRun: error?.notRun ?? false })
       },
     }
@@ -130,8 +130,8 @@
     this.lastTokenAt = parts.clock.now()
     const { placement } = state
     if (state.firstTokenAt !== undefined || placement === undefined) return
-    parts.book.noteTransfer(placement.link, id, 0)
-    if (placement.prefill !== placement.decode) parts.book.noteEnded(placement.prefill, id)
+    parts.tracker.recordTransfer(placement.link, id, 0)
+    if (placement.prefill !== placement.decode) parts.tracker.recordEnded(placement.prefill, id)
   }
 
   private findRow(
@@ -139,7 +139,7 @@
     attempt: number,
     step: 'reserve' | 'prefill',
   ): EndpointRow | undefined {
-    const row = this.options.parts.book.row(endpoint)
+    const row = this.options.parts.tracker.row(endpoint)
     const reason = 'the endpoint left the table'
     if (row === undefined)
       this.options.emit({ type: 'stepFailed', step, attempt, endpoint, reason, notRun: true })
@@ -154,8 +154,8 @@
   ): void {
     const { id, parts, emit } = this.options
     const { reason, notRun } = error
-    parts.book.noteRefused(endpoint, error.rest, id, reason)
-    parts.stories.tell(id, 'failed', { step, endpoint, reason, notRun })
+    parts.tracker.recordRefusal(endpoint, error.rest, id, reason)
+    parts.traces.record(id, 'failed', { step, endpoint, reason, notRun })
     parts.logger.warn('request.failed', { request: id, attempt, ...toErrorBody(error) })
     emit({ type: 'stepFailed', step, attempt, endpoint, reason, notRun })
   }
--- a/request/runner/src/forwardHeaders.ts
+++ b/request/runner/src/forwardHeaders.ts
@@ -13,7 +13,7 @@
 const NOT_FORWARDED = new Set(['authorization', 'host', 'content-length', 'expect'])
 
 /** The headers that are passed on: none that belong to one connection, to the router, or that `connection` names. */
-export function forwardable(
+export function forwardableHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string | string[]> {
   const named = String(headers.connection ?? '')
@@ -29,7 +29,7 @@
 }
 
 /** Headers with one value each, as the journal keeps them. */
-export function singleValued(headers: Record<string, string | string[]>): Record<string, string> {
+export function joinHeaderValues(headers: Record<string, string | string[]>): Record<string, string> {
   return Object.fromEntries(
     Object.entries(headers).map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : value]),
   )
--- a/request/runner/src/modelRun.ts
+++ b/request/runner/src/modelRun.ts
@@ -12,10 +12,10 @@
 import type { PlaceResult } from '@forkstage/place'
 import type { EndpointName, RequestId } from '@forkstage/types'
 import { EngineSteps } from './engineSteps'
-import { measureRun } from './measureRun'
+import { recordRunEnd } from './recordRunEnd'
 import type { ModelRequest } from './modelRequest'
 import { createOutcome } from './outcome'
-import { rounded } from './placer'
+import { roundFigures } from './placer'
 import type { RunParts } from './runParts'
 
 /** What the caller of a run that was superseded needs to know. */
@@ -65,7 +65,7 @@
 
   start(): void {
     const { key, service, model, promptTokens } = this.model
-    this.parts.stories.tell(this.id, 'received', {
+    this.parts.traces.record(this.id, 'received', {
       key,
       service,
       model,
@@ -80,7 +80,7 @@
     this.claimEpoch = epoch
     this.step({ type: 'claimed', epoch })
     const { decode } = claim
-    const reachable = decode !== undefined && this.parts.book.row(decode.endpoint) !== undefined
+    const reachable = decode !== undefined && this.parts.tracker.row(decode.endpoint) !== undefined
     if (reachable) this.step({ type: 'adopt', endpoint: decode.endpoint })
     else this.step({ type: 'start' })
   }
@@ -145,21 +145,21 @@
   }
 
   private async claim(): Promise<void> {
-    const { journal, stories, logger } = this.parts
+    const { journal, traces, logger } = this.parts
     const { key, bodyDigest } = this.model
     try {
       const result = await journal.claim(key, bodyDigest, this.id, true)
-      stories.tell(this.id, 'claim', { outcome: result.type })
+      traces.record(this.id, 'claim', { outcome: result.type })
       const epoch = result.type === 'new' ? result.epoch : 0
       logger.info('request.claimed', { request: this.id, outcome: result.type, epoch })
-      this.takeClaim(result)
+      this.applyClaimResult(result)
     } catch (error) {
-      stories.tell(this.id, 'claim', { failed: (error as Error).message })
+      traces.record(this.id, 'claim', { failed: (error as Error).message })
       this.step({ type: 'claimFailed', reason: 'the journal cannot be reached' })
     }
   }
 
-  private takeClaim(result: JournalResult): void {
+  private applyClaimResult(result: JournalResult): void {
     if (result.type === 'new') return this.step({ type: 'claimed', epoch: result.epoch })
     if (result.type === 'full') return this.step({ type: 'claimFailed', reason: 'the journal is full' })
     if (result.type === 'running' || result.type === 'done' || result.type === 'mismatch')
@@ -169,7 +169,7 @@
 
   private place(effect: Extract<RequestEffect, { type: 'place' }>): void {
     const { attempt, avoid, waited, keepPrefill } = effect
-    const answer = (result: PlaceResult | 'retry-budget') => this.takePlacement(attempt, result)
+    const answer = (result: PlaceResult | 'retry-budget') => this.applyPlacement(attempt, result)
     this.parts.placer.ask({
       request: this.id,
       model: this.model,
@@ -181,18 +181,18 @@
     })
   }
 
-  private takePlacement(attempt: number, result: PlaceResult | 'retry-budget'): void {
-    const { stories, book, ttftTarget } = this.parts
+  private applyPlacement(attempt: number, result: PlaceResult | 'retry-budget'): void {
+    const { traces, tracker, ttftTarget } = this.parts
     if (result === 'retry-budget') {
       return this.step({ type: 'refused', attempt, reason: 'retry-budget', retryAfter: ttftTarget })
     }
     if (result.type === 'refused') {
       const { reason, retryAfter, closed } = result
-      stories.tell(this.id, 'refused by placement', { reason, closed })
+      traces.record(this.id, 'refused by placement', { reason, closed })
       return this.step({ type: 'refused', attempt, reason, retryAfter })
     }
-    stories.tell(this.id, 'placed', { attempt, ...rounded(result.figures) })
-    const deterministic = book.isDeterministic(result.decode)
+    traces.record(this.id, 'placed', { attempt, ...roundFigures(result.figures) })
+    const deterministic = tracker.isDeterministic(result.decode)
     this.step({ type: 'placed', attempt, placement: result, deterministic })
   }
 
@@ -204,8 +204,8 @@
   }
 
   private noteWasted({ tokens, cause, endpoint }: Extract<RequestEffect, { type: 'wasted' }>): void {
-    this.parts.meters.noteWasted(tokens, cause)
-    this.parts.stories.tell(this.id, 'prefill wasted', { endpoint, tokens, cause })
+    this.parts.metrics.recordWasted(tokens, cause)
+    this.parts.traces.record(this.id, 'prefill wasted', { endpoint, tokens, cause })
   }
 
   private finish(end: RequestEnd): void {
@@ -213,22 +213,22 @@
     this.cancelTicks()
     this.steps.close()
     this.parts.placer.forget(this.id)
-    this.leaveBook(end)
+    this.clearEndpointLoad(end)
     void this.settle(end)
-    measureRun(this.state, this.model, end, this.steps.lastTokenAt, this.parts)
+    recordRunEnd(this.state, this.model, end, this.steps.lastTokenAt, this.parts)
     this.listeners.forEach((listener) => listener())
     this.parts.placer.drain()
   }
 
-  private leaveBook(end: RequestEnd): void {
+  private clearEndpointLoad(end: RequestEnd): void {
     const { placement } = this.state
-    const { book } = this.parts
-    if (end.type === 'failed' && end.peer !== undefined) book.noteResult(end.peer, end.reason)
+    const { tracker } = this.parts
+    if (end.type === 'failed' && end.peer !== undefined) tracker.recordResult(end.peer, end.reason)
     if (placement === undefined) return
-    book.noteTransfer(placement.link, this.id, 0)
-    book.noteEnded(placement.prefill, this.id)
-    book.noteEnded(placement.decode, this.id)
-    if (end.type === 'answered') book.noteResult(placement.decode, undefined)
+    tracker.recordTransfer(placement.link, this.id, 0)
+    tracker.recordEnded(placement.prefill, this.id)
+    tracker.recordEnded(placement.decode, this.id)
+    if (end.type === 'answered') tracker.recordResult(placement.decode, undefined)
   }
 
   /** Writes the outcome to the journal, or gives the key up where the request may simply run again. */
--- a/request/runner/src/placer.ts
+++ b/request/runner/src/placer.ts
@@ -1,5 +1,5 @@
 import type { Clock, Random } from '@forkstage/clock'
-import type { EndpointBook, OutputForecast, RetryBudget } from '@forkstage/load'
+import type { EndpointTracker, OutputForecast, RetryBudget } from '@forkstage/load'
 import type { Logger } from '@forkstage/logger'
 import {
   createBaselineState,
@@ -13,10 +13,10 @@
 import { FairQueue, type QueueItem } from '@forkstage/queue'
 import type { EndpointName, Millis, RequestId } from '@forkstage/types'
 import type { ModelRequest } from './modelRequest'
-import type { RequestMeters } from './requestMeters'
+import type { RequestMetrics } from './requestMetrics'
 
 /** What a run asks of placement. */
-export interface PlaceQuestion {
+export interface PlacementQuery {
   request: RequestId
   model: ModelRequest
   attempt: number
@@ -27,13 +27,13 @@
 }
 
 interface Waiting extends QueueItem {
-  question: PlaceQuestion
+  query: PlacementQuery
   since: Millis
 }
 
 /** Options of {@link Placer}. */
 export interface PlacerOptions {
-  book: EndpointBook
+  tracker: EndpointTracker
   policyName: 'forkstage' | BaselineName
   policy: PlacePolicy
   forecast: OutputForecast
@@ -41,9 +41,9 @@
   clock: Clock
   random: Random
   logger: Logger
-  meters: RequestMeters
+  metrics: RequestMetrics
   /** Asks for more credits at once. */
-  wantCredits: () => void
+  requestCredits: () => void
 }
 
 /** Requests that may wait here at most; beyond, they are refused at once. */
@@ -62,19 +62,18 @@
   }
 
   /** Answers by the question's own callback: at once, or when there is room, or when it is too late. */
-  ask(question: PlaceQuestion): void {
-    if (question.attempt > 0 && !this.takeRetry()) return question.answer('retry-budget')
-    if (question.attempt === 0) this.options.budget.noteFirstTry()
+  ask(query: PlacementQuery): void {
+    if (query.attempt > 0 && !this.consumeRetry()) return query.answer('retry-budget')
+    if (query.attempt === 0) this.options.budget.recordFirstTry()
     // Whoever waits already goes first, unless this request goes on with a prefill that is kept.
-    const mustQueue = this.queue.length > 0 && question.keepPrefill === undefined
-    if (mustQueue) return this.enqueue(question)
-    this.decide(question, () => this.enqueue(question))
+    const mustQueue = this.queue.length > 0 && query.keepPrefill === undefined
+    if (mustQueue) return this.enqueue(query)
+    this.decide(query, () => this.enqueue(query))
   }
 
   /** Drops a question whose request has ended. */
   forget(request: RequestId): void {
-    for (const item of this.queue.items())
-      if (item.question.request === request) this.queue.remove(item, false)
+    for (const item of this.queue.items()) if (item.query.request === request) this.queue.remove(item, false)
   }
 
   /** Tries those that wait again, in fair order, until one finds no room. */
@@ -84,10 +83,10 @@
     this.refuseLate()
     for (let item = this.queue.peek(); item !== undefined; item = this.queue.peek()) {
       let stuck = false
-      const { question, since } = item
-      const waited = question.waited + this.options.clock.now() - since
+      const { query, since } = item
+      const waited = query.waited + this.options.clock.now() - since
       this.decide(
-        { ...question, waited, answer: (result) => this.answerWaiting(item!, result) },
+        { ...query, waited, answer: (result) => this.answerWaiting(item!, result) },
         () => void (stuck = true),
       )
       if (stuck) break
@@ -97,27 +96,27 @@
 
   private answerWaiting(item: Waiting, result: PlaceResult | 'retry-budget'): void {
     this.queue.remove(item, result !== 'retry-budget' && result.type === 'placed')
-    item.question.answer(result)
+    item.query.answer(result)
   }
 
-  private decide(question: PlaceQuestion, wait: () => void): void {
-    const result = this.place(question)
-    if (result.type === 'refused' && result.reason === 'no-credit') this.options.wantCredits()
-    const mayWait = result.type === 'refused' && result.mayWait && question.waited < question.model.ttftMs
+  private decide(query: PlacementQuery, wait: () => void): void {
+    const result = this.place(query)
+    if (result.type === 'refused' && result.reason === 'no-credit') this.options.requestCredits()
+    const mayWait = result.type === 'refused' && result.mayWait && query.waited < query.model.ttftMs
     if (mayWait) return wait()
-    this.log(question, result)
-    question.answer(result)
+    this.log(query, result)
+    query.answer(result)
   }
 
-  private enqueue(question: PlaceQuestion): void {
+  private enqueue(query: PlacementQuery): void {
     const { clock } = this.options
     if (this.queue.length >= MAX_WAITING) {
-      const result = refuseTooLate(question)
-      this.log(question, result)
-      return question.answer(result)
+      const result = refuseTooLate(query)
+      this.log(query, result)
+      return query.answer(result)
     }
-    const { workspace, priority, promptTokens } = question.model
-    this.queue.push({ workspace, priority, cost: promptTokens, question, since: clock.now() })
+    const { workspace, priority, promptTokens } = query.model
+    this.queue.push({ workspace, priority, cost: promptTokens, query, since: clock.now() })
     if (this.queue.length > 1) this.drain()
   }
 
@@ -125,33 +124,33 @@
   private refuseLate(): void {
     const now = this.options.clock.now()
     for (const item of this.queue.items()) {
-      const { question, since } = item
-      const waited = question.waited + now - since
-      if (waited < question.model.ttftMs) continue
-      const result = refuseTooLate(question)
-      this.log(question, result)
+      const { query, since } = item
+      const waited = query.waited + now - since
+      if (waited < query.model.ttftMs) continue
+      const result = refuseTooLate(query)
+      this.log(query, result)
       this.answerWaiting(item, result)
     }
   }
 
-  private place(question: PlaceQuestion): PlaceResult {
-    const { book, policyName, policy, random } = this.options
-    const request = this.toPlaceRequest(question)
-    const view = book.view(question.model.blocks)
-    const { keepPrefill } = question
+  private place(query: PlacementQuery): PlaceResult {
+    const { tracker, policyName, policy, random } = this.options
+    const request = this.toPlaceRequest(query)
+    const view = tracker.view(query.model.blocks)
+    const { keepPrefill } = query
     if (keepPrefill !== undefined)
       view.endpoints = view.endpoints
         .map((each) => reopenKept(each, keepPrefill))
         .filter((each) => each.row.pool !== 'prefill' || each.row.endpoint === keepPrefill)
-    const targeted = { ...policy, ttftTarget: question.model.ttftMs }
+    const targeted = { ...policy, ttftTarget: query.model.ttftMs }
     if (policyName !== 'forkstage') return placeByBaseline(policyName, request, view, targeted, this.baseline)
     // A retry has spent its time already: it goes ahead late rather than throwing away what was done.
-    const parts = question.attempt > 0 ? { ...policy.parts, refuseLate: false } : policy.parts
+    const parts = query.attempt > 0 ? { ...policy.parts, refuseLate: false } : policy.parts
     return place(request, view, { policy: { ...targeted, parts }, random })
   }
 
-  private toPlaceRequest(question: PlaceQuestion): PlaceRequest {
-    const { model, request, waited, avoid } = question
+  private toPlaceRequest(query: PlacementQuery): PlaceRequest {
+    const { model, request, waited, avoid } = query
     const expectedOutput = this.options.forecast.expect(
       `${model.service}/${model.className}`,
       model.maxTokens,
@@ -169,14 +168,14 @@
     }
   }
 
-  private takeRetry(): boolean {
-    const granted = this.options.budget.take()
-    this.options.meters.noteRetry(granted)
+  private consumeRetry(): boolean {
+    const granted = this.options.budget.tryConsume()
+    this.options.metrics.recordRetry(granted)
     return granted
   }
 
-  private log(question: PlaceQuestion, result: PlaceResult): void {
-    const { request, model } = question
+  private log(query: PlacementQuery, result: PlaceResult): void {
+    const { request, model } = query
     const placed = result.type === 'placed'
     this.options.logger.info('placement.decided', {
       request,
@@ -185,16 +184,16 @@
       outcome: result.type,
       reason: placed ? 'lowest cost' : result.reason,
       choice: placed
-        ? rounded(result.figures)
+        ? roundFigures(result.figures)
         : { retryAfter: Math.round(result.retryAfter), closed: result.closed },
-      candidates: result.candidates.map(rounded),
+      candidates: result.candidates.map(roundFigures),
     })
   }
 }
 
 /** No room within the caller's target. */
-function refuseTooLate(question: PlaceQuestion): PlaceResult {
-  const retryAfter = question.model.ttftMs
+function refuseTooLate(query: PlacementQuery): PlaceResult {
+  const retryAfter = query.model.ttftMs
   return { type: 'refused', reason: 'too-late', retryAfter, mayWait: false, candidates: [], closed: [] }
 }
 
@@ -206,7 +205,7 @@
 }
 
 /** Figures as a log line shows them. */
-export function rounded(figures: object): Record<string, unknown> {
+export function roundFigures(figures: object): Record<string, unknown> {
   const entries = Object.entries(figures).map(([name, value]) => [
     name,
     typeof value === 'number' ? Math.round(value * 100) / 100 : value,
--- a/request/runner/src/plainCall.ts
+++ b/request/runner/src/plainCalls.ts
@@ -5,15 +5,15 @@
 import type { JournalClient, JournalResult, Outcome } from '@forkstage/claims'
 import { delay, type Clock } from '@forkstage/clock'
 import { neverConnected, NOT_RUN_HEADER, NOT_RUN_VALUE } from '@forkstage/engine-client'
-import type { EndpointBook } from '@forkstage/load'
+import type { EndpointTracker } from '@forkstage/load'
 import type { Logger } from '@forkstage/logger'
 import { flatFields, readRest, type Rest } from '@forkstage/statements'
 import type { EndpointRow, Millis, RequestId, RequestKey } from '@forkstage/types'
 import { AnswerError, KeyReusedError, MayHaveRunError, OutcomeNotKeptError } from './answerErrors'
 import { createOutcome } from './outcome'
 import { choosePlainEndpoint } from './choosePlainEndpoint'
-import { forwardable, singleValued } from './forwardHeaders'
-import type { StoryBook } from './storyBook'
+import { forwardableHeaders, joinHeaderValues } from './forwardHeaders'
+import type { TraceStore } from './traceStore'
 
 /** A call to a plain service that has been read and checked. */
 export interface PlainRequest {
@@ -36,24 +36,24 @@
 /** What plain calls need from their box. */
 export interface PlainParts {
   journal: JournalClient
-  book: EndpointBook
-  stories: StoryBook
+  tracker: EndpointTracker
+  traces: TraceStore
   clock: Clock
   logger: Logger
   outcomeBytes: number
   random: () => number
   /** Asks the owners of endpoints for more shares at once. */
-  wantCredits: () => void
+  requestCredits: () => void
 }
 
 /** Endpoints tried for a call that may be repeated. */
-const MOST_TRIES = 3
+const MAX_TRIES = 3
 /**
  * The longest wait for a share of an endpoint: other boxes give back what they do not use when they renew, which those
  * without work do each second.
  */
 const SHARE_WAIT_MS = 1_500
-const SHARE_LOOK_MS = 10
+const SHARE_POLL_MS = 10
 
 /** Sends plain calls: at most once where they may not be repeated. */
 export class PlainCalls {
@@ -64,30 +64,30 @@
     bodyTimeout: 0,
     headersTimeout: 0,
   })
-  private active = 0
-  private waitingForShare = 0
+  private runningCount = 0
+  private waitingForShareCount = 0
 
   constructor(private readonly parts: PlainParts) {}
 
   /** Calls that are under way. */
   get running(): number {
-    return this.active
+    return this.runningCount
   }
 
   /** Calls that wait for a share of an endpoint of their service. */
   get waiting(): number {
-    return this.waitingForShare
+    return this.waitingForShareCount
   }
 
   /** Serves a call. @throws AnswerError where no answer of the service can be given. */
   async serve(call: PlainRequest, response: ServerResponse): Promise<void> {
-    this.active += 1
+    this.runningCount += 1
     try {
       const epoch = call.key === undefined ? undefined : await this.claim(call.key, call, response)
       if (epoch === 'replayed') return
       await this.run(call, response, epoch)
     } finally {
-      this.active -= 1
+      this.runningCount -= 1
     }
   }
 
@@ -107,11 +107,11 @@
         const message = 'The request could not be claimed.'
         throw notRun('FORKSTAGE_JOURNAL_UNAVAILABLE', message, 503, { cause: error })
       })
-    this.parts.stories.tell(call.request, 'claim', { outcome: result.type })
-    return this.takeClaim(result, call, response)
+    this.parts.traces.record(call.request, 'claim', { outcome: result.type })
+    return this.applyClaimResult(result, call, response)
   }
 
-  private async takeClaim(
+  private async applyClaimResult(
     result: JournalResult,
     call: PlainRequest,
     response: ServerResponse,
@@ -137,57 +137,57 @@
     epoch: number,
     response: ServerResponse,
   ): Promise<number | 'replayed'> {
-    return this.takeClaim(await this.parts.journal.takeOver(call.key!, epoch), call, response)
+    return this.applyClaimResult(await this.parts.journal.takeOver(call.key!, epoch), call, response)
   }
 
   private async run(call: PlainRequest, response: ServerResponse, epoch: number | undefined): Promise<void> {
     const tried: EndpointRow[] = []
     for (;;) {
-      await this.untilShare(call, tried)
+      await this.waitForShare(call, tried)
       const row = choosePlainEndpoint(call, this.parts, tried)
       if (row === undefined) {
         await this.forget(call, epoch)
-        throw this.noEndpoint(call)
+        throw this.noEndpointError(call)
       }
       tried.push(row)
       const failure = await this.dispatch(call, row, response, epoch)
       if (failure === undefined) return
-      const mayRetry = call.repeatable && isReplayable(call.body) && tried.length < MOST_TRIES
-      if (!mayRetry) throw await this.failed(call, row, failure, epoch)
+      const mayRetry = call.repeatable && isReplayable(call.body) && tried.length < MAX_TRIES
+      if (!mayRetry) throw await this.endFailed(call, row, failure, epoch)
     }
   }
 
-  private noEndpoint({ service }: PlainRequest): AnswerError {
-    const { book } = this.parts
-    const names = book.rows
+  private noEndpointError({ service }: PlainRequest): AnswerError {
+    const { tracker } = this.parts
+    const names = tracker.rows
       .filter((row) => row.service === service && row.pool === 'plain')
       .map(({ endpoint }) => endpoint)
     const message = `No endpoint of ${service} takes calls now.`
-    return notRun('FORKSTAGE_NO_ENDPOINT', message, 503, { retryAfterMs: book.restLeft(names) })
+    return notRun('FORKSTAGE_NO_ENDPOINT', message, 503, { retryAfterMs: tracker.restLeftMs(names) })
   }
 
   /**
    * Waits where endpoints would take the call but this box has no share of any: a box that has just started, or has
    * been idle, may hold none of a small pool.
    */
-  private async untilShare(call: PlainRequest, tried: EndpointRow[]): Promise<void> {
-    const { clock, wantCredits } = this.parts
+  private async waitForShare(call: PlainRequest, tried: EndpointRow[]): Promise<void> {
+    const { clock, requestCredits } = this.parts
     const end = clock.now() + Math.min(SHARE_WAIT_MS, call.deadlineMs / 2)
     const lacksShare = () => this.lacksOnlyShare(call, tried)
     if (!lacksShare()) return
-    this.waitingForShare += 1
+    this.waitingForShareCount += 1
     try {
-      for (; lacksShare() && clock.now() < end; await delay(clock, SHARE_LOOK_MS)) wantCredits()
+      for (; lacksShare() && clock.now() < end; await delay(clock, SHARE_POLL_MS)) requestCredits()
     } finally {
-      this.waitingForShare -= 1
+      this.waitingForShareCount -= 1
     }
   }
 
   private lacksOnlyShare(call: PlainRequest, tried: EndpointRow[]): boolean {
-    const { book } = this.parts
-    const closed = book.rows
+    const { tracker } = this.parts
+    const closed = tracker.rows
       .filter((row) => row.service === call.service && row.pool === 'plain' && !tried.includes(row))
-      .map((row) => book.closedReason(row.endpoint))
+      .map((row) => tracker.closedReason(row.endpoint))
     return !closed.includes(undefined) && closed.includes('no-credit')
   }
 
@@ -198,32 +198,32 @@
     response: ServerResponse,
     epoch: number | undefined,
   ): Promise<DispatchFailure | undefined> {
-    const { book, stories } = this.parts
-    book.noteSent(row.endpoint, call.request, { promptTokens: 0, prefillTokens: 0, kvTokens: 0 }, [])
-    stories.tell(call.request, 'dispatch', { endpoint: row.endpoint, method: call.method, path: call.path })
+    const { tracker, traces } = this.parts
+    tracker.recordSent(row.endpoint, call.request, { promptTokens: 0, prefillTokens: 0, kvTokens: 0 }, [])
+    traces.record(call.request, 'dispatch', { endpoint: row.endpoint, method: call.method, path: call.path })
     try {
       const answer = await this.send(call, row)
       const refused = answer.headers[NOT_RUN_HEADER] === NOT_RUN_VALUE && answer.statusCode >= 400
       if (refused) {
         await answer.body.dump()
-        book.noteRefused(row.endpoint, restOf(answer), call.request, 'refused')
+        tracker.recordRefusal(row.endpoint, restOf(answer), call.request, 'refused')
         return { notRun: true, reason: `refused with status ${answer.statusCode}` }
       }
       await this.relay(call, answer, response, epoch)
-      book.noteResult(row.endpoint, undefined)
+      tracker.recordResult(row.endpoint, undefined)
       return undefined
     } catch (error) {
       if (response.headersSent) throw error
       const reason = error instanceof Error ? error.message : String(error)
-      book.noteResult(row.endpoint, reason)
+      tracker.recordResult(row.endpoint, reason)
       return { notRun: neverConnected(error), reason, cause: error }
     } finally {
-      book.noteEnded(row.endpoint, call.request)
+      tracker.recordEnded(row.endpoint, call.request)
     }
   }
 
   private async send(call: PlainRequest, row: EndpointRow): Promise<Dispatcher.ResponseData> {
-    const headers = { ...forwardable(call.headers), 'x-forkstage-request': call.request }
+    const headers = { ...forwardableHeaders(call.headers), 'x-forkstage-request': call.request }
     const abort = new AbortController()
     const cancel = this.parts.clock.after(call.deadlineMs, () => abort.abort(new Error('deadline')))
     try {
@@ -246,7 +246,7 @@
     response: ServerResponse,
     epoch: number | undefined,
   ): Promise<void> {
-    const headers = forwardable(answer.headers as Record<string, string | string[]>)
+    const headers = forwardableHeaders(answer.headers as Record<string, string | string[]>)
     if (call.key === undefined || epoch === undefined) {
       writeHead(response, answer.statusCode, headers, call.request)
       return pipeline(answer.body, response)
@@ -254,12 +254,12 @@
     const body = Buffer.from(await answer.body.arrayBuffer())
     const outcome = createOutcome(body, {
       status: answer.statusCode,
-      headers: singleValued(headers),
+      headers: joinHeaderValues(headers),
       keepBytes: this.parts.outcomeBytes,
     })
     const result = await this.parts.journal.settle(call.key, epoch, outcome).catch(() => undefined)
     if (result?.type === 'fenced') throw new MayHaveRunError(call.request)
-    this.parts.stories.tell(call.request, 'ended', {
+    this.parts.traces.record(call.request, 'ended', {
       status: answer.statusCode,
       bytes: body.length,
       settled: result?.type ?? 'unknown',
@@ -268,13 +268,13 @@
     response.end(body)
   }
 
-  private async failed(
+  private async endFailed(
     call: PlainRequest,
     row: EndpointRow,
     failure: DispatchFailure,
     epoch: number | undefined,
   ): Promise<AnswerError> {
-    this.parts.stories.tell(call.request, 'ended', {
+    this.parts.traces.record(call.request, 'ended', {
       endpoint: row.endpoint,
       reason: failure.reason,
       notRun: failure.notRun,
--- a/request/runner/src/measureRun.ts
+++ b/request/runner/src/recordRunEnd.ts
@@ -4,21 +4,21 @@
 import type { RunParts } from './runParts'
 
 /** What one run gave, as metrics, a log line and the last line of its story. */
-export function measureRun(
+export function recordRunEnd(
   state: RequestState,
   model: ModelRequest,
   end: RequestEnd,
   lastTokenAt: Millis,
   parts: RunParts,
 ): void {
-  const { meters, forecast, logger, stories } = parts
+  const { metrics, forecast, logger, traces } = parts
   const { service, className } = model
-  const tokens = state.order.next
+  const tokens = state.order.nextSeq
   const ttftMs = state.firstTokenAt === undefined ? undefined : state.firstTokenAt - state.startedAt
   const tbtMs = meanGap(state, lastTokenAt)
   const good = end.type === 'answered' && meetsTargets(ttftMs, tbtMs, model, parts)
-  meters.noteEnd({ service, className, end: end.type, ttftMs, tbtMs, tokens, good })
-  meters.noteFrames(state.order.counts)
+  metrics.recordEnd({ service, className, end: end.type, ttftMs, tbtMs, tokens, good })
+  metrics.recordFrames(state.order.counts)
   if (end.type === 'answered') forecast.learn(`${service}/${className}`, tokens)
   const figures = { tokens, ttftMs: round(ttftMs), tbtMs: round(tbtMs) }
   const execution = 'execution' in end ? end.execution : end.type === 'answered' ? 'ran' : 'may-have-run'
@@ -30,11 +30,11 @@
     tokens,
     ttftMs: figures.ttftMs,
   })
-  stories.tell(state.request, 'ended', { ...end, ...figures })
+  traces.record(state.request, 'ended', { ...end, ...figures })
 }
 
 function meanGap(state: RequestState, lastTokenAt: Millis): Millis | undefined {
-  const tokens = state.order.next
+  const tokens = state.order.nextSeq
   if (state.firstTokenAt === undefined || tokens < 2) return undefined
   return (lastTokenAt - state.firstTokenAt) / (tokens - 1)
 }
--- a/request/runner/src/releaseKeeper.ts
+++ b/request/runner/src/releaseSender.ts
@@ -3,8 +3,8 @@
 import type { Logger } from '@forkstage/logger'
 import type { EndpointName, EndpointRow, Millis } from '@forkstage/types'
 
-/** Options of {@link ReleaseKeeper}. */
-export interface ReleaseKeeperOptions {
+/** Options of {@link ReleaseSender}. */
+export interface ReleaseSenderOptions {
   engines: EngineClient
   row: (endpoint: EndpointName) => EndpointRow | undefined
   clock: Clock
@@ -12,24 +12,24 @@
 }
 
 const FIRST_RETRY_MS = 100
-const LONGEST_RETRY_MS = 2_000
+const MAX_RETRY_MS = 2_000
 /** Given up after this long: by then the engine has restarted, or its owner's comparison releases the hold. */
-const GIVE_UP_MS = 60_000
+const GIVE_UP_AFTER_MS = 60_000
 
 /** Releases what engines hold for requests that have ended, and tries again until the engine confirms. */
-export class ReleaseKeeper {
-  private open = 0
+export class ReleaseSender {
+  private pendingCount = 0
 
-  constructor(private readonly options: ReleaseKeeperOptions) {}
+  constructor(private readonly options: ReleaseSenderOptions) {}
 
   /** Releases that have not been confirmed yet. */
   get pending(): number {
-    return this.open
+    return this.pendingCount
   }
 
   release(endpoint: EndpointName, attempt: AttemptId): void {
-    this.open += 1
-    this.tryRelease(endpoint, attempt, FIRST_RETRY_MS, this.options.clock.now() + GIVE_UP_MS)
+    this.pendingCount += 1
+    this.tryRelease(endpoint, attempt, FIRST_RETRY_MS, this.options.clock.now() + GIVE_UP_AFTER_MS)
   }
 
   private tryRelease(endpoint: EndpointName, attempt: AttemptId, pause: Millis, end: Millis): void {
@@ -55,11 +55,11 @@
       peer: endpoint,
       detail: error.reason,
     })
-    clock.after(pause, () => this.tryRelease(endpoint, attempt, Math.min(LONGEST_RETRY_MS, pause * 2), end))
+    clock.after(pause, () => this.tryRelease(endpoint, attempt, Math.min(MAX_RETRY_MS, pause * 2), end))
   }
 
   private settle(endpoint: EndpointName, attempt: AttemptId, confirmed: boolean): void {
-    this.open -= 1
+    this.pendingCount -= 1
     this.options.logger.debug('request.released', { request: attempt.request, endpoint, confirmed })
   }
 }
--- a/request/runner/src/requestMeters.ts
+++ b/request/runner/src/requestMetrics.ts
@@ -15,12 +15,12 @@
   good: boolean
 }
 
-const SECONDS = 1_000
+const MS_PER_SECOND = 1_000
 const TTFT_BUCKETS = [0.05, 0.1, 0.2, 0.3, 0.5, 0.77, 1, 1.5, 2, 3, 5, 10]
 const TBT_BUCKETS = [0.01, 0.02, 0.03, 0.04, 0.05, 0.061, 0.08, 0.1, 0.2, 0.5]
 
 /** The metrics of the brief, and what helps to find out why they are as they are. */
-export class RequestMeters {
+export class RequestMetrics {
   private readonly ended: Counter<'service' | 'class' | 'end'>
   private readonly good: Counter<'service' | 'class'>
   private readonly ttft: Histogram<'service'>
@@ -120,28 +120,28 @@
     })
   }
 
-  noteEnd(outcome: RequestOutcome): void {
+  recordEnd(outcome: RequestOutcome): void {
     const { service, className, end, ttftMs, tbtMs, tokens, good } = outcome
     this.ended.inc({ service, class: className, end })
     if (good) this.good.inc({ service, class: className })
-    if (ttftMs !== undefined) this.ttft.observe({ service }, ttftMs / SECONDS)
-    if (tbtMs !== undefined) this.tbt.observe({ service }, tbtMs / SECONDS)
+    if (ttftMs !== undefined) this.ttft.observe({ service }, ttftMs / MS_PER_SECOND)
+    if (tbtMs !== undefined) this.tbt.observe({ service }, tbtMs / MS_PER_SECOND)
     if (end === 'answered') this.tokens.inc({ service }, tokens)
   }
 
-  noteWasted(tokens: number, cause: string): void {
+  recordWasted(tokens: number, cause: string): void {
     this.wasted.inc({ cause }, tokens)
   }
 
-  notePrefilled(tokens: number): void {
+  recordPrefilled(tokens: number): void {
     this.prefilled.inc(tokens)
   }
 
-  noteFrames(counts: Record<string, number>): void {
+  recordFrames(counts: Record<string, number>): void {
     for (const [verdict, count] of Object.entries(counts)) if (count > 0) this.frames.inc({ verdict }, count)
   }
 
-  noteRetry(granted: boolean): void {
+  recordRetry(granted: boolean): void {
     this.retries.inc({ granted: String(granted) })
   }
 }
--- a/request/runner/src/runRegistry.ts
+++ b/request/runner/src/runRegistry.ts
@@ -1,7 +1,12 @@
 import type { Clock } from '@forkstage/clock'
 import type { Claim, JournalClient, JournalResult } from '@forkstage/claims'
 import type { Members } from '@forkstage/control'
-import { formatRequestId, type LiveAnswer, type LiveQuestion, type RequestOrigin } from '@forkstage/owner'
+import {
+  formatRequestId,
+  type LiveRequestsAnswer,
+  type LiveRequestsQuery,
+  type RequestOrigin,
+} from '@forkstage/owner'
 import type { PeerCaller, PeerMethod } from '@forkstage/peer-rpc'
 import type { Millis, RequestId, RequestKey } from '@forkstage/types'
 import { followRun, replayAnswer, type AnswerPart, type AnswerSource } from './answerSource'
@@ -29,7 +34,7 @@
 const KEEP_ENDED_MS = 3_000
 const READ_WAIT_MS = 800
 const READ_DEADLINE_MS = 2_500
-const PAUSE_MS = 150
+const RETRY_PAUSE_MS = 150
 
 /** All model requests that this box runs, and the way to those that other boxes run. */
 export class RunRegistry {
@@ -46,8 +51,8 @@
 
   methods(): Record<string, PeerMethod> {
     return {
-      'requests.live': (question: LiveQuestion): LiveAnswer => ({
-        live: question.requests.filter((id) => this.byId.get(id)?.end === undefined && this.byId.has(id)),
+      'requests.live': (query: LiveRequestsQuery): LiveRequestsAnswer => ({
+        live: query.requests.filter((id) => this.byId.get(id)?.end === undefined && this.byId.has(id)),
       }),
       'requests.read': (params: { request: RequestId; from: number }) =>
         this.read(params.request, params.from),
@@ -75,7 +80,7 @@
   }
 
   /** Cuts every run short; returns how many. */
-  cutAll(): number {
+  cancelAll(): number {
     const running = [...this.byId.values()].filter((run) => run.end === undefined)
     running.forEach((run) => run.cancel())
     return running.length
@@ -92,11 +97,11 @@
   }
 
   private follow(run: ModelRun): AnswerSource {
-    return followRun(run, () => this.noteLeft(run))
+    return followRun(run, () => this.onSourceClosed(run))
   }
 
   /** The caller is gone: without another one the run ends, at once or after the time to reconnect. */
-  private noteLeft(run: ModelRun): void {
+  private onSourceClosed(run: ModelRun): void {
     const end = () => {
       // One listener is the registry's own.
       if (run.followers <= 1 && run.end === undefined) run.cancel()
@@ -118,7 +123,7 @@
         source = await this.openElsewhere(run, model, Math.max(seq, from))
         return source.next(seq)
       },
-      leave: () => source.leave(),
+      close: () => source.close(),
     }
   }
 
@@ -132,11 +137,11 @@
   /** Follows the box that holds the claim, or takes it over where that box is gone. */
   private async openClaim(claim: Claim, model: ModelRequest, from: number): Promise<AnswerSource> {
     if (!claim.repeatable) throw new MayHaveRunError(claim.request)
-    if (!this.ownerIsLive(claim)) return this.takeOver(claim, model, from)
+    if (!this.isOwnerLive(claim)) return this.takeOver(claim, model, from)
     return this.followRemote(claim, model)
   }
 
-  private ownerIsLive(claim: Claim): boolean {
+  private isOwnerLive(claim: Claim): boolean {
     const { boxes, version } = this.options.members()
     // Without a list of live boxes nobody may be taken for gone.
     if (version[0] === 0) return true
@@ -163,12 +168,12 @@
   /** Reads a run of another box; when that box is lost or knows nothing of it, asks the journal again. */
   private followRemote(claim: Claim, model: ModelRequest): AnswerSource {
     const { peers, clock } = this.options
-    let moved: AnswerSource | undefined
-    let left = false
+    let replacement: AnswerSource | undefined
+    let isClosed = false
     const params = (from: number) => ({ request: claim.request, from })
     const next = async (from: number): Promise<AnswerPart> => {
-      while (!left) {
-        if (moved !== undefined) return moved.next(from)
+      while (!isClosed) {
+        if (replacement !== undefined) return replacement.next(from)
         const options = { deadline: READ_DEADLINE_MS, step: 'follow run' }
         const answer = await peers
           .call<ReadAnswer>(claim.owner.address, 'requests.read', params(from), options)
@@ -177,18 +182,18 @@
           if (answer.tokens.length > 0 || answer.end !== undefined) return answer
           continue
         }
-        await new Promise<void>((resolve) => void clock.after(PAUSE_MS, resolve))
+        await new Promise<void>((resolve) => void clock.after(RETRY_PAUSE_MS, resolve))
         // No answer: it may run there. An answer that knows nothing of it: it does not, though its claim stands.
         const mayRun = answer === undefined
-        moved = await this.reopen(claim, model, from, mayRun)
+        replacement = await this.reopen(claim, model, from, mayRun)
       }
       return { tokens: [], end: { type: 'cancelled' } }
     }
-    const leave = () => {
-      left = true
-      moved?.leave()
+    const close = () => {
+      isClosed = true
+      replacement?.close()
     }
-    return { request: claim.request, next, leave }
+    return { request: claim.request, next, close }
   }
 
   /** After a box was lost: the journal says whether its run has ended, goes on, or must be taken over. */
@@ -202,21 +207,21 @@
     if (known === undefined) return this.open(model, from)
     if (known.outcome !== undefined) return replayClaim(known)
     if (known.epoch !== claim.epoch) return this.openClaim(known, model, from)
-    const mustWait = mayRun && this.ownerIsLive(known)
+    const mustWait = mayRun && this.isOwnerLive(known)
     return mustWait ? undefined : this.takeOver(known, model, from)
   }
 
   private async read(request: RequestId, from: number): Promise<ReadAnswer> {
     const run = this.byId.get(request)
     if (run === undefined || run.end?.type === 'superseded') return { unknown: true }
-    const now = (): AnswerPart => ({ tokens: run.tokensFrom(from), end: run.end })
-    const ready = () => now().tokens.length > 0 || run.end !== undefined
-    if (!ready()) await this.waitFor(run)
-    return now()
+    const currentPart = (): AnswerPart => ({ tokens: run.tokensFrom(from), end: run.end })
+    const ready = () => currentPart().tokens.length > 0 || run.end !== undefined
+    if (!ready()) await this.waitForProgress(run)
+    return currentPart()
   }
 
   /** Waits for news of a run, but not for ever; meanwhile the reader counts as its follower. */
-  private waitFor(run: ModelRun): Promise<void> {
+  private waitForProgress(run: ModelRun): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
         cancel()
--- a/request/runner/test/plainCall.test.ts
+++ b/request/runner/test/plainCalls.test.ts
@@ -2,10 +2,10 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { JournalClient } from '@forkstage/claims'
 import { ManualClock } from '@forkstage/clock'
-import { EndpointBook, targetShares } from '@forkstage/load'
+import { EndpointTracker, targetShares } from '@forkstage/load'
 import { createSilentLogger } from '@forkstage/logger'
-import { PlainCalls, StoryBook, type PlainRequest } from '../src'
-import { plainNews, plainRow } from './plainRow'
+import { PlainCalls, TraceStore, type PlainRequest } from '../src'
+import { plainUpdate, plainRow } from './plainRow'
 
 const servers: Server[] = []
 afterEach(() => servers.splice(0).forEach((server) => server.close()))
@@ -18,26 +18,26 @@
 }
 
 /** A box without a share of the only endpoint; its owner grants one once it has been wanted so often. */
-async function world(grantAfter: number) {
+async function startBox(grantAfter: number) {
   const clock = new ManualClock(1_000)
   const logger = createSilentLogger()
-  const book = new EndpointBook({ clock, random: () => 0.5, logger })
+  const tracker = new EndpointTracker({ clock, random: () => 0.5, logger })
   const address = await listen((_request, response) => response.end('saved'))
-  book.setTable({ endpoints: [plainRow('p', address)], links: [] })
-  book.noteNews('p', plainNews(0))
+  tracker.setTable({ endpoints: [plainRow('p', address)], links: [] })
+  tracker.applyUpdate('p', plainUpdate(0))
   const seen = { wanted: 0, waiting: [] as number[] }
   const calls = new PlainCalls({
     journal: {} as JournalClient,
-    book,
-    stories: new StoryBook('box', clock),
+    tracker,
+    traces: new TraceStore('box', clock),
     clock,
     logger,
     outcomeBytes: 1_000,
     random: () => 0,
-    wantCredits: () => {
+    requestCredits: () => {
       seen.wanted += 1
       seen.waiting.push(calls.waiting)
-      if (seen.wanted >= grantAfter) book.noteNews('p', plainNews(1))
+      if (seen.wanted >= grantAfter) tracker.applyUpdate('p', plainUpdate(1))
     },
   })
   return { clock, calls, seen }
@@ -82,14 +82,14 @@
     // Six places among seven boxes leave one box without any.
     const idle = new Map(['1', '2', '3', '4', '5', '6', '7'].map((box) => [box, { inFlight: 0, waiting: 0 }]))
     expect([...targetShares(6, idle).values()]).toContain(0)
-    const { calls, clock, seen } = await world(3)
+    const { calls, clock, seen } = await startBox(3)
     expect(await serve(calls, clock)).toBe('served')
     expect(seen.waiting).toEqual([1, 1, 1])
     expect(calls.waiting).toBe(0)
   })
 
   it('are refused as not run where no share comes', async () => {
-    const { calls, clock } = await world(Infinity)
+    const { calls, clock } = await startBox(Infinity)
     expect(await serve(calls, clock)).toBe('FORKSTAGE_NO_ENDPOINT')
     expect(calls.waiting).toBe(0)
   })
--- a/request/runner/test/plainRow.ts
+++ b/request/runner/test/plainRow.ts
@@ -1,4 +1,4 @@
-import type { EndpointNews } from '@forkstage/load'
+import type { EndpointUpdate } from '@forkstage/load'
 import type { EndpointRow } from '@forkstage/types'
 
 /** A row of a plain service's endpoint. */
@@ -21,7 +21,7 @@
 }
 
 /** What an owner says of it, with this box's share. */
-export function plainNews(share: number): EndpointNews {
+export function plainUpdate(share: number): EndpointUpdate {
   const rest = { promptTokensPerSecond: Infinity, othersPrefillTokens: 0, cacheEvents: [] }
   return { leaseMs: 60_000, share, ...rest }
 }
--- a/request/runner/test/restingPlain.test.ts
+++ b/request/runner/test/restingPlain.test.ts
@@ -6,10 +6,10 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { JournalClient } from '@forkstage/claims'
 import { createSeededRandom, ManualClock } from '@forkstage/clock'
-import { EndpointBook } from '@forkstage/load'
+import { EndpointTracker } from '@forkstage/load'
 import { createSilentLogger } from '@forkstage/logger'
-import { AnswerError, PlainCalls, StoryBook, type PlainRequest } from '../src'
-import { plainNews, plainRow } from './plainRow'
+import { AnswerError, PlainCalls, TraceStore, type PlainRequest } from '../src'
+import { plainUpdate, plainRow } from './plainRow'
 
 const servers: Server[] = []
 afterEach(() => servers.splice(0).forEach((server) => server.close()))
@@ -31,7 +31,7 @@
 async function start(...rests: (string | undefined)[]) {
   const clock = new ManualClock(1_000)
   const logger = createSilentLogger()
-  const book = new EndpointBook({ clock, random: () => 0.5, logger })
+  const tracker = new EndpointTracker({ clock, random: () => 0.5, logger })
   const asks = [...rests]
   const seen = rests.map(() => 0)
   const rows = await Promise.all(
@@ -49,30 +49,30 @@
       return plainRow(`p${index}`, `127.0.0.1:${port}`)
     }),
   )
-  book.setTable({ endpoints: rows, links: [] })
-  rows.forEach(({ endpoint }) => book.noteNews(endpoint, plainNews(6)))
+  tracker.setTable({ endpoints: rows, links: [] })
+  rows.forEach(({ endpoint }) => tracker.applyUpdate(endpoint, plainUpdate(6)))
   const calls = new PlainCalls({
     journal: {} as JournalClient,
-    book,
-    stories: new StoryBook('box', clock),
+    tracker,
+    traces: new TraceStore('box', clock),
     clock,
     logger,
     outcomeBytes: 1_000,
     random: createSeededRandom(3),
-    wantCredits: () => undefined,
+    requestCredits: () => undefined,
   })
-  const call = () => calls.serve(CALL, takenAnswer()).then(() => 'served')
-  const isWell = (index: number) => void (asks[index] = undefined)
-  return { clock, book, seen, call, isWell }
+  const call = () => calls.serve(CALL, discardingResponse()).then(() => 'served')
+  const recover = (index: number) => void (asks[index] = undefined)
+  return { clock, tracker, seen, call, recover }
 }
 
 describe('plain endpoints that ask a box for rest', () => {
   it('get nothing from it until then, and their callers are served elsewhere', async () => {
-    const { seen, call, clock, isWell, book } = await start('3', undefined)
+    const { seen, call, clock, recover, tracker } = await start('3', undefined)
     for (let sent = 0; sent < 12; sent += 1) expect(await call()).toBe('served')
     expect(seen).toEqual([1, 12])
-    expect(book.closedReason('p0')).toBe('resting')
-    isWell(0)
+    expect(tracker.closedReason('p0')).toBe('resting')
+    recover(0)
     clock.advance(3_600)
     for (let sent = 0; sent < 12; sent += 1) expect(await call()).toBe('served')
     expect(seen[0]).toBeGreaterThan(1)
@@ -91,7 +91,7 @@
 })
 
 /** Takes an answer in place of a caller's connection. */
-function takenAnswer() {
-  const taken = new Writable({ write: (_chunk, _encoding, done) => done() })
-  return Object.assign(taken, { headersSent: false, writeHead: () => undefined }) as never
+function discardingResponse() {
+  const sink = new Writable({ write: (_chunk, _encoding, done) => done() })
+  return Object.assign(sink, { headersSent: false, writeHead: () => undefined }) as never
 }
--- a/request/runner/test/runRegistry.test.ts
+++ b/request/runner/test/runRegistry.test.ts
@@ -39,9 +39,9 @@
     ttftTarget: 1,
     tbtTarget: 1,
     outcomeBytes: 1,
-    stories: { tell: nothing },
+    traces: { record: nothing },
     placer: { ask: nothing, forget: nothing, drain: nothing },
-    meters: { noteEnd: nothing, noteFrames: nothing },
+    metrics: { recordEnd: nothing, recordFrames: nothing },
     forecast: { learn: nothing },
   }
   const registry = new RunRegistry({
@@ -65,7 +65,7 @@
     source.next(0),
     new Promise((resolve) => clock.after(2_000, () => resolve('still following a run that nobody runs'))),
   ])
-  source.leave()
+  source.close()
   expect(part).toMatchObject({ tokens: ['a'] })
   expect(takenOver).toEqual([1])
 })
--- a/tools/bench/src/quotaExperiment.ts
+++ b/tools/bench/src/quotaExperiment.ts
@@ -34,9 +34,9 @@
     tolerance: { over: 0.1, slack: 120_000 },
   })
   const reports = Array.from({ length: entries }, (_, entry) => createReport(entry, named, workspaces))
-  reports.forEach((report) => ledger.take(report))
+  reports.forEach((report) => ledger.applyReport(report))
   const started = performance.now()
-  for (let count = 0; count < REPORTS; count += 1) ledger.take(reports[count % entries]!)
+  for (let count = 0; count < REPORTS; count += 1) ledger.applyReport(reports[count % entries]!)
   const reportUs = ((performance.now() - started) * 1_000) / REPORTS
   return {
     entries,
--- a/tools/bench/src/stateSlopes.ts
+++ b/tools/bench/src/stateSlopes.ts
@@ -191,7 +191,7 @@
       type: 'added' as const,
       block: `${seq}`.padStart(16, '0'),
     }))
-    return [count, timed(() => new PrefixIndex().noteEvents(events), 3)]
+    return [count, timed(() => new PrefixIndex().applyEvents(events), 3)]
   })
   return fitSlope('taking cache events', 'event', 'ms', points)
 }
