--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -142,7 +142,7 @@
       directory: this.directory,
       service: (name) => this.book.current?.service(name),
       ...settings.cold,
-      onCold: (id) => this.allocator.noteCold(id),
+      onCold: (id) => this.allocator.forgetEngine(id),
       clock,
       logger,
     })
--- a/daemon/fleet/src/stageOrders.ts
+++ b/daemon/fleet/src/stageOrders.ts
@@ -88,10 +88,10 @@
     const asked = await this.call(to, wire.reportCall())
     const report = this.readReport(to, asked)
     // An order that this machine did not give, or that came late, is under way.
-    if (report?.isBusy === true) return allocator.noteChanging(change.id, otherStage(to.stage!), REFUSED_MS)
+    if (report?.isBusy === true) return allocator.markChanging(change.id, otherStage(to.stage!), REFUSED_MS)
     // Whoever led while the engine was asked may have ordered: a term that is new by now waits like any other.
     if (report === undefined || !this.mayOrder())
-      return allocator.noteOrdered(change.id, to.stage!, REFUSED_MS)
+      return allocator.markOrdered(change.id, to.stage!, REFUSED_MS)
     if (this.options.isBarred?.(to) || endpoint(change.id)?.state === 'ended') return
     const fence = term()
     const { stage, need, have } = change
@@ -106,12 +106,12 @@
       need,
       have,
     })
-    if (status === OTHER_INSTANCE) allocator.noteUse(change.id, 'other-instance')
+    if (status === OTHER_INSTANCE) allocator.recordUse(change.id, 'other-instance')
     if (status !== TAKEN) {
       const becomes = status === undefined ? stage : to.stage!
-      return allocator.noteOrdered(change.id, becomes, pauseAfter(status))
+      return allocator.markOrdered(change.id, becomes, pauseAfter(status))
     }
-    allocator.noteChanging(change.id, stage, changeMs + ENDS_WITHIN_MS)
+    allocator.markChanging(change.id, stage, changeMs + ENDS_WITHIN_MS)
     this.awaitChange(to, stage)
   }
 
@@ -125,13 +125,13 @@
       void this.call(to, wire.reportCall()).then((asked) => {
         const report = this.readReport(to, asked)
         const isDone = report?.stage === stage && !report.isBusy
-        if (isDone) return allocator.noteChanging(to.id, stage, 0)
+        if (isDone) return allocator.markChanging(to.id, stage, 0)
         if (!isLeader() || !allocator.isChanging(to.id) || endpoint(to.id)?.state === 'ended') return
         const isUnreached = asked.type === 'failed' && !asked.sent
-        if (isUnreached) allocator.noteUse(to.id, 'unreachable')
+        if (isUnreached) allocator.recordUse(to.id, 'unreachable')
         if (!isUnreached || missed + 1 < MISSES_UNTIL_GONE)
           return this.awaitChange(to, stage, isUnreached ? missed + 1 : 0)
-        allocator.noteChanging(to.id, stage, 0)
+        allocator.markChanging(to.id, stage, 0)
         logger.warn('stage.abandoned', { endpoint: to.id, stage, reason: asked.reason })
       })
     })
--- a/daemon/fleet/test/stageOrders.test.ts
+++ b/daemon/fleet/test/stageOrders.test.ts
@@ -66,9 +66,9 @@
   }
   const allocator = {
     planStage: () => (changing.length + ordered.length > 0 ? undefined : wanted),
-    noteOrdered: (id: string, to: string, forMs: number) => void ordered.push([id, to, forMs]),
-    noteChanging: (id: string, to: string, forMs: number) => void changing.push([id, to, forMs]),
-    noteUse: (id: string, outcome: string) => void used.push([id, outcome]),
+    markOrdered: (id: string, to: string, forMs: number) => void ordered.push([id, to, forMs]),
+    markChanging: (id: string, to: string, forMs: number) => void changing.push([id, to, forMs]),
+    recordUse: (id: string, outcome: string) => void used.push([id, outcome]),
     isChanging: () => changing.length > 0 && changing.at(-1)![2] > 0,
   } as unknown as AllocatorService
   const wire: ControlWire = {
--- a/placement/allocator/src/allocatorService.ts
+++ b/placement/allocator/src/allocatorService.ts
@@ -6,8 +6,8 @@
 import type { EnginePool } from '@forkstage/routes'
 import type { Topology } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
-import { Allocator, type Learned } from './allocator'
-import { whyNoReport } from './checkReport'
+import { Allocator, type LearnedModels } from './allocator'
+import { checkReport } from './checkReport'
 import type { ColdPolicy } from './coldBudget'
 import type { LimitPolicy } from './engineBudgets'
 import type {
@@ -68,14 +68,14 @@
 
 const TICK_MS = 25
 /** A new leader places once every entry has reported what runs, or after this time: an entry may be down. */
-const LISTEN_FIRST_MS = 300
-const LISTEN_LOOK_MS = 10
+const REPORT_WAIT_MS = 300
+const REPORT_POLL_MS = 10
 const ENTRY_GONE_MS = 4_000
 
 /** Places for all entries while this machine leads; starts anew with what they report when it becomes leader. */
 export class AllocatorService {
   private allocator: Allocator
-  private readonly learned: Learned = {
+  private readonly learned: LearnedModels = {
     pace: new EnginePace(
       (id, stage, isSlow, view) => this.logPace(id, stage, isSlow, view),
       (id, at) => (this.options.cold?.leftMs(id, at) ?? 0) > 0,
@@ -84,11 +84,11 @@
   }
   private term = -1
   private since: Millis = 0
-  private readonly heard = new Map<string, Millis>()
+  private readonly lastHeardAt = new Map<string, Millis>()
   /** Entries that have reported in this term. */
-  private readonly reported = new Set<string>()
+  private readonly reportedEntries = new Set<string>()
   /** Requests that wait for a decision of this machine, with what tells them that it places no more. */
-  private readonly undecided = new Map<string, (error: Error) => void>()
+  private readonly pending = new Map<string, (error: Error) => void>()
   private cancelTick: CancelTimer = () => undefined
 
   constructor(private readonly options: AllocatorServiceOptions) {
@@ -109,16 +109,16 @@
       [PLACE.ask]: (params: unknown) => this.ask(readPlaceAsk(params)),
       [PLACE.withdraw]: (params: { request: string }) => this.withdraw(params.request),
       [PLACE.prefilled]: (params: { request: string; outcome: UseOutcome; tookMs: Millis }) =>
-        this.allocator.notePrefilled(params.request, params.outcome, params.tookMs, now()),
+        this.allocator.recordPrefilled(params.request, params.outcome, params.tookMs, now()),
       [PLACE.note]: (params: { endpoint: InstanceId; outcome: UseOutcome; tookMs?: Millis }) =>
-        this.allocator.noteUse(params.endpoint, params.outcome, now(), params.tookMs),
+        this.allocator.recordUse(params.endpoint, params.outcome, now(), params.tookMs),
       [PLACE.release]: (params: {
         request: string
         decode?: InstanceId
         outcome: UseOutcome
         madeTokens: number
       }) => this.allocator.release(params.request, params.outcome, params.madeTokens, now(), params.decode),
-      [PLACE.report]: (params: unknown) => this.takeReport(readPlaceReport(params)),
+      [PLACE.report]: (params: unknown) => this.applyReport(readPlaceReport(params)),
     }
   }
 
@@ -128,24 +128,24 @@
   }
 
   /** Notes how a use of an engine ended that belongs to no request. */
-  noteUse(id: InstanceId, outcome: UseOutcome): void {
-    this.allocator.noteUse(id, outcome, this.options.clock.now())
+  recordUse(id: InstanceId, outcome: UseOutcome): void {
+    this.allocator.recordUse(id, outcome, this.options.clock.now())
   }
 
   /** An engine has turned cold: it has started anew, so what it showed before says nothing of it. */
-  noteCold(id: InstanceId): void {
+  forgetEngine(id: InstanceId): void {
     this.learned.pace.forget(id)
-    this.allocator.forgetKept(id)
+    this.allocator.clearPrefixCache(id)
   }
 
   /** Gives an engine no work while it changes its part. */
-  noteChanging(id: InstanceId, to: Stage, forMs: Millis): void {
-    this.allocator.noteChanging(id, to, forMs, this.options.clock.now())
+  markChanging(id: InstanceId, to: Stage, forMs: Millis): void {
+    this.allocator.markChanging(id, to, forMs, this.options.clock.now())
   }
 
   /** Lets an engine work on, without another order, while it is not known what becomes of the last one. */
-  noteOrdered(id: InstanceId, to: Stage, forMs: Millis): void {
-    this.allocator.noteOrdered(id, to, forMs, this.options.clock.now())
+  markOrdered(id: InstanceId, to: Stage, forMs: Millis): void {
+    this.allocator.markOrdered(id, to, forMs, this.options.clock.now())
   }
 
   isChanging(id: InstanceId): boolean {
@@ -163,61 +163,61 @@
   private async ask(ask: PlaceAsk): Promise<PlaceDecision> {
     const arrivedAt = this.options.clock.now()
     this.renewTerm()
-    await this.untilListened()
+    await this.waitForReports()
     if (!this.mayPlace()) throw new NotPlacingError()
-    this.heard.set(ask.entry, this.options.clock.now())
+    this.lastHeardAt.set(ask.entry, this.options.clock.now())
     const askedAt = this.options.clock.now()
     const decision = await this.decide(ask)
     this.log(ask, decision, this.options.clock.now() - askedAt)
-    return decision.type === 'placed' ? laterBy(decision, askedAt - arrivedAt) : decision
+    return decision.type === 'placed' ? addWait(decision, askedAt - arrivedAt) : decision
   }
 
   /** A new leader lets requests wait while it hears what runs. */
-  private async untilListened(): Promise<void> {
+  private async waitForReports(): Promise<void> {
     const { clock, isLeader } = this.options
-    while (isLeader() && !this.hasListened()) await delay(clock, LISTEN_LOOK_MS)
+    while (isLeader() && !this.hasReports()) await delay(clock, REPORT_POLL_MS)
   }
 
-  private hasListened(): boolean {
+  private hasReports(): boolean {
     const { clock, entries } = this.options
     const known = entries()
-    const isHeard = known > 0 && this.reported.size >= known
-    return isHeard || clock.now() - this.since >= LISTEN_FIRST_MS
+    const hasAllReports = known > 0 && this.reportedEntries.size >= known
+    return hasAllReports || clock.now() - this.since >= REPORT_WAIT_MS
   }
 
   private decide(ask: PlaceAsk): Promise<PlaceDecision> {
     const { request } = ask
     return new Promise<PlaceDecision>((resolve, reject) => {
-      this.undecided.set(request, reject)
+      this.pending.set(request, reject)
       this.allocator.ask(ask, this.options.clock.now(), (decision) => {
-        this.undecided.delete(request)
+        this.pending.delete(request)
         resolve(decision)
       })
     })
   }
 
   /** Tells those that wait that another machine places now, or none. */
-  private dismissUndecided(): void {
-    const rejects = [...this.undecided.values()]
-    this.undecided.clear()
+  private rejectPending(): void {
+    const rejects = [...this.pending.values()]
+    this.pending.clear()
     rejects.forEach((reject) => reject(new NotPlacingError()))
   }
 
   private withdraw(request: string): void {
-    this.undecided.delete(request)
+    this.pending.delete(request)
     this.allocator.withdraw(request, this.options.clock.now())
   }
 
-  private takeReport({ entry, holds, malformed }: PlaceReport): ReportAnswer {
+  private applyReport({ entry, holds, malformed }: PlaceReport): ReportAnswer {
     this.renewTerm()
     const reason = `${malformed} of its rows are no places`
     if (malformed > 0) this.options.logger.warn('place.report-refused', { entry, request: '', reason })
     const now = this.options.clock.now()
-    this.heard.set(entry, now)
-    this.reported.add(entry)
-    this.allocator.adopt(
+    this.lastHeardAt.set(entry, now)
+    this.reportedEntries.add(entry)
+    this.allocator.applyReport(
       entry,
-      holds.map((one) => this.credible(entry, one)),
+      holds.map((one) => this.sanitize(entry, one)),
       now,
     )
     const moves = this.mayPlace() ? this.allocator.planMoves(entry, now) : []
@@ -227,8 +227,8 @@
   }
 
   /** Of what cannot be only the place itself is taken: it goes on being held, and says nothing of its engine. */
-  private credible(entry: string, hold: ReportedHold): ReportedHold {
-    const reason = whyNoReport(hold)
+  private sanitize(entry: string, hold: ReportedHold): ReportedHold {
+    const reason = checkReport(hold)
     if (reason === undefined) return hold
     const { ask, prefill, decode } = hold
     this.options.logger.warn('place.report-refused', { entry, request: ask.request, reason })
@@ -237,19 +237,19 @@
 
   private tick(): void {
     const { clock, isLeader } = this.options
-    if (!isLeader()) return this.dismissUndecided()
+    if (!isLeader()) return this.rejectPending()
     this.renewTerm()
     const now = clock.now()
-    for (const [entry, at] of this.heard) {
+    for (const [entry, at] of this.lastHeardAt) {
       if (now - at < ENTRY_GONE_MS) continue
-      this.heard.delete(entry)
-      this.allocator.dropEntry(entry)
+      this.lastHeardAt.delete(entry)
+      this.allocator.removeEntry(entry)
     }
     this.allocator.tick(now)
   }
 
   private mayPlace(): boolean {
-    return this.options.isLeader() && this.hasListened()
+    return this.options.isLeader() && this.hasReports()
   }
 
   /** What was known in an earlier term is out of date: whoever led meanwhile has placed since. */
@@ -258,8 +258,8 @@
     if (term() === this.term) return
     this.term = term()
     this.since = clock.now()
-    this.reported.clear()
-    this.dismissUndecided()
+    this.reportedEntries.clear()
+    this.rejectPending()
     this.allocator = this.createAllocator()
   }
 
@@ -311,7 +311,7 @@
       holds: allocator.holdCount,
       waiting: allocator.waitingCount,
       // As the engines stand right after the decision.
-      engines: allocator.outlook(ask, this.options.clock.now()),
+      engines: allocator.summarize(ask, this.options.clock.now()),
       memory: this.options.engine(ask.service)?.kvTokens ?? 0,
       term: this.term,
     })
@@ -319,7 +319,7 @@
 }
 
 /** Entries count a grant's time from when they asked: what a new leader listens is waiting too. */
-function laterBy(placed: Placed, ms: Millis): Placed {
+function addWait(placed: Placed, ms: Millis): Placed {
   const later = (grant: StepGrant | undefined) => grant && { ...grant, waitedMs: grant.waitedMs + ms }
   return { ...placed, cold: later(placed.cold), limited: later(placed.limited) }
 }
--- a/placement/allocator/src/barredEngines.ts
+++ b/placement/allocator/src/barredEngines.ts
@@ -14,14 +14,14 @@
   }
 
   /** Notes which of all engines are barred. Called again and again. */
-  note(endpoints: RegisteredEndpoint[], now: Millis): void {
+  update(endpoints: RegisteredEndpoint[], now: Millis): void {
     const barred = new Set(endpoints.filter((one) => this.isBarred(one)).map(({ id }) => id))
     for (const id of barred) if (!this.since.has(id)) this.since.set(id, now)
     for (const id of this.since.keys()) if (!barred.has(id)) this.since.delete(id)
   }
 
   /** Whether an engine has been barred for so long. */
-  isLong(endpoint: RegisteredEndpoint, forMs: Millis, now: Millis): boolean {
+  isBarredFor(endpoint: RegisteredEndpoint, forMs: Millis, now: Millis): boolean {
     return this.isBarred(endpoint) && now - (this.since.get(endpoint.id) ?? now) >= forMs
   }
 }
--- a/placement/allocator/src/demandMeter.ts
+++ b/placement/allocator/src/demandMeter.ts
@@ -6,9 +6,9 @@
 /** The time over which demand is averaged: longer than a change of an engine's part takes. */
 const MEMORY_MS = 8_000
 /** A few requests close together say nothing yet. */
-const SURE_AFTER_MS = 2_000
+const MIN_OBSERVED_MS = 2_000
 /** How full an engine's memory can be kept without putting requests back. */
-const USABLE_MEMORY = 0.8
+const USABLE_MEMORY_SHARE = 0.8
 
 /** Averages what callers ask of one service's engines, whatever the engines' pace. */
 export class DemandMeter {
@@ -20,21 +20,21 @@
    * @param promptTokens what an engine reads.
    * @param heldTokens the memory it will hold, over the tokens that it makes meanwhile: tokens times tokens.
    */
-  note(promptTokens: number, heldTokens: number, now: Millis): void {
+  record(promptTokens: number, heldTokens: number, now: Millis): void {
     this.promptTokens.add(promptTokens, now)
     this.heldTokens.add(heldTokens, now)
   }
 
   /** Whether it has averaged long enough to be acted on. */
-  isSure(now: Millis): boolean {
-    return this.promptTokens.seenFor(now) >= SURE_AFTER_MS
+  hasEnoughData(now: Millis): boolean {
+    return this.promptTokens.seenFor(now) >= MIN_OBSERVED_MS
   }
 
   /** How many engines that are well each half would keep busy: slow ones are less supply, not more demand. */
   need(kvTokens: number, pace: EnginePace, now: Millis): StageNeed {
     return {
-      prefill: pace.readingMs(this.promptTokens.perMs(now)),
-      decode: (this.heldTokens.perMs(now) * pace.typicalDecodingMs(now)) / (kvTokens * USABLE_MEMORY),
+      prefill: pace.prefillMs(this.promptTokens.perMs(now)),
+      decode: (this.heldTokens.perMs(now) * pace.typicalMsPerToken(now)) / (kvTokens * USABLE_MEMORY_SHARE),
     }
   }
 }
--- a/placement/allocator/src/travelCost.ts
+++ b/placement/allocator/src/distanceCost.ts
@@ -3,7 +3,7 @@
 import type { Millis } from '@forkstage/types'
 
 /** What a distance costs beyond work in one failure domain. */
-interface Travel {
+interface DistanceCost {
   /** One way over the network, in milliseconds. */
   hopMs: Millis
   /** How many times longer a copy of memory takes (the engines' protocol says so). */
@@ -25,59 +25,59 @@
  * not. `memoryShare`: above it, since that prompt's memory is 96 MB and more and the events of its answer are some kilobytes;
  * so an empty engine near the reader goes before one near the caller. Both 0 within a region.
  */
-const TRAVEL: Record<Distance, Travel> = {
+const DISTANCE_COSTS: Record<Distance, DistanceCost> = {
   'same-domain': { hopMs: 0.2, copyFactor: 1, copyShare: 0, answerShare: 0, memoryShare: 0 },
   'other-domain': { hopMs: 1, copyFactor: 2, copyShare: 0.3, answerShare: 0, memoryShare: 0 },
   'other-region': { hopMs: 8, copyFactor: 10, copyShare: 0.45, answerShare: 0.15, memoryShare: 0.2 },
 }
 
 /** A connection that is opened anew and one question: there and back, twice. */
-const HOPS_OF_A_CALL = 4
+const HOPS_PER_CALL = 4
 const BITS_PER_BYTE = 8
 /** A megabit a second is so many bits a millisecond. */
-const BITS_PER_MS = 1_000
+const BITS_PER_MS_PER_MBPS = 1_000
 
 /** What a copy of some tokens' memory takes on the link of an engine, in milliseconds; 0 where a sheet gives no speed. */
 export function copyMs(tokens: number, engine: EnginePool, distance: Distance): Millis {
   if (!(engine.linkMbps > 0) || !(engine.kvBytesPerToken > 0)) return 0
   const bits = tokens * engine.kvBytesPerToken * BITS_PER_BYTE
-  return (bits / (engine.linkMbps * BITS_PER_MS)) * TRAVEL[distance].copyFactor
+  return (bits / (engine.linkMbps * BITS_PER_MS_PER_MBPS)) * DISTANCE_COSTS[distance].copyFactor
 }
 
 /**
  * What it costs to read a prompt that far from the engine that decodes, in milliseconds that another reader may be later.
  * Between domains of one region the share holds all of it.
- * @param readingMs how long reading the prompt takes.
+ * @param prefillMs how long reading the prompt takes.
  */
-export function readingAwayMs(
+export function remotePrefillCostMs(
   distance: Distance,
   promptTokens: number,
-  readingMs: Millis,
+  prefillMs: Millis,
   engine: EnginePool,
 ): Millis {
-  const priceMs = readingMs * TRAVEL[distance].copyShare
-  if (distance !== 'other-region') return priceMs
-  const longerMs = copyMs(promptTokens, engine, distance) - copyMs(promptTokens, engine, 'same-domain')
-  return priceMs + longerMs + callAwayMs(distance)
+  const copyCostMs = prefillMs * DISTANCE_COSTS[distance].copyShare
+  if (distance !== 'other-region') return copyCostMs
+  const extraCopyMs = copyMs(promptTokens, engine, distance) - copyMs(promptTokens, engine, 'same-domain')
+  return copyCostMs + extraCopyMs + extraCallMs(distance)
 }
 
 /** What a call to another region takes longer than one nearby, in milliseconds; 0 within a region. */
-export function callAwayMs(distance: Distance): Millis {
+export function extraCallMs(distance: Distance): Millis {
   if (distance !== 'other-region') return 0
-  return (TRAVEL[distance].hopMs - TRAVEL['other-domain'].hopMs) * HOPS_OF_A_CALL
+  return (DISTANCE_COSTS[distance].hopMs - DISTANCE_COSTS['other-domain'].hopMs) * HOPS_PER_CALL
 }
 
 /** Tokens that an engine nearby may hold more than one that far, and still be taken. */
-export function decodingAwayTokens(distance: Distance, engine: EnginePool): number {
-  return engine.kvTokens * TRAVEL[distance].answerShare
+export function entryDistanceTokens(distance: Distance, engine: EnginePool): number {
+  return engine.kvTokens * DISTANCE_COSTS[distance].answerShare
 }
 
 /** The same for an engine that far from the nearest reader of the prompt. */
-export function readingAwayTokens(distance: Distance, engine: EnginePool): number {
-  return engine.kvTokens * TRAVEL[distance].memoryShare
+export function prefillDistanceTokens(distance: Distance, engine: EnginePool): number {
+  return engine.kvTokens * DISTANCE_COSTS[distance].memoryShare
 }
 
 /** The same for an engine that far from the one that an answer leaves with its memory. */
-export function movingAwayTokens(distance: Distance, engine: EnginePool): number {
-  return engine.kvTokens * TRAVEL[distance].memoryShare
+export function moveDistanceTokens(distance: Distance, engine: EnginePool): number {
+  return engine.kvTokens * DISTANCE_COSTS[distance].memoryShare
 }
--- a/placement/allocator/src/engineBudgets.ts
+++ b/placement/allocator/src/engineBudgets.ts
@@ -3,11 +3,11 @@
 import type { Placed, PlaceAsk, StepGrant } from './allocatorTypes'
 import {
   ColdBudget,
-  LEAVES_AFTER_READING_MS,
-  LEAVES_AT_ONCE_MS,
-  type ColdOutlook,
+  SEND_AFTER_PREFILL_MS,
+  SEND_WITHIN_MS,
+  type ColdSummary,
   type ColdPolicy,
-  type Engines,
+  type PlacedEngines,
 } from './coldBudget'
 
 /** What engines that name the rate that they take may get; requests that go there are counted where they are placed. */
@@ -34,8 +34,8 @@
   }
 
   /** Notes that this machine places. Called again and again; the first call counts. */
-  noteLeads(now: Millis): void {
-    this.cold.noteLeads(now)
+  markLeading(now: Millis): void {
+    this.cold.markLeading(now)
   }
 
   isCold(id: InstanceId, now: Millis): boolean {
@@ -43,7 +43,7 @@
   }
 
   /** Whether an engine bears all that fits into it: only such ones are chosen where nothing must be. */
-  isFree(id: InstanceId, now: Millis): boolean {
+  isUnlimited(id: InstanceId, now: Millis): boolean {
     return !this.isCold(id, now) && !this.limits.isLimited(id)
   }
 
@@ -58,17 +58,17 @@
   }
 
   /** Counts the steps of a place; says which of them were, and within how long they must leave. */
-  grant(engines: Engines, waitedMs: Millis, now: Millis): Pick<Placed, 'cold' | 'limited'> {
+  grant(engines: PlacedEngines, waitedMs: Millis, now: Millis): Pick<Placed, 'cold' | 'limited'> {
     return { cold: this.cold.grant(engines, waitedMs, now), limited: this.spend(engines, waitedMs) }
   }
 
   /** Until one of some decode engines may take a request, where all are cold and none may now; else undefined. */
-  waitFor(engines: RegisteredEndpoint[], ask: PlaceAsk, now: Millis): Millis | undefined {
-    return this.cold.waitFor(engines, ask, now)
+  waitMs(engines: RegisteredEndpoint[], ask: PlaceAsk, now: Millis): Millis | undefined {
+    return this.cold.waitMs(engines, ask, now)
   }
 
-  outlook(engines: RegisteredEndpoint[], now: Millis): ColdOutlook | undefined {
-    return this.cold.outlook(engines, now)
+  summarize(engines: RegisteredEndpoint[], now: Millis): ColdSummary | undefined {
+    return this.cold.summarize(engines, now)
   }
 
   /** Forgets engines that are not registered any more. */
@@ -76,14 +76,14 @@
     this.cold.keepOnly(ids)
   }
 
-  private spend({ prefill, decode }: Engines, waitedMs: Millis): StepGrant | undefined {
+  private spend({ prefill, decode }: PlacedEngines, waitedMs: Millis): StepGrant | undefined {
     const isReaderLimited = prefill !== undefined && this.limits.spend(prefill.id)
     const isDecoderLimited = this.limits.spend(decode.id)
     if (!isReaderLimited && !isDecoderLimited) return undefined
-    const decodesInMs = prefill === undefined ? LEAVES_AT_ONCE_MS : LEAVES_AFTER_READING_MS
+    const decodesInMs = prefill === undefined ? SEND_WITHIN_MS : SEND_AFTER_PREFILL_MS
     return {
       waitedMs,
-      prefillMs: isReaderLimited ? LEAVES_AT_ONCE_MS : undefined,
+      prefillMs: isReaderLimited ? SEND_WITHIN_MS : undefined,
       decodeMs: isDecoderLimited ? decodesInMs : undefined,
     }
   }
--- a/placement/allocator/src/engineChoice.ts
+++ b/placement/allocator/src/engineChoice.ts
@@ -8,13 +8,13 @@
 import { EngineFitness } from './engineFitness'
 import type { BarredEngines } from './barredEngines'
 import type { EnginePace } from './enginePace'
-import type { EngineOutlook, EnginePick, EngineQuest } from './enginePick'
-import type { HoldBook } from './holdBook'
+import type { EngineSummary, EnginePick, EngineQuery } from './enginePick'
+import type { HoldRegistry } from './holdRegistry'
 import type { InstanceHealth } from './instanceHealth'
-import { KeptChoice } from './keptChoice'
-import { SLOW_FROM } from './peerPace'
+import { PrefixCacheTracker } from './prefixCacheTracker'
+import { SLOW_FACTOR } from './peerPace'
 
-export type { EngineOutlook, EnginePick, EngineQuest } from './enginePick'
+export type { EngineSummary, EnginePick, EngineQuery } from './enginePick'
 
 /** Options of {@link EngineChoice}. */
 export interface EngineChoiceOptions {
@@ -22,7 +22,7 @@
   topology: Topology
   barred: BarredEngines
   engine: (service: string) => EnginePool | undefined
-  book: HoldBook
+  holds: HoldRegistry
   health: InstanceHealth
   pace: EnginePace
   isChanging: (id: InstanceId, now: Millis) => boolean
@@ -31,30 +31,30 @@
 }
 
 /** From the end of reading to the first event, with what the network takes: 23 to 46 ms seen (q10 to q90, two plays). */
-export const START_MS = 60
+export const STARTUP_MS = 60
 /** A late request waits for a reading queue of so many prompts like its own, itself included: 500 ms at 95 ms a prompt. */
-const LATE_READINGS = 5
+const MAX_LATE_PREFILLS = 5
 /** It waits no longer behind others, so that after it a new one is still in time: 900 ms less two long readings of 300. */
-const LATE_QUEUE_MS = 250
+const MAX_LATE_QUEUE_MS = 250
 /** A decode engine reads at half the pace of a prefill engine (the platform's protocol says so). */
-const OWN_READING_FACTOR = 2
+const LOCAL_PREFILL_FACTOR = 2
 /** The share of its time that a decode engine may read beside prefill engines: a prompt of 190 ms each 0.7 s, as was tuned. */
-const OWN_READING_SHARE = 0.27
+const LOCAL_PREFILL_SHARE = 0.27
 /** Reading is late from so many times the time it should take: it varies with what else the way carries. */
-const LATE_FROM = 1.5
+const PREFILL_LATE_FACTOR = 1.5
 /** The end of a reading is foreseen only within this share of its time. */
-const READING_VARIES = 0.25
+const PREFILL_VARIATION = 0.25
 /** A single pause that is foreseen must leave this share of the longest that is in time. */
-const LONGEST_PAUSE_SHARE = 0.9
+const MAX_PAUSE_SHARE = 0.9
 /** A cold engine is taken as if this share of its memory were held: warm ones bear the load until they hold as much more. */
-const COLD_PEAK_SHARE = 0.5
+const COLD_MEMORY_SHARE = 0.5
 /** A cold prefill engine must be sooner by this many readings. */
-const COLD_READINGS = 1
+const COLD_PENALTY_PREFILLS = 1
 /** More than any peak: an engine whose answers come late is taken only where no other has room. */
-const POOR_COST = 1e12
+const POOR_PACE_COST = 1e12
 
 /** Engines that take part and do not change, by part and service, as read at one time for all waiting requests. */
-interface Works {
+interface AvailableEngines {
   at: Millis
   engines: Map<string, RegisteredEndpoint[]>
 }
@@ -62,254 +62,254 @@
 /** Chooses the engines of a request by the memory they will come to need and by what waits to be read. */
 export class EngineChoice {
   /** When each decode engine last began to read a prompt itself. */
-  private readonly readsItself = new Map<InstanceId, Millis>()
-  private works: Works = { at: -Infinity, engines: new Map() }
+  private readonly localPrefillAt = new Map<InstanceId, Millis>()
+  private availableCache: AvailableEngines = { at: -Infinity, engines: new Map() }
   /** What engines' paces mean for requests. */
   readonly fitness: EngineFitness
   /** What engines keep of prompts. */
-  readonly kept: KeptChoice
+  readonly cache: PrefixCacheTracker
   /** What ways between engines and entries count. */
   readonly distance: EngineDistance
 
   constructor(private readonly options: EngineChoiceOptions) {
     this.distance = new EngineDistance(options.topology)
     this.fitness = new EngineFitness(options)
-    this.kept = new KeptChoice({ ...options, fitness: this.fitness })
+    this.cache = new PrefixCacheTracker({ ...options, fitness: this.fitness })
   }
 
   /** Engines of a service that take part, whether they are sound or not. */
-  registered(service: string, stage: Stage): RegisteredEndpoint[] {
-    return this.enrolled(service, stage).filter((one) => !this.options.barred.has(one))
+  usable(service: string, stage: Stage): RegisteredEndpoint[] {
+    return this.registered(service, stage).filter((one) => !this.options.barred.has(one))
   }
 
   /** Whether a service has decode engines and every one must get nothing now. */
-  isEmptied(service: string): boolean {
-    const decoders = this.enrolled(service, 'decode')
+  isFullyBarred(service: string): boolean {
+    const decoders = this.registered(service, 'decode')
     return decoders.length > 0 && decoders.every((one) => this.options.barred.has(one))
   }
 
   /** Engines of a service that take part, with those that must get nothing now. */
-  enrolled(service: string, stage: Stage): RegisteredEndpoint[] {
+  registered(service: string, stage: Stage): RegisteredEndpoint[] {
     const { endpoints, health } = this.options
-    const there = endpoints().filter((one) => one.service === service && !health.isGone(one.id))
-    return newestPerAddress(there).filter((one) => one.stage === stage && one.state === 'ready')
+    const live = endpoints().filter((one) => one.service === service && !health.isGone(one.id))
+    return newestPerAddress(live).filter((one) => one.stage === stage && one.state === 'ready')
   }
 
   /** What is known of engines is read anew at the next choice. */
   refresh(): void {
-    this.works.at = -Infinity
+    this.availableCache.at = -Infinity
   }
 
   /** The engines for a request; undefined where it has to wait. */
-  choose(quest: EngineQuest, now: Millis): EnginePick | undefined {
-    const readers = quest.ask.isPrefilled ? [] : this.engines(quest.ask, 'prefill', now)
-    const fitting = this.fitting(quest, readers, now)
-    const first = fitting[0]
+  choose(query: EngineQuery, now: Millis): EnginePick | undefined {
+    const readers = query.ask.isPrefilled ? [] : this.candidates(query.ask, 'prefill', now)
+    const decoders = this.fittingDecoders(query, readers, now)
+    const first = decoders[0]
     if (first === undefined) return undefined
-    if (quest.ask.isPrefilled) return { decode: first, readsInMs: 0, queuedMs: 0 }
-    const keeper = this.kept.keeper(quest, fitting, now)
-    if (keeper !== undefined) return { decode: keeper, readsInMs: 0, queuedMs: 0, readTokens: 0 }
-    const apart = this.readApart(quest, first, readers, now)
-    if (apart !== undefined && !this.fitness.isSlowReader(apart.prefill!.id, now)) return apart
+    if (query.ask.isPrefilled) return { decode: first, readsInMs: 0, queuedMs: 0 }
+    const caching = this.cache.decoderCaching(query, decoders, now)
+    if (caching !== undefined) return { decode: caching, readsInMs: 0, queuedMs: 0, readTokens: 0 }
+    const separate = this.pickPrefillEngine(query, first, readers, now)
+    if (separate !== undefined && !this.fitness.isSlowPrefill(separate.prefill!.id, now)) return separate
     // A slow reader is used where no decode engine is sooner.
-    const own = this.readAtDecode(quest, fitting, readers, now)
-    if (apart === undefined || own === undefined) return apart ?? own
-    return own.readsInMs < apart.readsInMs ? own : apart
+    const local = this.pickLocalPrefill(query, decoders, readers, now)
+    if (separate === undefined || local === undefined) return separate ?? local
+    return local.readsInMs < separate.readsInMs ? local : separate
   }
 
   /** What is believed of the engines that a request could use. */
-  outlook(ask: PlaceAsk, now: Millis): EngineOutlook {
-    const { book } = this.options
-    const decoders = this.engines(ask, 'decode', now)
-    const readers = this.engines(ask, 'prefill', now)
+  summarize(ask: PlaceAsk, now: Millis): EngineSummary {
+    const { holds } = this.options
+    const decoders = this.candidates(ask, 'decode', now)
+    const readers = this.candidates(ask, 'prefill', now)
     const peaks = decoders.map(({ id }) => ({
       endpoint: id,
-      peak: Math.round(book.peakWith(ask, id, Infinity, now)),
-      running: book.countAt(id),
+      peak: Math.round(holds.peakWith(ask, id, Infinity, now)),
+      running: holds.countAt(id),
     }))
     const queues = readers.map(({ id }) => ({
       endpoint: id,
-      queuedMs: Math.round(book.prefillWait(id, now)),
+      queuedMs: Math.round(holds.prefillWaitMs(id, now)),
     }))
     return {
       decoders: decoders.length,
       readers: readers.length,
       roomiest: peaks.sort((left, right) => left.peak - right.peak)[0],
       soonest: queues.sort((left, right) => left.queuedMs - right.queuedMs)[0],
-      slow: this.fitness.slowOf({ decode: decoders, prefill: readers }, now),
-      cold: this.options.budgets.outlook([...decoders, ...readers], now),
+      slow: this.fitness.slowEngines({ decode: decoders, prefill: readers }, now),
+      cold: this.options.budgets.summarize([...decoders, ...readers], now),
     }
   }
 
   /** Until a cold decode engine may take another request, where all are cold and none may now; else undefined. */
-  coldWait(ask: PlaceAsk, now: Millis): Millis | undefined {
-    return this.options.budgets.waitFor(this.engines(ask, 'decode', now), ask, now)
+  coldWaitMs(ask: PlaceAsk, now: Millis): Millis | undefined {
+    return this.options.budgets.waitMs(this.candidates(ask, 'decode', now), ask, now)
   }
 
   /** Notes that a decode engine begins to read a prompt itself. */
-  noteReadsItself(id: InstanceId, now: Millis): void {
-    this.readsItself.set(id, now)
+  recordLocalPrefill(id: InstanceId, now: Millis): void {
+    this.localPrefillAt.set(id, now)
   }
 
   /** Forgets engines that are not registered any more. */
   keepOnly(ids: ReadonlySet<InstanceId>): void {
-    for (const id of this.readsItself.keys()) if (!ids.has(id)) this.readsItself.delete(id)
+    for (const id of this.localPrefillAt.keys()) if (!ids.has(id)) this.localPrefillAt.delete(id)
   }
 
   /** How long a decode engine takes to read a prompt, in milliseconds. */
-  ownReadingMs(ask: PlaceAsk, now: Millis): Millis {
-    return this.options.pace.typicalReadingMs(ask.promptTokens, now) * OWN_READING_FACTOR
+  localPrefillMs(ask: PlaceAsk, now: Millis): Millis {
+    return this.options.pace.typicalPrefillMs(ask.promptTokens, now) * LOCAL_PREFILL_FACTOR
   }
 
   /** Engines that may get the request now or in a moment; unsound ones only where no other decodes. */
-  engines(ask: PlaceAsk, stage: Stage, now: Millis): AtHome<RegisteredEndpoint>[] {
+  candidates(ask: PlaceAsk, stage: Stage, now: Millis): AtHome<RegisteredEndpoint>[] {
     // A reader whose answer was lost keeps the prompt: it answers at once.
-    const mayAgain = (one: RegisteredEndpoint) => stage === 'prefill' && this.kept.unread(ask, one) === 0
+    const mayRetry = (one: RegisteredEndpoint) => stage === 'prefill' && this.cache.uncached(ask, one) === 0
     const mayUse = (one: RegisteredEndpoint) =>
-      ask.avoid?.includes(one.id) !== true && (!ask.except.includes(one.id) || mayAgain(one))
-    const working = this.atHome(ask, this.working(ask.service, stage, now)).filter(mayUse)
-    const sound = working.filter((one) => this.options.health.isSound(one.id, now))
-    return sound.length > 0 || stage === 'prefill' ? sound : working
+      ask.avoid?.includes(one.id) !== true && (!ask.except.includes(one.id) || mayRetry(one))
+    const available = this.inRegions(ask, this.availableEngines(ask.service, stage, now)).filter(mayUse)
+    const healthy = available.filter((one) => this.options.health.isHealthy(one.id, now))
+    return healthy.length > 0 || stage === 'prefill' ? healthy : available
   }
 
   /** How many decode engines that take part lie in the regions of a request. */
-  countAtHome(ask: PlaceAsk): number {
-    return this.atHome(ask, this.registered(ask.service, 'decode')).length
+  countInRegions(ask: PlaceAsk): number {
+    return this.inRegions(ask, this.usable(ask.service, 'decode')).length
   }
 
-  private atHome(ask: PlaceAsk, engines: RegisteredEndpoint[]): AtHome<RegisteredEndpoint>[] {
+  private inRegions(ask: PlaceAsk, engines: RegisteredEndpoint[]): AtHome<RegisteredEndpoint>[] {
     return withinHomes(this.options.topology, engines, ({ zone }) => zone, ask.regions)
   }
 
   /** Read once for all requests that look for a place at one time. */
-  private working(service: string, stage: Stage, now: Millis): RegisteredEndpoint[] {
-    if (this.works.at !== now) this.works = { at: now, engines: new Map() }
+  private availableEngines(service: string, stage: Stage, now: Millis): RegisteredEndpoint[] {
+    if (this.availableCache.at !== now) this.availableCache = { at: now, engines: new Map() }
     const key = `${stage} ${service}`
-    const known = this.works.engines.get(key)
+    const known = this.availableCache.engines.get(key)
     if (known !== undefined) return known
-    const working = this.registered(service, stage).filter((one) => !this.options.isChanging(one.id, now))
-    this.works.engines.set(key, working)
-    return working
+    const available = this.usable(service, stage).filter((one) => !this.options.isChanging(one.id, now))
+    this.availableCache.engines.set(key, available)
+    return available
   }
 
   /** Decode engines into whose memory to come the request fits, the least filled for their pace first. */
-  private fitting(
-    quest: EngineQuest,
+  private fittingDecoders(
+    query: EngineQuery,
     readers: RegisteredEndpoint[],
     now: Millis,
   ): AtHome<RegisteredEndpoint>[] {
-    const { book, health, budgets } = this.options
-    const { ask, engine, memoryShare } = quest
+    const { holds, health, budgets } = this.options
+    const { ask, engine, memoryShare } = query
     const limit = engine.kvTokens * memoryShare
-    const engines = this.engines(ask, 'decode', now)
-    const fitness = this.fitness.ofAll(quest, engines, now)
+    const engines = this.candidates(ask, 'decode', now)
+    const fitness = this.fitness.assessAll(query, engines, now)
     const isSlow = (id: InstanceId) => fitness.get(id) === 'slow'
     // One that can be in time rather waits for an engine that is well, and is late for certain at a slow one.
-    const waitsForOthers = quest.isInTime && !ask.isPrefilled && engines.some(({ id }) => !isSlow(id))
-    const fits = engines
+    const waitsForOthers = query.isInTime && !ask.isPrefilled && engines.some(({ id }) => !isSlow(id))
+    const fitting = engines
       .filter(({ id }) => !health.isFull(id, now) && !(waitsForOthers && isSlow(id)))
       .filter((one) => budgets.mayDecode(one, ask, now))
-      .map((endpoint) => ({ endpoint, count: book.countAt(endpoint.id) }))
-      .filter(({ endpoint, count }) => count < this.fitness.mostAt(endpoint.id, engine, now))
+      .map((endpoint) => ({ endpoint, count: holds.countAt(endpoint.id) }))
+      .filter(({ endpoint, count }) => count < this.fitness.maxRunningAt(endpoint.id, engine, now))
       .map(({ endpoint: { id }, endpoint, count }) => ({
         endpoint,
-        peak: count === 0 ? 0 : book.peakWith(ask, id, limit, now),
+        peak: count === 0 ? 0 : holds.peakWith(ask, id, limit, now),
         isGood: fitness.get(id) === 'good',
         slowness: this.fitness.slowness(id, now),
         isCold: budgets.isCold(id, now),
       }))
       .filter(({ peak }) => peak <= limit)
-    const costOf = ({ endpoint, peak, isGood, slowness, isCold }: (typeof fits)[number]) =>
-      (isGood ? 0 : POOR_COST) +
-      (isCold ? limit * COLD_PEAK_SHARE : 0) +
+    const costOf = ({ endpoint, peak, isGood, slowness, isCold }: (typeof fitting)[number]) =>
+      (isGood ? 0 : POOR_PACE_COST) +
+      (isCold ? limit * COLD_MEMORY_SHARE : 0) +
       peak * slowness +
-      this.distance.tokensAround(ask, engine, endpoint, readers)
+      this.distance.decodeCostTokens(ask, engine, endpoint, readers)
     // Worked out once for each: the way to the nearest reader looks at all of them.
-    const costed = fits.map((one) => ({ endpoint: one.endpoint, cost: costOf(one) }))
-    costed.sort((left, right) => left.cost - right.cost)
-    return costed.map(({ endpoint }) => endpoint)
+    const ranked = fitting.map((one) => ({ endpoint: one.endpoint, cost: costOf(one) }))
+    ranked.sort((left, right) => left.cost - right.cost)
+    return ranked.map(({ endpoint }) => endpoint)
   }
 
   /** Engines that could go on with an answer that runs at another one: those that surely do well. */
-  takers(ask: PlaceAsk, engine: EnginePool, now: Millis): AtHome<RegisteredEndpoint>[] {
-    const { book, health, pace, budgets } = this.options
-    return this.engines(ask, 'decode', now).filter(
+  moveTargets(ask: PlaceAsk, engine: EnginePool, now: Millis): AtHome<RegisteredEndpoint>[] {
+    const { holds, health, pace, budgets } = this.options
+    return this.candidates(ask, 'decode', now).filter(
       ({ id }) =>
-        health.isSound(id, now) &&
-        budgets.isFree(id, now) &&
+        health.isHealthy(id, now) &&
+        budgets.isUnlimited(id, now) &&
         !health.isFull(id, now) &&
         !pace.isUnproven(id, 'decode', now) &&
-        pace.view(id, 'decode', now).slowness < SLOW_FROM &&
-        book.countAt(id) < engine.slots,
+        pace.view(id, 'decode', now).slowness < SLOW_FACTOR &&
+        holds.countAt(id) < engine.slots,
     )
   }
 
   /** How long an engine needs for some tokens of one answer. */
   decodingMs(tokens: number, decode: InstanceId, now: Millis): Millis {
-    return tokens * this.options.pace.decodingMs(decode, now)
+    return tokens * this.options.pace.msPerToken(decode, now)
   }
 
   /** The prefill engine that comes to the prompt first, where that is soon enough. */
-  private readApart(
-    quest: EngineQuest,
+  private pickPrefillEngine(
+    query: EngineQuery,
     decode: AtHome<RegisteredEndpoint>,
     readers: AtHome<RegisteredEndpoint>[],
     now: Millis,
   ): EnginePick | undefined {
-    const { book, health, pace, budgets } = this.options
-    const { promptTokens } = quest.ask
-    const way = { promptTokens, readingMs: pace.readingMs(promptTokens), engine: quest.engine }
-    const unread = (reader: RegisteredEndpoint) => this.kept.unread(quest.ask, reader)
+    const { holds, health, pace, budgets } = this.options
+    const { promptTokens } = query.ask
+    const prompt = { promptTokens, prefillMs: pace.prefillMs(promptTokens), engine: query.engine }
+    const uncached = (reader: RegisteredEndpoint) => this.cache.uncached(query.ask, reader)
     const waits = readers
       .filter((endpoint) => !health.isFull(endpoint.id, now) && budgets.mayRead(endpoint, now))
       .map((prefill) => ({
         prefill,
-        queuedMs: book.prefillWait(prefill.id, now),
-        readingMs: pace.readingMsAt(prefill.id, promptTokens, now),
-        keptMs: pace.readingMsAt(prefill.id, promptTokens - unread(prefill), now),
+        queuedMs: holds.prefillWaitMs(prefill.id, now),
+        prefillMs: pace.prefillMsAt(prefill.id, promptTokens, now),
+        cachedMs: pace.prefillMsAt(prefill.id, promptTokens - uncached(prefill), now),
       }))
-      .filter(({ prefill }) => !book.isReading(prefill.id) || !this.fitness.mayNotQueue(prefill.id, now))
-    const costOf = ({ prefill, queuedMs, readingMs, keptMs }: (typeof waits)[number]) =>
+      .filter(({ prefill }) => !holds.isPrefilling(prefill.id) || !this.fitness.mustNotQueue(prefill.id, now))
+    const costOf = ({ prefill, queuedMs, prefillMs, cachedMs }: (typeof waits)[number]) =>
       queuedMs +
-      readingMs -
-      keptMs +
-      (budgets.isCold(prefill.id, now) ? pace.readingMs(promptTokens) * COLD_READINGS : 0) +
-      this.distance.readingMs(prefill, decode, way)
+      prefillMs -
+      cachedMs +
+      (budgets.isCold(prefill.id, now) ? pace.prefillMs(promptTokens) * COLD_PENALTY_PREFILLS : 0) +
+      this.distance.prefillCostMs(prefill, decode, prompt)
     waits.sort((left, right) => costOf(left) - costOf(right))
     const soonest = waits[0]
     if (soonest === undefined) return undefined
-    const { prefill, queuedMs, readingMs } = soonest
-    const readsInMs = queuedMs + readingMs + pace.readingLatencyMs()
-    if (readsInMs > this.readingLimit(quest)) return undefined
-    const readElsewhereInMs = this.readElsewhereIn(quest, readsInMs)
-    return { decode, prefill, queuedMs, readsInMs, readElsewhereInMs, readTokens: unread(prefill) }
+    const { prefill, queuedMs, prefillMs } = soonest
+    const readsInMs = queuedMs + prefillMs + pace.prefillLatencyMs()
+    if (readsInMs > this.prefillLimitMs(query)) return undefined
+    const readElsewhereInMs = this.retryPrefillWithinMs(query, readsInMs)
+    return { decode, prefill, queuedMs, readsInMs, readElsewhereInMs, readTokens: uncached(prefill) }
   }
 
   /** Until when another engine could still read it in time; absent where this one, being well, may need longer. */
-  private readElsewhereIn({ ask, leftMs }: EngineQuest, readsInMs: Millis): Millis | undefined {
+  private retryPrefillWithinMs({ ask, leftMs }: EngineQuery, readsInMs: Millis): Millis | undefined {
     const { pace } = this.options
-    const untilMs = Math.floor(leftMs - START_MS - pace.readingMs(ask.promptTokens) - pace.readingLatencyMs())
-    return untilMs >= readsInMs * LATE_FROM ? untilMs : undefined
+    const maxMs = Math.floor(leftMs - STARTUP_MS - pace.prefillMs(ask.promptTokens) - pace.prefillLatencyMs())
+    return maxMs >= readsInMs * PREFILL_LATE_FACTOR ? maxMs : undefined
   }
 
   /** The decode engine that reads the prompt itself, where it comes to it soon enough. */
-  private readAtDecode(
-    quest: EngineQuest,
-    fitting: AtHome<RegisteredEndpoint>[],
+  private pickLocalPrefill(
+    query: EngineQuery,
+    decoders: AtHome<RegisteredEndpoint>[],
     readers: AtHome<RegisteredEndpoint>[],
     now: Millis,
   ): EnginePick | undefined {
-    const { book, health } = this.options
+    const { holds, health } = this.options
     // Engines that have just refused are back in a moment, unless they do nothing else.
-    const isAlone = readers.every(({ id }) => health.isBusy(id) || this.fitness.isSlowReader(id, now))
-    if (!isAlone && (!quest.isInTime || readers.every((endpoint) => health.isFull(endpoint.id, now))))
+    const isAlone = readers.every(({ id }) => health.isBusy(id) || this.fitness.isSlowPrefill(id, now))
+    if (!isAlone && (!query.isInTime || readers.every((endpoint) => health.isFull(endpoint.id, now))))
       return undefined
-    const ownMs = this.ownReadingMs(quest.ask, now)
-    const picks = fitting
-      .filter((endpoint) => isAlone || this.mayReadItself(endpoint.id, ownMs, now))
-      .map((decode) => ({ decode, queuedMs: book.ownReadings.wait(decode.id, now) }))
-      .filter(({ queuedMs }) => queuedMs + ownMs <= this.readingLimit(quest, ownMs))
-      .filter(({ decode, queuedMs }) => !this.holdsUpAnswers(quest, decode.id, queuedMs + ownMs, now))
+    const ownMs = this.localPrefillMs(query.ask, now)
+    const picks = decoders
+      .filter((endpoint) => isAlone || this.mayPrefillLocally(endpoint.id, ownMs, now))
+      .map((decode) => ({ decode, queuedMs: holds.localPrefills.waitMs(decode.id, now) }))
+      .filter(({ queuedMs }) => queuedMs + ownMs <= this.prefillLimitMs(query, ownMs))
+      .filter(({ decode, queuedMs }) => !this.stallsAnswers(query, decode.id, queuedMs + ownMs, now))
     picks.sort((left, right) => left.queuedMs - right.queuedMs)
     const soonest = picks[0]
     return soonest === undefined ? undefined : { ...soonest, readsInMs: soonest.queuedMs + ownMs }
@@ -319,32 +319,32 @@
    * Whether the answers that run at a decode engine would pause too long while it reads for so long: it makes one
    * token of each for a piece of the prompt, and an event takes several.
    */
-  private holdsUpAnswers(quest: EngineQuest, decode: InstanceId, readsForMs: Millis, now: Millis): boolean {
-    const { book, pace } = this.options
-    const { ask, engine } = quest
-    if (ask.pauseMs === undefined || book.countAt(decode) === 0) return false
-    const eventMs = pace.decodingMs(decode, now) * engine.tokensPerEvent
+  private stallsAnswers(query: EngineQuery, decode: InstanceId, prefillForMs: Millis, now: Millis): boolean {
+    const { holds, pace } = this.options
+    const { ask, engine } = query
+    if (ask.pauseMs === undefined || holds.countAt(decode) === 0) return false
+    const eventMs = pace.msPerToken(decode, now) * engine.tokensPerEvent
     // Answers have had no event since the last prompt that was read there, unless enough time has passed.
-    const sinceLastMs = book.ownReadings.since(decode, now)
-    if (sinceLastMs < eventMs + this.ownReadingMs(ask, now) * READING_VARIES) return true
-    return readsForMs + eventMs > ask.pauseMs * LONGEST_PAUSE_SHARE
+    const sinceLastMs = holds.localPrefills.sinceEndMs(decode, now)
+    if (sinceLastMs < eventMs + this.localPrefillMs(ask, now) * PREFILL_VARIATION) return true
+    return prefillForMs + eventMs > ask.pauseMs * MAX_PAUSE_SHARE
   }
 
   /**
    * By when the prompt must have been read.
    * @param aloneMs how long that takes where nothing waits before it, where that is not a prefill engine's time.
    */
-  private readingLimit({ ask, isInTime, leftMs }: EngineQuest, aloneMs?: Millis): Millis {
+  private prefillLimitMs({ ask, isInTime, leftMs }: EngineQuery, aloneMs?: Millis): Millis {
     const { pace } = this.options
-    if (isInTime) return leftMs - START_MS
-    const ownMs = aloneMs ?? pace.readingMs(ask.promptTokens)
-    const lateMs = Math.min(ownMs * LATE_READINGS, ownMs + LATE_QUEUE_MS) + pace.readingLatencyMs()
+    if (isInTime) return leftMs - STARTUP_MS
+    const ownMs = aloneMs ?? pace.prefillMs(ask.promptTokens)
+    const lateMs = Math.min(ownMs * MAX_LATE_PREFILLS, ownMs + MAX_LATE_QUEUE_MS) + pace.prefillLatencyMs()
     // Whose caller leaves before the first event is read in vain, and holds up others meanwhile.
     const patienceMs = (ask.patienceMs ?? Infinity) - (ask.targetMs - leftMs)
-    return Math.min(lateMs, (patienceMs - START_MS) / LATE_FROM)
+    return Math.min(lateMs, (patienceMs - STARTUP_MS) / PREFILL_LATE_FACTOR)
   }
 
-  private mayReadItself(id: InstanceId, ownMs: Millis, now: Millis): boolean {
-    return now - (this.readsItself.get(id) ?? -Infinity) >= ownMs / OWN_READING_SHARE
+  private mayPrefillLocally(id: InstanceId, ownMs: Millis, now: Millis): boolean {
+    return now - (this.localPrefillAt.get(id) ?? -Infinity) >= ownMs / LOCAL_PREFILL_SHARE
   }
 }
--- a/placement/allocator/src/enginePace.ts
+++ b/placement/allocator/src/enginePace.ts
@@ -1,16 +1,16 @@
 import type { InstanceId, Stage } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
-import { PeerPace, SLOW_FROM, type PaceView } from './peerPace'
-import { ReadingLine } from './readingLine'
+import { PeerPace, SLOW_FACTOR, type PaceView } from './peerPace'
+import { PrefillTimeModel } from './prefillTimeModel'
 
 /** Believed until the first answer or report has told better; a step of a model takes some milliseconds. */
-const FIRST_MS_PER_TOKEN = 3
+const PRIOR_MS_PER_TOKEN = 3
 /** A prompt that was read in less than this share of the time foreseen was partly kept. */
-const LEAST_READING_SHARE = 0.8
+const MIN_PREFILL_SHARE = 0.8
 /** A prompt that took longer than this share of what was to be read of it was not kept as was believed. */
-const MOST_READING_SHARE = 1.25
+const MAX_PREFILL_SHARE = 1.25
 /** A prompt ends each few hundred milliseconds at a reader that has work: a few of them decide. */
-const READING_MEMORY_MS = 1_000
+const PREFILL_MEMORY_MS = 1_000
 /** Entries report each answer's progress each 400 ms: an engine turns slow within a moment, and well again. */
 const DECODING_MEMORY_MS = 500
 
@@ -18,7 +18,7 @@
 export type OnEnginePaceChange = (id: InstanceId, stage: Stage, isSlow: boolean, view: PaceView) => void
 
 /** A prompt that was read, or was given up. */
-export interface ReadPrompt {
+export interface PrefillSample {
   promptTokens: number
   /** The tokens that it had to read of them, as was believed; all where absent. */
   readTokens?: number
@@ -32,7 +32,7 @@
 
 /** How fast engines read and make tokens, learned from what they do. Outlives a term, unlike places. */
 export class EnginePace {
-  private readonly line = new ReadingLine()
+  private readonly prefillModel = new PrefillTimeModel()
   /** Time for each millisecond that the line foretells. */
   private readonly readers: PeerPace
   /** Time for each token of one answer. */
@@ -45,11 +45,11 @@
     onChange: OnEnginePaceChange = () => undefined,
     private readonly isCold: (engine: InstanceId, at: Millis) => boolean = () => false,
   ) {
-    this.readers = new PeerPace({ ms: 1, isGuess: false }, READING_MEMORY_MS, (id, isSlow, view) =>
+    this.readers = new PeerPace({ ms: 1, isGuess: false }, PREFILL_MEMORY_MS, (id, isSlow, view) =>
       onChange(id, 'prefill', isSlow, view),
     )
     this.decoders = new PeerPace(
-      { ms: FIRST_MS_PER_TOKEN, isGuess: true },
+      { ms: PRIOR_MS_PER_TOKEN, isGuess: true },
       DECODING_MEMORY_MS,
       (id, isSlow, view) => onChange(id, 'decode', isSlow, view),
     )
@@ -61,34 +61,34 @@
   }
 
   /** How long a prefill engine that is well is busy with a prompt, in milliseconds: the next one begins then. */
-  readingMs(promptTokens: number): Millis {
-    return this.line.busyMs(promptTokens)
+  prefillMs(promptTokens: number): Millis {
+    return this.prefillModel.busyMs(promptTokens)
   }
 
   /** The same of engines as they are now: when all are slow alike, the line follows by and by only. */
-  typicalReadingMs(promptTokens: number, now: Millis): Millis {
+  typicalPrefillMs(promptTokens: number, now: Millis): Millis {
     // A single reader that is slow says nothing of the others.
     const factor = this.readers.count < 2 ? 1 : Math.max(1, this.readers.typicalMs(now))
-    return this.line.busyMs(promptTokens) * factor
+    return this.prefillModel.busyMs(promptTokens) * factor
   }
 
   /** The same of one engine, by its own pace. */
-  readingMsAt(engine: InstanceId, promptTokens: number, now: Millis): Millis {
-    return this.line.busyMs(promptTokens) * this.readers.view(engine, now).ms
+  prefillMsAt(engine: InstanceId, promptTokens: number, now: Millis): Millis {
+    return this.prefillModel.busyMs(promptTokens) * this.readers.view(engine, now).ms
   }
 
   /** How much longer it takes until the entry hears of it, whatever the length: the engine reads on meanwhile. */
-  readingLatencyMs(): Millis {
-    return this.line.latencyMs()
+  prefillLatencyMs(): Millis {
+    return this.prefillModel.latencyMs()
   }
 
   /** How long an engine takes for one token of an answer; of one that has shown nothing yet, as its peers. */
-  decodingMs(engine: InstanceId, now: Millis): Millis {
+  msPerToken(engine: InstanceId, now: Millis): Millis {
     return this.decoders.view(engine, now).ms
   }
 
   /** The same of engines that are well. */
-  typicalDecodingMs(now: Millis): Millis {
+  typicalMsPerToken(now: Millis): Millis {
     return this.decoders.typicalMs(now)
   }
 
@@ -103,16 +103,16 @@
   }
 
   /** Learns from a prompt that an engine has read, or has not read in the time it was given. */
-  learnReading(engine: InstanceId, read: ReadPrompt, now: Millis): void {
+  learnPrefill(engine: InstanceId, read: PrefillSample, now: Millis): void {
     const { tookMs, isAlone, isGivenUp } = read
     const tokens = this.tokensRead(read)
     if (tokens === undefined || this.isCold(engine, now - tookMs)) return
-    const expectedMs = this.line.busyMs(tokens) + (isAlone ? this.line.latencyMs() : 0)
+    const expectedMs = this.prefillModel.busyMs(tokens) + (isAlone ? this.prefillModel.latencyMs() : 0)
     // What an engine had kept of a prompt it need not read: that says nothing of its pace.
-    this.readers.learn(engine, expectedMs, Math.max(tookMs, expectedMs * LEAST_READING_SHARE), now)
+    this.readers.learn(engine, expectedMs, Math.max(tookMs, expectedMs * MIN_PREFILL_SHARE), now)
     if (!isAlone || isGivenUp) return
     // The line says what engines do that are well; when all are slow alike it follows.
-    if (this.readers.view(engine, now).slowness < SLOW_FROM) this.line.learn(tokens, tookMs)
+    if (this.readers.view(engine, now).slowness < SLOW_FACTOR) this.prefillModel.learn(tokens, tookMs)
   }
 
   /** Learns from tokens of one answer that an engine made in a time, or from their lack. */
@@ -139,13 +139,13 @@
     readTokens = promptTokens,
     tookMs,
     isAlone,
-  }: ReadPrompt): number | undefined {
+  }: PrefillSample): number | undefined {
     if (readTokens >= promptTokens) return promptTokens
-    const latencyMs = isAlone ? this.line.latencyMs() : 0
+    const latencyMs = isAlone ? this.prefillModel.latencyMs() : 0
     // Longer than the whole prompt should take: the engine is slow, whatever it had kept.
-    if (tookMs > this.line.busyMs(promptTokens) + latencyMs) return promptTokens
-    const mostMs = this.line.busyMs(readTokens) * MOST_READING_SHARE + latencyMs
-    return readTokens > 0 && tookMs <= mostMs ? readTokens : undefined
+    if (tookMs > this.prefillModel.busyMs(promptTokens) + latencyMs) return promptTokens
+    const maxMs = this.prefillModel.busyMs(readTokens) * MAX_PREFILL_SHARE + latencyMs
+    return readTokens > 0 && tookMs <= maxMs ? readTokens : undefined
   }
 
   private at(stage: Stage): PeerPace {
--- a/placement/allocator/src/enginePick.ts
+++ b/placement/allocator/src/enginePick.ts
@@ -3,7 +3,7 @@
 import type { AtHome } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PlaceAsk } from './allocatorTypes'
-import type { ColdOutlook } from './coldBudget'
+import type { ColdSummary } from './coldBudget'
 import type { SlowEngine } from './engineFitness'
 
 /** Where a request would go, and when its prompt would have been read. */
@@ -22,7 +22,7 @@
 }
 
 /** A request that looks for a place, and what it may still wait for. */
-export interface EngineQuest {
+export interface EngineQuery {
   ask: PlaceAsk
   engine: EnginePool
   /** Whether its first event can still be in time. */
@@ -34,7 +34,7 @@
 }
 
 /** What stood behind a decision, for its log line. */
-export interface EngineOutlook {
+export interface EngineSummary {
   /** Decode and prefill engines that take work. */
   decoders: number
   readers: number
@@ -45,5 +45,5 @@
   /** Engines that are slower than their peers: how many times, and how old that evidence is. */
   slow: SlowEngine[]
   /** Absent where none is cold. */
-  cold?: ColdOutlook
+  cold?: ColdSummary
 }
--- a/placement/allocator/src/holdIndex.ts
+++ b/placement/allocator/src/holdIndex.ts
@@ -5,14 +5,14 @@
 export type HoldIndex = Map<InstanceId, Set<Hold>>
 
 /** Adds a hold at an engine. */
-export function addTo(index: HoldIndex, id: InstanceId, hold: Hold): void {
+export function addHold(index: HoldIndex, id: InstanceId, hold: Hold): void {
   const holds = index.get(id) ?? new Set()
   index.set(id, holds)
   holds.add(hold)
 }
 
 /** Takes a hold out; an engine without holds is forgotten. */
-export function removeFrom(index: HoldIndex, id: InstanceId, hold: Hold): void {
+export function removeHold(index: HoldIndex, id: InstanceId, hold: Hold): void {
   const holds = index.get(id)
   holds?.delete(hold)
   if (holds?.size === 0) index.delete(id)
--- a/placement/allocator/src/holdBook.ts
+++ b/placement/allocator/src/holdRegistry.ts
@@ -2,25 +2,25 @@
 import type { Millis } from '@forkstage/types'
 import type { Hold, PlaceAsk, ReportedHold } from './allocatorTypes'
 import type { EnginePace } from './enginePace'
-import { addTo, removeFrom, type HoldIndex } from './holdIndex'
+import { addHold, removeHold, type HoldIndex } from './holdIndex'
 import { lengthQuantile, type LengthForecast } from './lengthForecast'
-import { OwnReadings } from './ownReadings'
-import { peakMemory, type Growing } from './peakMemory'
+import { LocalPrefills } from './localPrefills'
+import { peakMemory, type GrowingAnswer } from './peakMemory'
 
 /** A hold that its entry does not name is dropped once it is this old: before that its place may be on its way. */
-const UNNAMED_HOLD_MS = 1_000
+const UNREPORTED_HOLD_MS = 1_000
 /** What an answer made before it was first heard of counts as so much time. */
-const BEGINNING_MS = 1_000
+const MAX_FIRST_REPORT_MS = 1_000
 /** Of a shorter time the way to the engine and the first event are too large a part. */
-const SHORTEST_BEGINNING_MS = 800
+const MIN_FIRST_REPORT_MS = 800
 /** An engine that reads a prompt itself still makes some tokens between its pieces; they count at least so much time. */
-const LEAST_DECODING_SHARE = 0.2
+const MIN_DECODING_SHARE = 0.2
 /** An answer whose entry still reports it where it was so long after it should have left has stayed there. */
-const MOVES_WITHIN_MS = 3_000
+const MOVE_TIMEOUT_MS = 3_000
 const NO_HOLDS: ReadonlySet<Hold> = new Set()
 
-/** Options of {@link HoldBook}. */
-export interface HoldBookOptions {
+/** Options of {@link HoldRegistry}. */
+export interface HoldRegistryOptions {
   /** How sure a forecast of a length must be, from 0 to 1. */
   lengthCertainty: number
   pace: EnginePace
@@ -28,28 +28,28 @@
 }
 
 /** What a decode engine's answers hold and will come to hold, as forecast at one time. */
-interface Outlook {
+interface MemoryForecast {
   at: Millis
-  growing: Growing[]
+  growing: GrowingAnswer[]
   /** Tokens held at that time. */
   held: number
 }
 
 /** The places that are taken, and what they hold and will come to hold. */
-export class HoldBook {
+export class HoldRegistry {
   private readonly holds = new Map<string, Hold>()
   private readonly byDecode: HoldIndex = new Map()
   private readonly byPrefill: HoldIndex = new Map()
   /** Forecasts are worked out once for all requests that look for a place at one time. */
-  private readonly outlooks = new Map<InstanceId, Outlook>()
-  private readonly asked = new WeakMap<PlaceAsk, { at: Millis; growing: Growing }>()
+  private readonly forecasts = new Map<InstanceId, MemoryForecast>()
+  private readonly asked = new WeakMap<PlaceAsk, { at: Millis; growing: GrowingAnswer }>()
 
   /** What decode engines read themselves. */
-  readonly ownReadings = new OwnReadings()
+  readonly localPrefills = new LocalPrefills()
   /** When each prefill engine last ended a prompt. */
-  private readonly readAt = new Map<InstanceId, Millis>()
+  private readonly prefillEndedAt = new Map<InstanceId, Millis>()
 
-  constructor(private readonly options: HoldBookOptions) {}
+  constructor(private readonly options: HoldRegistryOptions) {}
 
   get size(): number {
     return this.holds.size
@@ -62,51 +62,51 @@
   add(hold: Hold): void {
     this.remove(hold.ask.request)
     this.holds.set(hold.ask.request, hold)
-    addTo(this.byDecode, hold.decode, hold)
-    if (hold.prefill !== undefined) addTo(this.byPrefill, hold.prefill, hold)
+    addHold(this.byDecode, hold.decode, hold)
+    if (hold.prefill !== undefined) addHold(this.byPrefill, hold.prefill, hold)
     else if (!hold.ask.isPrefilled && hold.decodingAt !== undefined && hold.readTokens !== 0)
-      this.ownReadings.note(hold.decode, hold.decodingAt)
-    this.outlooks.delete(hold.decode)
+      this.localPrefills.extend(hold.decode, hold.decodingAt)
+    this.forecasts.delete(hold.decode)
   }
 
   remove(request: string): void {
     const hold = this.holds.get(request)
     if (hold === undefined) return
     this.holds.delete(request)
-    removeFrom(this.byDecode, hold.decode, hold)
-    if (hold.prefill !== undefined) removeFrom(this.byPrefill, hold.prefill, hold)
-    this.outlooks.delete(hold.decode)
+    removeHold(this.byDecode, hold.decode, hold)
+    if (hold.prefill !== undefined) removeHold(this.byPrefill, hold.prefill, hold)
+    this.forecasts.delete(hold.decode)
   }
 
   /** Notes that a request's prompt has been read, or when its decode engine will have read it. */
-  noteDecoding(hold: Hold, at: Millis, isReadThere: boolean): void {
+  recordDecoding(hold: Hold, at: Millis, isLocal: boolean): void {
     hold.decodingAt = at
-    if (isReadThere) this.ownReadings.note(hold.decode, at)
-    this.outlooks.delete(hold.decode)
+    if (isLocal) this.localPrefills.extend(hold.decode, at)
+    this.forecasts.delete(hold.decode)
   }
 
   /**
    * Takes what an entry says it holds: adopts what is not known here, drops what it no longer names.
    * @returns decode engines that have made tokens since the last report.
    */
-  adopt(entry: string, reported: ReportedHold[], now: Millis): InstanceId[] {
+  applyReport(entry: string, reported: ReportedHold[], now: Millis): InstanceId[] {
     const named = new Set(reported.map((one) => one.ask.request))
     this.removeWhere(
       ({ ask, placedAt }) =>
-        ask.entry === entry && !named.has(ask.request) && now - placedAt > UNNAMED_HOLD_MS,
+        ask.entry === entry && !named.has(ask.request) && now - placedAt > UNREPORTED_HOLD_MS,
     )
-    return reported.filter((one) => this.take(one, now)).map(({ decode }) => decode)
+    return reported.filter((one) => this.applyReportedHold(one, now)).map(({ decode }) => decode)
   }
 
   /** Drops what an entry held that is gone. */
-  dropEntry(entry: string): void {
+  removeEntry(entry: string): void {
     this.removeWhere(({ ask }) => ask.entry === entry)
   }
 
   /** Forgets engines that are not registered any more. */
   keepOnly(ids: ReadonlySet<InstanceId>): void {
-    for (const id of this.readAt.keys()) if (!ids.has(id)) this.readAt.delete(id)
-    this.ownReadings.keepOnly(ids)
+    for (const id of this.prefillEndedAt.keys()) if (!ids.has(id)) this.prefillEndedAt.delete(id)
+    this.localPrefills.keepOnly(ids)
   }
 
   countAt(decode: InstanceId): number {
@@ -115,10 +115,10 @@
 
   /** How long an engine is forecast to be busy with what it has, in milliseconds. */
   freeInMs(id: InstanceId, now: Millis): Millis {
-    const perToken = this.options.pace.decodingMs(id, now)
-    const { growing } = this.outlookOf(id, now)
-    const decodingMs = growing.reduce((longest, { toCome }) => Math.max(longest, toCome * perToken), 0)
-    return Math.max(decodingMs, this.prefillWait(id, now))
+    const perToken = this.options.pace.msPerToken(id, now)
+    const { growing } = this.memoryForecast(id, now)
+    const decodingMs = growing.reduce((longest, { remaining }) => Math.max(longest, remaining * perToken), 0)
+    return Math.max(decodingMs, this.prefillWaitMs(id, now))
   }
 
   /**
@@ -126,30 +126,30 @@
    * more than `limit`.
    */
   peakWith(ask: PlaceAsk, decode: InstanceId, limit: number, now: Millis): number {
-    const { growing, held } = this.outlookOf(decode, now)
-    const added = this.growingOf(ask, now)
+    const { growing, held } = this.memoryForecast(decode, now)
+    const added = this.askForecast(ask, now)
     if (held + added.held > limit) return Infinity
     return peakMemory([...growing, added])
   }
 
   /** How long a prompt waits at a prefill engine until it is its turn, in milliseconds. */
-  prefillWait(prefill: InstanceId, now: Millis): Millis {
+  prefillWaitMs(prefill: InstanceId, now: Millis): Millis {
     const { pace } = this.options
-    const msOf = ({ ask, readTokens }: Hold) => pace.readingMsAt(prefill, readTokens ?? ask.promptTokens, now)
-    return this.readingAt(prefill).reduce((sum, hold) => sum + msOf(hold), 0)
+    const msOf = ({ ask, readTokens }: Hold) => pace.prefillMsAt(prefill, readTokens ?? ask.promptTokens, now)
+    return this.prefillingAt(prefill).reduce((sum, hold) => sum + msOf(hold), 0)
   }
 
   /**
    * How many times longer than it should the prompt that a prefill engine reads now has taken already; 0 where it
    * reads none. What is under way and late is the earliest sign of an engine that has turned slow.
    */
-  overdue(prefill: InstanceId, now: Millis): number {
+  overdueFactor(prefill: InstanceId, now: Millis): number {
     const { pace } = this.options
-    const first = this.readingAt(prefill).sort((left, right) => left.placedAt - right.placedAt)[0]
+    const first = this.prefillingAt(prefill).sort((left, right) => left.placedAt - right.placedAt)[0]
     // What another one placed may have waited behind what this one does not know.
     if (first === undefined || first.isAdopted === true) return 0
-    const since = Math.max(first.placedAt, this.readAt.get(prefill) ?? -Infinity)
-    return (now - since) / (pace.readingMs(first.ask.promptTokens) + pace.readingLatencyMs())
+    const since = Math.max(first.placedAt, this.prefillEndedAt.get(prefill) ?? -Infinity)
+    return (now - since) / (pace.prefillMs(first.ask.promptTokens) + pace.prefillLatencyMs())
   }
 
   /**
@@ -157,35 +157,35 @@
    * @param tookMs from the sending of the prompt.
    * @param isGivenUp whether it was not read in that time.
    */
-  noteRead(hold: Hold, tookMs: Millis, isGivenUp: boolean, now: Millis): void {
+  recordPrefillEnd(hold: Hold, tookMs: Millis, isGivenUp: boolean, now: Millis): void {
     const { prefill, isAdopted, ask } = hold
     if (prefill === undefined) return
-    const tookAloneMs = this.readingTime(hold, tookMs, now)
-    this.readAt.set(prefill, now)
+    const busyMs = this.prefillTimeMs(hold, tookMs, now)
+    this.prefillEndedAt.set(prefill, now)
     // Another engine may have read it before this one, or this one itself: what it kept is not read again.
     if (isAdopted === true || ask.except.length > 0) return
     const isAlone = hold.isReadAlone === true
     const read = { promptTokens: ask.promptTokens, readTokens: hold.readTokens, isAlone, isGivenUp }
-    this.options.pace.learnReading(prefill, { ...read, tookMs: tookAloneMs }, now)
+    this.options.pace.learnPrefill(prefill, { ...read, tookMs: busyMs }, now)
   }
 
   /** How long a prefill engine was busy with a prompt at most: since its sending, or since the one before it ended. */
-  readingTime({ prefill, isReadAlone }: Hold, tookMs: Millis, now: Millis): Millis {
-    const freeForMs = now - (this.readAt.get(prefill ?? '') ?? -Infinity)
+  prefillTimeMs({ prefill, isReadAlone }: Hold, tookMs: Millis, now: Millis): Millis {
+    const freeForMs = now - (this.prefillEndedAt.get(prefill ?? '') ?? -Infinity)
     return isReadAlone === true ? tookMs : Math.min(tookMs, freeForMs)
   }
 
   /** How many tokens an answer is forecast to have, as surely as forecasts must be. */
-  lengthOf(ask: PlaceAsk): number {
+  forecastLength(ask: PlaceAsk): number {
     const { forecast, lengthCertainty } = this.options
-    const prior = forecast.expect(ask.className, ask.hintTokens, ask.mostTokens)
+    const prior = forecast.predict(ask.className, ask.hintTokens, ask.mostTokens)
     return lengthQuantile(prior, 0, ask.mostTokens, lengthCertainty)
   }
 
   /** The memory that a request will hold, over the tokens that it makes meanwhile: tokens times tokens. */
-  heldTokens(ask: PlaceAsk): number {
+  forecastTokenSteps(ask: PlaceAsk): number {
     const { forecast } = this.options
-    const prior = forecast.expect(ask.className, ask.hintTokens, ask.mostTokens)
+    const prior = forecast.predict(ask.className, ask.hintTokens, ask.mostTokens)
     const length = Math.min(ask.mostTokens, Math.exp(prior.mu + prior.sigma ** 2 / 2))
     return (ask.promptTokens + length / 2) * length
   }
@@ -198,25 +198,25 @@
   }
 
   /** Takes what is said of one request; says whether tokens have been made since the last time. */
-  private take(reported: ReportedHold, now: Millis): boolean {
+  private applyReportedHold(reported: ReportedHold, now: Millis): boolean {
     const { ask, prefill, decode, ageMs, decodingForMs, madeTokens } = reported
     const decodingAt = decodingForMs === undefined ? undefined : now - decodingForMs
     if (!this.holds.has(ask.request))
       this.add({ ask, prefill, decode, placedAt: now - ageMs, decodingAt, isAdopted: true })
     if (madeTokens === undefined || decodingForMs === undefined) return false
     const hold = this.holds.get(ask.request)!
-    const position = this.followTo(hold, decode, now)
+    const position = this.syncEngine(hold, decode, now)
     if (position === 'leaving') return false
     const hasMade = position === 'there' && madeTokens > (hold.made?.tokens ?? 0)
     if (position === 'there') this.learnReport(hold, madeTokens, decodingForMs, now)
     hold.made = { tokens: madeTokens, at: now, forMs: decodingForMs }
-    this.outlooks.delete(hold.decode)
+    this.forecasts.delete(hold.decode)
     return hasMade
   }
 
   /** The entry's own clock says what passed between its reports, however late they come. */
   private learnReport(hold: Hold, madeTokens: number, decodingForMs: Millis, now: Millis): void {
-    if (hold.made === undefined) return this.learnBeginning(hold, madeTokens, decodingForMs, now)
+    if (hold.made === undefined) return this.learnFirstReport(hold, madeTokens, decodingForMs, now)
     this.learnProgress(hold, madeTokens, decodingForMs - hold.made.forMs, now)
   }
 
@@ -224,12 +224,12 @@
    * Follows an answer to the engine where its entry reports it. Only of one that was `there` before does its progress
    * say something of that engine: what one that has `arrived` made since the last report was made at two.
    */
-  private followTo(hold: Hold, decode: InstanceId, now: Millis): 'there' | 'arrived' | 'leaving' {
+  private syncEngine(hold: Hold, decode: InstanceId, now: Millis): 'there' | 'arrived' | 'leaving' {
     const { leaves } = hold
     if (hold.decode === decode && leaves === undefined) return 'there'
     if (hold.decode !== decode) {
-      if (leaves?.from === decode && now - leaves.since < MOVES_WITHIN_MS) return 'leaving'
-      this.rebook(hold, decode)
+      if (leaves?.from === decode && now - leaves.since < MOVE_TIMEOUT_MS) return 'leaving'
+      this.reassign(hold, decode)
     }
     hold.leaves = undefined
     return 'arrived'
@@ -238,15 +238,15 @@
   /** Notes that an answer is to go on at another engine: what it holds counts there from now on. */
   move(hold: Hold, to: InstanceId, now: Millis): void {
     hold.leaves = { from: hold.decode, since: now }
-    this.rebook(hold, to)
+    this.reassign(hold, to)
   }
 
-  private rebook(hold: Hold, decode: InstanceId): void {
-    removeFrom(this.byDecode, hold.decode, hold)
-    this.outlooks.delete(hold.decode)
+  private reassign(hold: Hold, decode: InstanceId): void {
+    removeHold(this.byDecode, hold.decode, hold)
+    this.forecasts.delete(hold.decode)
     hold.decode = decode
-    addTo(this.byDecode, decode, hold)
-    this.outlooks.delete(decode)
+    addHold(this.byDecode, decode, hold)
+    this.forecasts.delete(decode)
   }
 
   /** The running answers of an entry's requests. */
@@ -255,36 +255,36 @@
   }
 
   /** How many tokens an answer is forecast to make yet. */
-  tokensToCome(hold: Hold, now: Millis): number {
-    return this.forecastHold(hold, now).toCome
+  remainingTokens(hold: Hold, now: Millis): number {
+    return this.forecastHold(hold, now).remaining
   }
 
   /** The most memory, in tokens, that an engine comes to hold with an answer that runs elsewhere. */
   peakWithMoved(hold: Hold, decode: InstanceId, now: Millis): number {
-    return peakMemory([...this.outlookOf(decode, now).growing, this.forecastHold(hold, now)])
+    return peakMemory([...this.memoryForecast(decode, now).growing, this.forecastHold(hold, now)])
   }
 
   /** Learns from what an answer has made since it was last heard of. */
   private learnProgress(hold: Hold, madeTokens: number, passedMs: Millis, now: Millis): void {
     const tokens = Math.max(0, madeTokens - (hold.made?.tokens ?? 0))
-    const decodedMs = passedMs - this.ownReadingWithin(hold.decode, now - passedMs, now)
+    const decodedMs = passedMs - this.localPrefillMsWithin(hold.decode, now - passedMs, now)
     this.options.pace.learnDecoding(
       hold.decode,
       tokens,
-      Math.max(decodedMs, passedMs * LEAST_DECODING_SHARE),
+      Math.max(decodedMs, passedMs * MIN_DECODING_SHARE),
       now,
     )
   }
 
   /** Of an answer that was not heard of before, its whole course counts as much as one report. */
-  private learnBeginning(hold: Hold, madeTokens: number, decodingForMs: Millis, now: Millis): void {
-    if (decodingForMs < SHORTEST_BEGINNING_MS) return
-    const share = Math.min(1, BEGINNING_MS / decodingForMs)
+  private learnFirstReport(hold: Hold, madeTokens: number, decodingForMs: Millis, now: Millis): void {
+    if (decodingForMs < MIN_FIRST_REPORT_MS) return
+    const share = Math.min(1, MAX_FIRST_REPORT_MS / decodingForMs)
     this.options.pace.learnDecoding(hold.decode, madeTokens * share, decodingForMs * share, now)
   }
 
   /** How long a decode engine was busy reading prompts itself, in a span of time. */
-  private ownReadingWithin(decode: InstanceId, from: Millis, until: Millis): Millis {
+  private localPrefillMsWithin(decode: InstanceId, from: Millis, until: Millis): Millis {
     let sum = 0
     for (const { prefill, ask, decodingAt, placedAt } of this.holdsAt(decode)) {
       if (prefill !== undefined || ask.isPrefilled || decodingAt === undefined) continue
@@ -294,11 +294,11 @@
   }
 
   /** Whether a prompt is being read at a prefill engine. */
-  isReading(prefill: InstanceId): boolean {
-    return this.readingAt(prefill).length > 0
+  isPrefilling(prefill: InstanceId): boolean {
+    return this.prefillingAt(prefill).length > 0
   }
 
-  private readingAt(prefill: InstanceId): Hold[] {
+  private prefillingAt(prefill: InstanceId): Hold[] {
     return [...(this.byPrefill.get(prefill) ?? NO_HOLDS)].filter((hold) => hold.decodingAt === undefined)
   }
 
@@ -311,17 +311,17 @@
     for (const [request, hold] of this.holds) if (isRemoved(hold)) this.remove(request)
   }
 
-  private outlookOf(decode: InstanceId, now: Millis): Outlook {
-    const known = this.outlooks.get(decode)
+  private memoryForecast(decode: InstanceId, now: Millis): MemoryForecast {
+    const known = this.forecasts.get(decode)
     if (known !== undefined && known.at === now) return known
     const growing = [...this.holdsAt(decode)].map((hold) => this.forecastHold(hold, now))
     const held = growing.reduce((sum, one) => sum + one.held, 0)
-    const outlook = { at: now, growing, held }
-    this.outlooks.set(decode, outlook)
-    return outlook
+    const forecast = { at: now, growing, held }
+    this.forecasts.set(decode, forecast)
+    return forecast
   }
 
-  private growingOf(ask: PlaceAsk, now: Millis): Growing {
+  private askForecast(ask: PlaceAsk, now: Millis): GrowingAnswer {
     const known = this.asked.get(ask)
     if (known !== undefined && known.at === now) return known.growing
     const growing = this.forecastAsk(ask, 0)
@@ -329,22 +329,22 @@
     return growing
   }
 
-  private forecastHold(hold: Hold, now: Millis): Growing {
-    return this.forecastAsk(hold.ask, this.madeBy(hold, now))
+  private forecastHold(hold: Hold, now: Millis): GrowingAnswer {
+    return this.forecastAsk(hold.ask, this.estimateMade(hold, now))
   }
 
   /** Tokens that an answer has made: as its entry said last, and since then by its engine's pace. */
-  private madeBy(hold: Hold, now: Millis): number {
-    const rate = this.options.pace.decodingMs(hold.decode, now)
+  private estimateMade(hold: Hold, now: Millis): number {
+    const rate = this.options.pace.msPerToken(hold.decode, now)
     if (hold.made !== undefined) return hold.made.tokens + (now - hold.made.at) / rate
     return hold.decodingAt === undefined ? 0 : Math.max(0, now - hold.decodingAt) / rate
   }
 
-  private forecastAsk(ask: PlaceAsk, madeUnbound: number): Growing {
+  private forecastAsk(ask: PlaceAsk, madeEstimate: number): GrowingAnswer {
     const { forecast, lengthCertainty } = this.options
-    const made = Math.min(madeUnbound, ask.mostTokens)
-    const prior = forecast.expect(ask.className, ask.hintTokens, ask.mostTokens)
+    const made = Math.min(madeEstimate, ask.mostTokens)
+    const prior = forecast.predict(ask.className, ask.hintTokens, ask.mostTokens)
     const length = lengthQuantile(prior, made, ask.mostTokens, lengthCertainty)
-    return { held: ask.promptTokens + made, toCome: Math.max(0, length - made) }
+    return { held: ask.promptTokens + made, remaining: Math.max(0, length - made) }
   }
 }
--- a/placement/allocator/src/instanceHealth.ts
+++ b/placement/allocator/src/instanceHealth.ts
@@ -4,30 +4,30 @@
 
 interface Health {
   /** A moving share of failed uses. */
-  failing: number
+  failureRate: number
   /** Ejections since the last good use. */
   ejections: number
   ejectedUntil: Millis
   /** When a use last ended well, or went on well. */
-  goodAt: Millis
+  lastSuccessAt: Millis
   /** Refused connections since the last good use. */
-  unreachables: number
+  unreachableCount: number
   /** When the first of them was. */
   unreachableSince: Millis
   isGone: boolean
   /** Refusals in a row for want of room. */
-  fulls: number
+  fullCount: number
   /** Gets no work before this time, since it said that it has no room. */
   fullUntil: Millis
 }
 
-const FIRST_FULL_MS = 200
-const LONGEST_FULL_MS = 1_600
-const WEIGHT = 0.34
-const EJECT_ABOVE = 0.5
-const FIRST_EJECTION_MS = 1_500
-const LONGEST_EJECTION_MS = 8_000
-const AFTER_EJECTION = 0.3
+const MIN_FULL_PAUSE_MS = 200
+const MAX_FULL_PAUSE_MS = 1_600
+const FAILURE_WEIGHT = 0.34
+const EJECT_FAILURE_RATE = 0.5
+const MIN_EJECTION_MS = 1_500
+const MAX_EJECTION_MS = 8_000
+const FAILURE_RATE_AFTER_EJECTION = 0.3
 const EJECTIONS_UNTIL_LOST = 3
 /** Where nobody listens the process has ended; a second refusal of the connection rules out a slip of the network. */
 const UNREACHABLES_UNTIL_LOST = 2
@@ -42,26 +42,26 @@
    * Notes how a use ended; returns how long the instance is out now, or 0.
    * @param tookMs how long the use took: an instance that answered another meanwhile was not silent but busy.
    */
-  note(id: InstanceId, outcome: UseOutcome, now: Millis, tookMs: Millis = 0): Millis {
+  record(id: InstanceId, outcome: UseOutcome, now: Millis, tookMs: Millis = 0): Millis {
     const health = this.known.get(id) ?? newHealth()
     this.known.set(id, health)
     if (outcome === 'other-instance') health.isGone = true
-    if (outcome === 'full') noteFull(health, now)
-    if (outcome === 'ok') return this.noteGood(health, now)
-    if (outcome === 'silent' && health.goodAt >= now - tookMs) return 0
-    const isBad = outcome === 'failed' || outcome === 'silent' || outcome === 'unreachable'
-    return isBad ? this.noteBad(health, outcome, now) : 0
+    if (outcome === 'full') recordFull(health, now)
+    if (outcome === 'ok') return this.recordSuccess(health, now)
+    if (outcome === 'silent' && health.lastSuccessAt >= now - tookMs) return 0
+    const isFailure = outcome === 'failed' || outcome === 'silent' || outcome === 'unreachable'
+    return isFailure ? this.recordFailure(health, outcome, now) : 0
   }
 
   /** Notes that answers go on there: their ends are seconds apart, and one that makes them is not silent. */
-  noteProgress(id: InstanceId, now: Millis): void {
+  recordProgress(id: InstanceId, now: Millis): void {
     const health = this.known.get(id) ?? newHealth()
     this.known.set(id, health)
-    health.goodAt = now
+    health.lastSuccessAt = now
   }
 
   /** Whether an instance should get work. */
-  isSound(id: InstanceId, now: Millis): boolean {
+  isHealthy(id: InstanceId, now: Millis): boolean {
     const health = this.known.get(id)
     return health === undefined || (!health.isGone && health.ejectedUntil <= now)
   }
@@ -73,7 +73,7 @@
 
   /** Whether an instance has refused again and again with no good use between. */
   isBusy(id: InstanceId): boolean {
-    return (this.known.get(id)?.fulls ?? 0) >= REFUSALS_UNTIL_BUSY
+    return (this.known.get(id)?.fullCount ?? 0) >= REFUSALS_UNTIL_BUSY
   }
 
   /**
@@ -83,7 +83,7 @@
   isLost(id: InstanceId, now: Millis, returnMs: Millis): boolean {
     const health = this.known.get(id)
     if (health === undefined) return false
-    const hasEnded = health.unreachables >= UNREACHABLES_UNTIL_LOST
+    const hasEnded = health.unreachableCount >= UNREACHABLES_UNTIL_LOST
     if (hasEnded) return now - health.unreachableSince >= returnMs
     return health.ejections >= EJECTIONS_UNTIL_LOST
   }
@@ -97,25 +97,25 @@
     for (const id of this.known.keys()) if (!ids.has(id)) this.known.delete(id)
   }
 
-  private noteGood(health: Health, now: Millis): 0 {
-    health.failing *= 1 - WEIGHT
-    health.goodAt = now
+  private recordSuccess(health: Health, now: Millis): 0 {
+    health.failureRate *= 1 - FAILURE_WEIGHT
+    health.lastSuccessAt = now
     health.ejections = 0
-    health.unreachables = 0
-    health.fulls = 0
+    health.unreachableCount = 0
+    health.fullCount = 0
     return 0
   }
 
-  private noteBad(health: Health, outcome: UseOutcome, now: Millis): Millis {
-    health.failing += (1 - health.failing) * WEIGHT
-    if (outcome === 'unreachable') noteUnreachable(health, now)
+  private recordFailure(health: Health, outcome: UseOutcome, now: Millis): Millis {
+    health.failureRate += (1 - health.failureRate) * FAILURE_WEIGHT
+    if (outcome === 'unreachable') recordUnreachable(health, now)
     if (health.ejectedUntil > now) return 0
-    if (outcome !== 'unreachable' && health.failing <= EJECT_ABOVE) return 0
-    const grown = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** health.ejections)
+    if (outcome !== 'unreachable' && health.failureRate <= EJECT_FAILURE_RATE) return 0
+    const backoffMs = Math.min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2 ** health.ejections)
     // Each further try costs a request whose prompt has been read.
-    const forMs = health.unreachables >= UNREACHABLES_UNTIL_LOST ? LONGEST_EJECTION_MS : grown
+    const forMs = health.unreachableCount >= UNREACHABLES_UNTIL_LOST ? MAX_EJECTION_MS : backoffMs
     health.ejections += 1
-    health.failing = AFTER_EJECTION
+    health.failureRate = FAILURE_RATE_AFTER_EJECTION
     health.ejectedUntil = now + forMs
     return forMs
   }
@@ -123,25 +123,25 @@
 
 function newHealth(): Health {
   return {
-    failing: 0,
+    failureRate: 0,
     ejections: 0,
     ejectedUntil: 0,
-    goodAt: -Infinity,
-    unreachables: 0,
+    lastSuccessAt: -Infinity,
+    unreachableCount: 0,
     unreachableSince: 0,
     isGone: false,
-    fulls: 0,
+    fullCount: 0,
     fullUntil: 0,
   }
 }
 
-function noteUnreachable(health: Health, now: Millis): void {
-  if (health.unreachables === 0) health.unreachableSince = now
-  health.unreachables += 1
+function recordUnreachable(health: Health, now: Millis): void {
+  if (health.unreachableCount === 0) health.unreachableSince = now
+  health.unreachableCount += 1
 }
 
 /** What is believed of its memory is wrong: waits longer with each refusal in a row. */
-function noteFull(health: Health, now: Millis): void {
-  health.fullUntil = now + Math.min(LONGEST_FULL_MS, FIRST_FULL_MS * 2 ** health.fulls)
-  health.fulls += 1
+function recordFull(health: Health, now: Millis): void {
+  health.fullUntil = now + Math.min(MAX_FULL_PAUSE_MS, MIN_FULL_PAUSE_MS * 2 ** health.fullCount)
+  health.fullCount += 1
 }
--- a/placement/allocator/src/ownQueue.ts
+++ b/placement/allocator/src/isQueueDelay.ts
@@ -1,6 +1,6 @@
 import type { Hold, UseOutcome } from './allocatorTypes'
 
 /** Entries that place alone, or an earlier leader, may have queued more at an engine than it could do in time. */
-export function isOwnQueue(hold: Hold, outcome: UseOutcome): boolean {
+export function isQueueDelay(hold: Hold, outcome: UseOutcome): boolean {
   return outcome === 'silent' && hold.isAdopted === true
 }
--- a/placement/allocator/src/lengthForecast.ts
+++ b/placement/allocator/src/lengthForecast.ts
@@ -10,12 +10,12 @@
 
 /** Counts as this many answers seen, so that the first few do not decide alone. */
 const PRIOR_WEIGHT = 8
-const FIRST_SLOPE = 0.7
-const FIRST_SIGMA = 0.5
-const FIRST_SHARE_OF_MOST = 0.35
-const LEAST_SIGMA = 0.1
+const PRIOR_SLOPE = 0.7
+const PRIOR_SIGMA = 0.5
+const PRIOR_SHARE_OF_MAX = 0.35
+const MIN_SIGMA = 0.1
 /** Answers seen earlier count less: about the last two hundred decide. */
-const KEEP = 0.995
+const DECAY = 0.995
 
 /**
  * Learns how an answer's length follows from the caller's guess: a line through the logarithms, with the
@@ -26,11 +26,11 @@
   private readonly classes = new Map<string, Sums>()
 
   /** What to expect of an answer. */
-  expect(className: string, hint: number | undefined, most: number): LengthPrior {
+  predict(className: string, hint: number | undefined, maxTokens: number): LengthPrior {
     const sums = this.classes.get(className)
-    if (sums === undefined) return firstExpectation(hint, most)
+    if (sums === undefined) return priorPrediction(hint, maxTokens)
     const { slope, meanX, meanY, sigma } = fit(sums)
-    if (hint === undefined) return { mu: meanY, sigma: spreadOf(sums) }
+    if (hint === undefined) return { mu: meanY, sigma: deviationOf(sums) }
     return { mu: meanY + slope * (Math.log(Math.max(1, hint)) - meanX), sigma }
   }
 
@@ -40,12 +40,12 @@
     const x = hint === undefined ? y : Math.log(Math.max(1, hint))
     const sums = this.classes.get(className) ?? { n: 0, x: 0, y: 0, xx: 0, xy: 0, yy: 0 }
     this.classes.set(className, {
-      n: sums.n * KEEP + 1,
-      x: sums.x * KEEP + x,
-      y: sums.y * KEEP + y,
-      xx: sums.xx * KEEP + x * x,
-      xy: sums.xy * KEEP + x * y,
-      yy: sums.yy * KEEP + y * y,
+      n: sums.n * DECAY + 1,
+      x: sums.x * DECAY + x,
+      y: sums.y * DECAY + y,
+      xx: sums.xx * DECAY + x * x,
+      xy: sums.xy * DECAY + x * y,
+      yy: sums.yy * DECAY + y * y,
     })
   }
 }
@@ -59,10 +59,10 @@
   yy: number
 }
 
-function firstExpectation(hint: number | undefined, most: number): LengthPrior {
-  const guess = Math.log(Math.max(1, most * FIRST_SHARE_OF_MOST))
+function priorPrediction(hint: number | undefined, maxTokens: number): LengthPrior {
+  const guess = Math.log(Math.max(1, maxTokens * PRIOR_SHARE_OF_MAX))
   if (hint === undefined) return { mu: guess, sigma: 1 }
-  return { mu: guess + FIRST_SLOPE * (Math.log(Math.max(1, hint)) - guess), sigma: FIRST_SIGMA }
+  return { mu: guess + PRIOR_SLOPE * (Math.log(Math.max(1, hint)) - guess), sigma: PRIOR_SIGMA }
 }
 
 function fit(sums: Sums): { slope: number; meanX: number; meanY: number; sigma: number } {
@@ -72,25 +72,30 @@
   const varianceY = Math.max(0, sums.yy / sums.n - meanY ** 2)
   const covariance = sums.xy / sums.n - meanX * meanY
   const weight = sums.n / (sums.n + PRIOR_WEIGHT)
-  const slope = weight * (covariance / varianceX) + (1 - weight) * FIRST_SLOPE
+  const slope = weight * (covariance / varianceX) + (1 - weight) * PRIOR_SLOPE
   const residual = varianceY - 2 * slope * covariance + slope ** 2 * varianceX
-  const variance = weight * Math.max(0, residual) + (1 - weight) * FIRST_SIGMA ** 2
-  return { slope, meanX, meanY, sigma: Math.max(LEAST_SIGMA, Math.sqrt(variance)) }
+  const variance = weight * Math.max(0, residual) + (1 - weight) * PRIOR_SIGMA ** 2
+  return { slope, meanX, meanY, sigma: Math.max(MIN_SIGMA, Math.sqrt(variance)) }
 }
 
-function spreadOf(sums: Sums): number {
+function deviationOf(sums: Sums): number {
   const meanY = sums.y / sums.n
-  return Math.max(LEAST_SIGMA, Math.sqrt(Math.max(0, sums.yy / sums.n - meanY ** 2)))
+  return Math.max(MIN_SIGMA, Math.sqrt(Math.max(0, sums.yy / sums.n - meanY ** 2)))
 }
 
 /**
  * The length, in tokens, that an answer which has made `made` tokens already stays below with the given
  * probability.
  */
-export function lengthQuantile(prior: LengthPrior, made: number, most: number, probability: number): number {
+export function lengthQuantile(
+  prior: LengthPrior,
+  made: number,
+  maxTokens: number,
+  probability: number,
+): number {
   const passed = made < 1 ? 0 : normalCdf((Math.log(made) - prior.mu) / prior.sigma)
   const level = passed + (1 - passed) * probability
-  if (level >= 0.9999) return Math.min(most, made * 1.3 + 1)
+  if (level >= 0.9999) return Math.min(maxTokens, made * 1.3 + 1)
   const length = Math.exp(prior.mu + prior.sigma * normalQuantile(level))
-  return Math.min(most, Math.max(length, made + 1))
+  return Math.min(maxTokens, Math.max(length, made + 1))
 }
--- a/placement/allocator/src/movePlanner.ts
+++ b/placement/allocator/src/movePlanner.ts
@@ -3,11 +3,11 @@
 import type { Millis } from '@forkstage/types'
 import type { AnswerMove, Hold } from './allocatorTypes'
 import type { EngineChoice } from './engineChoice'
-import type { HoldBook } from './holdBook'
+import type { HoldRegistry } from './holdRegistry'
 
 /** Options of {@link MovePlanner}. */
 export interface MovePlannerOptions {
-  book: HoldBook
+  holds: HoldRegistry
   choice: EngineChoice
   engine: (service: string) => EnginePool | undefined
   endpoints: () => RegisteredEndpoint[]
@@ -29,13 +29,13 @@
   constructor(private readonly options: MovePlannerOptions) {}
 
   /** Plans moves of some answers and counts what they hold where they go. */
-  plan(holds: Hold[], now: Millis): AnswerMove[] {
+  plan(running: Hold[], now: Millis): AnswerMove[] {
     const known = new Map(this.options.endpoints().map((endpoint) => [endpoint.id, endpoint]))
     const moves: AnswerMove[] = []
-    for (const hold of holds) {
+    for (const hold of running) {
       const to = this.targetOf(hold, known, now)
       if (to === undefined) continue
-      this.options.book.move(hold, to, now)
+      this.options.holds.move(hold, to, now)
       moves.push({ request: hold.ask.request, to })
     }
     return moves
@@ -46,26 +46,33 @@
     known: ReadonlyMap<InstanceId, RegisteredEndpoint>,
     now: Millis,
   ): InstanceId | undefined {
-    const { book, choice, memoryShare, isChanging } = this.options
+    const { holds, choice, memoryShare, isChanging } = this.options
     const engine = this.options.engine(hold.ask.service)
     if (engine?.canMove !== true || hold.leaves !== undefined) return undefined
-    const tokens = book.tokensToCome(hold, now)
+    const tokens = holds.remainingTokens(hold, now)
     if (choice.decodingMs(tokens, hold.decode, now) < WORTHWHILE_MS) return undefined
     const { placedAt, decode } = hold
     // What its entry had to leave alone when it asked says nothing of now.
     const ask = { ...hold.ask, avoid: undefined }
     const answer = { tokens, endsWithinMs: ask.leftMs - (now - placedAt), pauseMs: ask.pauseMs }
     const isLeaving = known.get(decode)?.state !== 'ready' || isChanging(decode, now)
-    if (!isLeaving && choice.fitness.of(answer, engine, decode, now) !== 'slow') return undefined
-    const takers = choice
-      .takers(ask, engine, now)
-      .filter(({ id }) => id !== decode && choice.fitness.of(answer, engine, id, now) === 'good')
-      .map((taker) => ({
-        id: taker.id,
-        peak: book.peakWithMoved(hold, taker.id, now),
-        away: choice.distance.tokensToMove(ask, engine, known.get(decode)?.zone ?? taker.zone, taker),
+    if (!isLeaving && choice.fitness.assess(answer, engine, decode, now) !== 'slow') return undefined
+    const targets = choice
+      .moveTargets(ask, engine, now)
+      .filter(({ id }) => id !== decode && choice.fitness.assess(answer, engine, id, now) === 'good')
+      .map((target) => ({
+        id: target.id,
+        peak: holds.peakWithMoved(hold, target.id, now),
+        distanceTokens: choice.distance.moveCostTokens(
+          ask,
+          engine,
+          known.get(decode)?.zone ?? target.zone,
+          target,
+        ),
       }))
       .filter(({ peak }) => peak <= engine.kvTokens * memoryShare)
-    return takers.sort((left, right) => left.peak + left.away - right.peak - right.away)[0]?.id
+    return targets.sort(
+      (left, right) => left.peak + left.distanceTokens - right.peak - right.distanceTokens,
+    )[0]?.id
   }
 }
--- a/placement/allocator/src/peerPace.ts
+++ b/placement/allocator/src/peerPace.ts
@@ -6,19 +6,19 @@
  * From so many times the time of its peers on an engine is slow. Engines that are well differ by a third at most, by
  * how many answers run there (0.58 to 0.77 ms a token were seen).
  */
-export const SLOW_FROM = 1.8
+export const SLOW_FACTOR = 1.8
 /** Below so many times the time of its peers a slow engine is well again. */
-const WELL_BELOW = 1.4
+const RECOVERED_FACTOR = 1.4
 /** So long after something was last seen of a slow engine it is tried again: each try may be an answer that is late. */
-const TRY_AFTER_MS = 3_000
+const RETRY_AFTER_MS = 3_000
 /** Engines of one model differ by build by this factor at most, either way; a fleet of 1.0 and 1.3 was seen. */
-const MOST_BUILD = 1.6
+const MAX_BUILD_RATIO = 1.6
 /** The time in which the belief of an engine's build follows two thirds: longer than a fault or a peak of work lasts. */
 const BUILD_MEMORY_MS = 30_000
 /** What was seen at one time speaks for so much time at most: an engine may have rested before. */
-const BUILD_STEP_MS = 500
+const MAX_BUILD_STEP_MS = 500
 /** The peers' pace is worked out anew after this time: as often as whoever places looks at what waits. */
-const TYPICAL_EACH_MS = 25
+const TYPICAL_INTERVAL_MS = 25
 /** The time in which the peers' pace comes two thirds of the way to a slower one: longer than a passing peak of work. */
 const RISE_MS = 3_000
 
@@ -36,7 +36,7 @@
   ageMs: Millis
 }
 
-interface Known {
+interface EngineRecord {
   pace: WorkPace
   /** Whether it was slow when something was last seen of it. */
   isSlow: boolean
@@ -54,12 +54,12 @@
  * when all are slow alike, the work has changed, or there is too much of it.
  */
 export class PeerPace {
-  private readonly known = new Map<InstanceId, Known>()
+  private readonly known = new Map<InstanceId, EngineRecord>()
   /** The peers' pace when it was last known. */
   private peersMs: Millis
   private peersAt: Millis = -Infinity
   private hasSeen = false
-  private readonly mayBegin: boolean
+  private readonly isInitialGuess: boolean
 
   /**
    * @param first what is believed of a unit of work before anything was seen; `isGuess` where the first evidence is
@@ -72,7 +72,7 @@
     private readonly onChange: OnPaceChange = () => undefined,
   ) {
     this.peersMs = first.ms
-    this.mayBegin = first.isGuess
+    this.isInitialGuess = first.isGuess
   }
 
   /** Whether any engine has shown its pace. */
@@ -95,13 +95,13 @@
       build: 1,
     }
     this.known.set(id, one)
-    if (!this.hasSeen && work > 0) this.begin(tookMs / work, now)
+    if (!this.hasSeen && work > 0) this.setInitialPace(tookMs / work, now)
     this.hasSeen ||= work > 0
-    const restedMs = now - one.pace.seenAt
+    const restedMs = now - one.pace.lastSeenAt
     one.pace.add(work, tookMs, now)
     one.lastMs = one.pace.msPerUnit(this.peersMs, now)
-    this.judge(id, one, now)
-    this.followBuild(one, Math.min(restedMs, BUILD_STEP_MS), now)
+    this.updateIsSlow(id, one, now)
+    this.updateBuild(one, Math.min(restedMs, MAX_BUILD_STEP_MS), now)
   }
 
   /** One engine's pace, as far as it is known. */
@@ -109,9 +109,9 @@
     const peersMs = this.typicalMs(now)
     const one = this.known.get(id)
     if (one === undefined) return { ms: peersMs, peersMs, build: 1, slowness: 1, ageMs: Infinity }
-    const ageMs = now - one.pace.seenAt
+    const ageMs = now - one.pace.lastSeenAt
     const drawnMs = one.pace.msPerUnit(peersMs, now)
-    const ms = one.isSlow && ageMs < TRY_AFTER_MS ? Math.max(one.lastMs, drawnMs) : drawnMs
+    const ms = one.isSlow && ageMs < RETRY_AFTER_MS ? Math.max(one.lastMs, drawnMs) : drawnMs
     const { build } = one
     return { ms, peersMs, build, slowness: ms / (peersMs * build), ageMs }
   }
@@ -119,7 +119,7 @@
   /** Whether an engine was slow when last seen, so long ago that it may be well again. */
   isUnproven(id: InstanceId, now: Millis): boolean {
     const one = this.known.get(id)
-    return one?.isSlow === true && now - one.pace.seenAt >= TRY_AFTER_MS
+    return one?.isSlow === true && now - one.pace.lastSeenAt >= RETRY_AFTER_MS
   }
 
   /**
@@ -129,7 +129,7 @@
    */
   typicalMs(now: Millis): Millis {
     // Asked for each engine and each request that looks for a place: worked out once in a while for all of them.
-    if (now - this.peersAt < TYPICAL_EACH_MS) return this.peersMs
+    if (now - this.peersAt < TYPICAL_INTERVAL_MS) return this.peersMs
     const rates = [...this.known.values()].map(({ pace }) => pace.msPerUnit(this.peersMs, now))
     rates.sort((left, right) => left - right)
     const median = rates[(rates.length - 1) >> 1] ?? this.peersMs
@@ -151,23 +151,23 @@
   }
 
   /** The first evidence takes the place of a guess. */
-  private begin(ms: Millis, now: Millis): void {
-    if (this.mayBegin) this.peersMs = ms
+  private setInitialPace(ms: Millis, now: Millis): void {
+    if (this.isInitialGuess) this.peersMs = ms
     this.peersAt = now
   }
 
   /** An engine that is well shows by and by how it is built. */
-  private followBuild(one: Known, forMs: Millis, now: Millis): void {
-    if (one.isSlow || !one.pace.isSure(now)) return
+  private updateBuild(one: EngineRecord, forMs: Millis, now: Millis): void {
+    if (one.isSlow || !one.pace.hasEnoughData(now)) return
     const ratio = one.pace.msPerUnit(this.peersMs, now) / this.typicalMs(now)
-    const seen = Math.min(Math.max(ratio, 1 / MOST_BUILD), MOST_BUILD)
+    const seen = Math.min(Math.max(ratio, 1 / MAX_BUILD_RATIO), MAX_BUILD_RATIO)
     one.build += (seen - one.build) * (1 - Math.exp(-forMs / BUILD_MEMORY_MS))
   }
 
-  private judge(id: InstanceId, one: Known, now: Millis): void {
-    if (!one.pace.isSure(now)) return
+  private updateIsSlow(id: InstanceId, one: EngineRecord, now: Millis): void {
+    if (!one.pace.hasEnoughData(now)) return
     const view = this.view(id, now)
-    const isSlow = view.slowness >= (one.isSlow ? WELL_BELOW : SLOW_FROM)
+    const isSlow = view.slowness >= (one.isSlow ? RECOVERED_FACTOR : SLOW_FACTOR)
     if (isSlow === one.isSlow) return
     one.isSlow = isSlow
     this.onChange(id, isSlow, view)
--- a/placement/allocator/src/waitingRoom.ts
+++ b/placement/allocator/src/placementQueue.ts
@@ -3,16 +3,16 @@
 import { FadingSum } from '@forkstage/rates'
 
 /** A request that waits for a place. */
-export interface Waiting {
+export interface WaitingRequest {
   ask: PlaceAsk
   since: Millis
   /** Whether it has been decided that waiting on is worth it. */
-  isKept: boolean
+  isAdmitted: boolean
   resolve: (decision: PlaceDecision) => void
 }
 
 /** Which go first of those that can be in time. */
-export type WaitingOrder = 'returns-first' | 'by-age' | 'returns-last'
+export type QueueOrder = 'returns-first' | 'by-age' | 'returns-last'
 
 /** Groups of one order: callers that came back, and those that come first. */
 const GROUPS = {
@@ -22,53 +22,54 @@
 } as const
 
 /** The time over which ends of uses are averaged. */
-const PACE_MEMORY_MS = 2_000
+const END_RATE_MEMORY_MS = 2_000
 /** An expected wait is taken this much longer: some ends do not make room enough for the next request. */
 const WAIT_FACTOR = 2
 
 /** Requests that wait for a place, in the order in which they get one, and what they may hope for. */
-export class WaitingRoom {
-  private waiting: Waiting[] = []
+export class PlacementQueue {
+  private waiting: WaitingRequest[] = []
   /** Ends of uses by service: each makes room for about one request. */
   private readonly ends = new Map<string, FadingSum>()
 
   /** @param slackOf time that a request may still wait and be in time, in milliseconds. */
   constructor(
-    private readonly slackOf: (one: Waiting, now: Millis) => Millis,
-    private readonly order: WaitingOrder,
+    private readonly slackOf: (one: WaitingRequest, now: Millis) => Millis,
+    private readonly order: QueueOrder,
   ) {}
 
   get size(): number {
     return this.waiting.length
   }
 
-  add(one: Waiting): void {
+  add(one: WaitingRequest): void {
     this.waiting.push(one)
   }
 
   /** How many wait for the engines that a request could use, came for the first time and can still be in time. */
-  countFirst({ service, regions }: PlaceAsk, now: Millis): number {
+  countNew({ service, regions }: PlaceAsk, now: Millis): number {
     // Only those bound to the same regions surely wait for the same engines.
-    const isSame = ({ ask }: Waiting) => ask.service === service && String(ask.regions) === String(regions)
-    const isFirst = (one: Waiting) => isSame(one) && !one.ask.isReturn
+    const isSame = ({ ask }: WaitingRequest) =>
+      ask.service === service && String(ask.regions) === String(regions)
+    const isFirst = (one: WaitingRequest) => isSame(one) && !one.ask.isReturn
     return this.waiting.filter((one) => isFirst(one) && this.isInTime(one, now)).length
   }
 
   /** Takes out what fits and returns it. */
-  takeWhere(isTaken: (one: Waiting) => boolean): Waiting[] {
-    const taken = this.waiting.filter(isTaken)
-    if (taken.length > 0) this.waiting = this.waiting.filter((one) => !taken.includes(one))
-    return taken
+  removeWhere(isRemoved: (one: WaitingRequest) => boolean): WaitingRequest[] {
+    const removed = this.waiting.filter(isRemoved)
+    if (removed.length > 0) this.waiting = this.waiting.filter((one) => !removed.includes(one))
+    return removed
   }
 
   /** Takes out what waits for services that are told apart; each is asked for once. */
-  takeOfServices(isTaken: (service: string) => boolean): Waiting[] {
+  removeServices(isRemoved: (service: string) => boolean): WaitingRequest[] {
     const services = new Set(this.waiting.map(({ ask }) => ask.service))
-    const taken = new Set([...services].filter(isTaken))
-    return this.takeWhere(({ ask }) => taken.has(ask.service))
+    const removed = new Set([...services].filter(isRemoved))
+    return this.removeWhere(({ ask }) => removed.has(ask.service))
   }
 
-  isInTime(one: Waiting, now: Millis): boolean {
+  isInTime(one: WaitingRequest, now: Millis): boolean {
     return this.slackOf(one, now) > 0
   }
 
@@ -78,7 +79,7 @@
    * sending failed, then new ones, then callers that came back, as the order says; late ones, whose sending failed
    * first: an engine has most likely read their prompt and keeps it, and was paid for it. Then by rank and age.
    */
-  inOrder(now: Millis): Waiting[] {
+  inOrder(now: Millis): WaitingRequest[] {
     const groups = new Map(this.waiting.map((one) => [one, this.groupOf(one, now)]))
     return [...this.waiting].sort(
       (left, right) =>
@@ -89,35 +90,35 @@
   }
 
   /** Notes that a use of a service's engines has ended. */
-  noteEnd(service: string, now: Millis): void {
-    const ends = this.ends.get(service) ?? new FadingSum(PACE_MEMORY_MS)
+  recordEnd(service: string, now: Millis): void {
+    const ends = this.ends.get(service) ?? new FadingSum(END_RATE_MEMORY_MS)
     this.ends.set(service, ends)
     ends.add(1, now)
   }
 
   /** Requests that must hear now whether to go on waiting, and for which no place is in sight in time. */
-  takeHopeless(now: Millis): Waiting[] {
+  removeHopeless(now: Millis): WaitingRequest[] {
     const due = this.waiting.filter(
-      (one) => !one.isKept && one.ask.promptMs > 0 && now - one.since >= one.ask.promptMs,
+      (one) => !one.isAdmitted && one.ask.promptMs > 0 && now - one.since >= one.ask.promptMs,
     )
     if (due.length === 0) return []
     const order = this.inOrder(now)
-    due.forEach((one) => (one.isKept = this.expectedWait(one, order, now) <= this.slackOf(one, now)))
-    return this.takeWhere((one) => due.includes(one) && !one.isKept)
+    due.forEach((one) => (one.isAdmitted = this.expectedWaitMs(one, order, now) <= this.slackOf(one, now)))
+    return this.removeWhere((one) => due.includes(one) && !one.isAdmitted)
   }
 
-  private expectedWait(one: Waiting, order: Waiting[], now: Millis): Millis {
+  private expectedWaitMs(one: WaitingRequest, order: WaitingRequest[], now: Millis): Millis {
     const queue = order.filter((other) => other.ask.service === one.ask.service)
-    const pace = this.ends.get(one.ask.service)?.perMs(now) ?? 0
-    return ((queue.indexOf(one) + 1) * WAIT_FACTOR) / pace
+    const endsPerMs = this.ends.get(one.ask.service)?.perMs(now) ?? 0
+    return ((queue.indexOf(one) + 1) * WAIT_FACTOR) / endsPerMs
   }
 
-  private groupOf(one: Waiting, now: Millis): number {
+  private groupOf(one: WaitingRequest, now: Millis): number {
     if (one.ask.isBegun === true) return -1
     if (one.ask.isPrefilled) return 0
-    const isSentBefore = one.ask.except.length > 0
-    if (!this.isInTime(one, now)) return isSentBefore ? 3 : 4
-    if (isSentBefore) return 0
+    const hasFailedSend = one.ask.except.length > 0
+    if (!this.isInTime(one, now)) return hasFailedSend ? 3 : 4
+    if (hasFailedSend) return 0
     return one.ask.isReturn ? GROUPS[this.order].back : GROUPS[this.order].first
   }
 }
--- a/placement/allocator/src/planStages.ts
+++ b/placement/allocator/src/planStages.ts
@@ -30,25 +30,25 @@
 }
 
 /** The fuller half must be at least this full before an engine changes its part. */
-const FULL = 0.6
+const MIN_FULL_UTILIZATION = 0.6
 /**
  * The half that gives an engine away must stay this much emptier than the fuller half was, since a change costs
  * seconds of an engine and demand moves.
  */
-const WORTHWHILE = 0.8
+const DONOR_RATIO = 0.8
 /**
  * A second reader beside a single one must bring the fuller half down to this share: a decode engine first has to
  * end what runs there, and decode engines can read what one reader does not.
  */
-const WORTHWHILE_SECOND_READER = 0.55
+const SECOND_READER_RATIO = 0.55
 /**
  * From here on requests are lost for want of decode engines. Only then does the last reader but one change its part:
  * without any reader every decode engine reads at half the pace, and a new one takes the time of its answers and more.
  */
-const OVERFULL = 1
+const OVERLOADED_UTILIZATION = 1
 
 /** Engines of each half, and what they do together in engines that are well. */
-interface Halves {
+interface StageTotals {
   count: Record<Stage, number>
   supply: StageNeed
 }
@@ -59,58 +59,59 @@
  * is less supply where it works, and costs the half that it leaves less.
  */
 export function planStages(engines: StagedEngine[], need: StageNeed): StageChange | undefined {
-  const have = halvesOf(engines)
-  const fill = fillOf(need, have)
-  const stage = fill.prefill > fill.decode ? 'prefill' : 'decode'
-  if (fill[stage] < FULL) return undefined
-  const giver = stage === 'prefill' ? 'decode' : 'prefill'
-  const working = engines.filter((engine) => engine.stage === giver && !engine.isChanging)
+  const have = totalsOf(engines)
+  const utilization = utilizationOf(need, have)
+  const stage = utilization.prefill > utilization.decode ? 'prefill' : 'decode'
+  if (utilization[stage] < MIN_FULL_UTILIZATION) return undefined
+  const donor = stage === 'prefill' ? 'decode' : 'prefill'
+  const working = engines.filter((engine) => engine.stage === donor && !engine.isChanging)
   // What changes already counts where it goes; but a half is never left without an engine that works, unless nobody
   // decodes: then all that read do so for nobody, and one that decodes reads too.
-  if (working.length < (isNobodyDecoding(have) ? 1 : 2)) return undefined
+  if (working.length < (hasNoDecoder(have) ? 1 : 2)) return undefined
   const worthwhile = working
-    .map((engine) => ({ engine, after: fillOf(need, halvesOf(engines, engine.id)) }))
-    .filter(({ after }) => isWorthwhile(fill, after, have, stage))
-  const fullestOf = (after: StageNeed) => Math.max(after.prefill, after.decode)
+    .map((engine) => ({ engine, after: utilizationOf(need, totalsOf(engines, engine.id)) }))
+    .filter(({ after }) => isWorthwhile(utilization, after, have, stage))
+  const maxUtilization = (after: StageNeed) => Math.max(after.prefill, after.decode)
   worthwhile.sort(
     (left, right) =>
-      fullestOf(left.after) - fullestOf(right.after) || left.engine.freeInMs - right.engine.freeInMs,
+      maxUtilization(left.after) - maxUtilization(right.after) ||
+      left.engine.freeInMs - right.engine.freeInMs,
   )
   const best = worthwhile[0]
   return best === undefined ? undefined : { id: best.engine.id, stage, need, have: have.supply }
 }
 
 /** Whether one engine more in a half is worth what the other half loses. */
-function isWorthwhile(fill: StageNeed, after: StageNeed, have: Halves, stage: Stage): boolean {
-  if (isNobodyDecoding(have)) return stage === 'decode'
-  const giver = stage === 'prefill' ? 'decode' : 'prefill'
-  if (have.count[giver] < 2) return false
-  const now = fill[stage]
+function isWorthwhile(utilization: StageNeed, after: StageNeed, have: StageTotals, stage: Stage): boolean {
+  if (hasNoDecoder(have)) return stage === 'decode'
+  const donor = stage === 'prefill' ? 'decode' : 'prefill'
+  if (have.count[donor] < 2) return false
+  const now = utilization[stage]
   const isSecondReader = stage === 'prefill' && have.count.prefill === 1
-  if (isSecondReader) return Math.max(after.prefill, after.decode) <= now * WORTHWHILE_SECOND_READER
-  const isLastReader = giver === 'prefill' && have.count.prefill === 2
-  if (isLastReader && now < OVERFULL) return false
-  return after[giver] <= now * WORTHWHILE
+  if (isSecondReader) return Math.max(after.prefill, after.decode) <= now * SECOND_READER_RATIO
+  const isLastReader = donor === 'prefill' && have.count.prefill === 2
+  if (isLastReader && now < OVERLOADED_UTILIZATION) return false
+  return after[donor] <= now * DONOR_RATIO
 }
 
 /** Whether no engine decodes, nor is on its way to. */
-function isNobodyDecoding({ count }: Halves): boolean {
+function hasNoDecoder({ count }: StageTotals): boolean {
   return count.decode === 0
 }
 
 /** Both halves, as they stand or after one engine has changed its part. */
-function halvesOf(engines: StagedEngine[], changed?: InstanceId): Halves {
-  const halves: Halves = { count: { prefill: 0, decode: 0 }, supply: { prefill: 0, decode: 0 } }
+function totalsOf(engines: StagedEngine[], changed?: InstanceId): StageTotals {
+  const totals: StageTotals = { count: { prefill: 0, decode: 0 }, supply: { prefill: 0, decode: 0 } }
   for (const { id, stage, supply } of engines) {
     const at = id === changed ? otherStage(stage) : stage
-    halves.count[at] += 1
-    halves.supply[at] += supply
+    totals.count[at] += 1
+    totals.supply[at] += supply
   }
-  return halves
+  return totals
 }
 
 /** How full each half is; without a prefill engine the decode engines read themselves, which no plan should seek. */
-function fillOf(need: StageNeed, { supply }: Halves): StageNeed {
+function utilizationOf(need: StageNeed, { supply }: StageTotals): StageNeed {
   return {
     prefill: supply.prefill === 0 ? Infinity : need.prefill / supply.prefill,
     decode: supply.decode === 0 ? Infinity : need.decode / supply.decode,
--- a/placement/allocator/src/partOrders.ts
+++ b/placement/allocator/src/stageOrderTracker.ts
@@ -2,25 +2,25 @@
 import type { Millis } from '@forkstage/types'
 
 /** A part that an engine should have, and until when that is believed of it. */
-interface PartOrder {
+interface StageOrder {
   to: Stage
   until: Millis
 }
 
 /** What became of orders to engines to change their part. */
-export class PartOrders {
+export class StageOrderTracker {
   /** Engines that change their part, until when they are left alone. */
-  private readonly changing = new Map<InstanceId, PartOrder>()
+  private readonly changing = new Map<InstanceId, StageOrder>()
   /** Engines that may still carry out an order, or refused one: they work on, but get no other order. */
-  private readonly ordered = new Map<InstanceId, PartOrder>()
+  private readonly ordered = new Map<InstanceId, StageOrder>()
 
   /** Gives an engine no work while it changes its part. */
-  noteChanging(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
+  markChanging(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
     this.changing.set(id, { to, until: now + forMs })
   }
 
   /** Lets an engine work on, without another order, while it is not known what becomes of the last one. */
-  noteOrdered(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
+  markOrdered(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
     this.ordered.set(id, { to, until: now + forMs })
   }
 
@@ -29,7 +29,7 @@
   }
 
   /** The part that an engine is on its way to, as far as is known. */
-  partOf(id: InstanceId, now: Millis): Stage | undefined {
+  targetStage(id: InstanceId, now: Millis): Stage | undefined {
     const orders = [this.changing.get(id), this.ordered.get(id)]
     return orders.find((one) => one !== undefined && one.until > now)?.to
   }
--- a/placement/allocator/src/stagePlanner.ts
+++ b/placement/allocator/src/stagePlanner.ts
@@ -5,9 +5,9 @@
 import { DemandMeter } from './demandMeter'
 import type { EngineChoice } from './engineChoice'
 import type { EnginePace } from './enginePace'
-import type { HoldBook } from './holdBook'
+import type { HoldRegistry } from './holdRegistry'
 import type { InstanceHealth } from './instanceHealth'
-import type { PartOrders } from './partOrders'
+import type { StageOrderTracker } from './stageOrderTracker'
 import { planStages, type StageChange, type StageNeed, type StagedEngine } from './planStages'
 import { SupplyMeter } from './supplyMeter'
 
@@ -15,10 +15,10 @@
 export interface StagePlannerOptions {
   choice: EngineChoice
   barred: BarredEngines
-  book: HoldBook
+  holds: HoldRegistry
   health: InstanceHealth
   pace: EnginePace
-  orders: PartOrders
+  orders: StageOrderTracker
   engine: (service: string) => EnginePool | undefined
 }
 
@@ -30,10 +30,10 @@
   constructor(private readonly options: StagePlannerOptions) {}
 
   /** Notes a request that came in for the first time. */
-  noteDemand(service: string, promptTokens: number, heldTokens: number, now: Millis): void {
+  recordDemand(service: string, promptTokens: number, heldTokens: number, now: Millis): void {
     const meter = this.demand.get(service) ?? new DemandMeter()
     this.demand.set(service, meter)
-    meter.note(promptTokens, heldTokens, now)
+    meter.record(promptTokens, heldTokens, now)
   }
 
   /** What a service's callers keep busy, in engines that are well; undefined where that is not known yet. */
@@ -41,7 +41,7 @@
     const { pace } = this.options
     const engine = this.options.engine(service)
     const meter = this.demand.get(service)
-    if (engine === undefined || meter?.isSure(now) !== true || !pace.isKnown) return undefined
+    if (engine === undefined || meter?.hasEnoughData(now) !== true || !pace.isKnown) return undefined
     return meter.need(engine.kvTokens, pace, now)
   }
 
@@ -53,9 +53,9 @@
     if (engine === undefined || need === undefined) return undefined
     const { stageChangeMs } = engine
     const staged = (['prefill', 'decode'] as const)
-      .flatMap((stage) => choice.enrolled(service, stage))
+      .flatMap((stage) => choice.registered(service, stage))
       // One that gets nothing for a moment, like one that is out for a moment, is back before another has changed.
-      .filter((one) => !barred.isLong(one, stageChangeMs, now))
+      .filter((one) => !barred.isBarredFor(one, stageChangeMs, now))
       .filter((one) => !health.isLost(one.id, now, stageChangeMs))
       // A prefill engine that refuses whatever comes is carrying out an order that nobody here knows of.
       .filter((one) => one.stage !== 'prefill' || !health.isBusy(one.id))
@@ -69,16 +69,16 @@
   }
 
   private toStaged(endpoint: RegisteredEndpoint, now: Millis): StagedEngine {
-    const { barred, book, orders, pace } = this.options
-    const part: Stage | undefined = orders.partOf(endpoint.id, now)
+    const { barred, holds, orders, pace } = this.options
+    const targetStage: Stage | undefined = orders.targetStage(endpoint.id, now)
     const view = pace.view(endpoint.id, endpoint.stage!, now)
     return {
       id: endpoint.id,
-      stage: part ?? endpoint.stage!,
-      freeInMs: book.freeInMs(endpoint.id, now),
+      stage: targetStage ?? endpoint.stage!,
+      freeInMs: holds.freeInMs(endpoint.id, now),
       // One that must get nothing gets no order either.
-      isChanging: part !== undefined || barred.has(endpoint),
-      supply: this.supply.note(endpoint.id, view, now),
+      isChanging: targetStage !== undefined || barred.has(endpoint),
+      supply: this.supply.record(endpoint.id, view, now),
     }
   }
 }
--- a/placement/allocator/src/workPace.ts
+++ b/placement/allocator/src/workPace.ts
@@ -4,14 +4,14 @@
 /** The belief without evidence counts as much as so much time of work that was seen. */
 const PRIOR_MS = 50
 /** Below this much time of work seen lately an engine's pace says nothing of it. */
-const SURE_FROM_MS = 250
+const MIN_OBSERVED_MS = 250
 
 /** How much time one engine takes for a unit of work, by what was seen of it lately. */
 export class WorkPace {
   private readonly time: FadingSum
   private readonly work: FadingSum
   /** When something was last seen of it. */
-  seenAt: Millis = -Infinity
+  lastSeenAt: Millis = -Infinity
 
   /** @param memoryMs after this time what was seen counts for a third. */
   constructor(memoryMs: Millis) {
@@ -23,12 +23,12 @@
   add(work: number, tookMs: Millis, now: Millis): void {
     this.time.add(tookMs, now)
     this.work.add(work, now)
-    this.seenAt = now
+    this.lastSeenAt = now
   }
 
   /** Whether enough was seen lately to compare it with its peers. */
-  isSure(now: Millis): boolean {
-    return this.time.total(now) >= SURE_FROM_MS
+  hasEnoughData(now: Millis): boolean {
+    return this.time.total(now) >= MIN_OBSERVED_MS
   }
 
   /**
--- a/placement/allocator/test/allocator.test.ts
+++ b/placement/allocator/test/allocator.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import { Allocator, EnginePace, LengthForecast, type Refused } from '../src'
-import { ask, engine, ENGINE, world } from './fixtures'
+import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 const TWO = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
 
 describe('Allocator', () => {
   it('spreads requests over decode engines by the memory they will come to need', () => {
-    const { place, decodeOf: decode } = world(TWO)
+    const { place, decodeOf: decode } = createAllocator(TWO)
     place(ask('big', { promptTokens: 6_000 }))
     place(ask('small', { promptTokens: 500 }))
     place(ask('next', { promptTokens: 500 }))
@@ -20,7 +20,7 @@
       place,
       decisions,
       decodeOf: decode,
-    } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 5_000 }))
     place(ask('two', { promptTokens: 5_000 }))
     expect(decisions.has('two')).toBe(false)
@@ -29,7 +29,7 @@
   })
 
   it('refuses what has waited as long as it may, with a time to come back', () => {
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     place(ask('two', { promptTokens: 7_000, promptMs: 0 }))
     allocator.tick(599)
@@ -39,7 +39,7 @@
   })
 
   it('places one larger than any forecast alone on an empty engine', () => {
-    const { place, decodeOf: decode } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { place, decodeOf: decode } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('huge', { promptTokens: 9_990 }))
     expect(decode('huge')).toBe('d1')
   })
@@ -50,7 +50,7 @@
       place,
       decisions,
       decodeOf: decode,
-    } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     place(ask('late', { promptTokens: 4_000, targetMs: -500, holdMs: 3_000 }), 10)
     place(ask('fresh', { promptTokens: 7_000 }), 20)
@@ -60,7 +60,7 @@
   })
 
   it('refuses in good time where no place is in sight, and lets what has one in sight wait', () => {
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     place(ask('two', { promptTokens: 7_000 }))
     allocator.tick(149)
@@ -82,7 +82,7 @@
       place,
       decisions,
       decodeOf: decode,
-    } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     place(ask('late', { promptTokens: 7_000, targetMs: 100, promptMs: 0 }), 5)
     place(ask('back', { promptTokens: 7_000, isReturn: true, promptMs: 0 }), 10)
@@ -95,7 +95,7 @@
   })
 
   it('lets a request wait that comes first, however many late ones and returns wait', () => {
-    const { place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     for (let index = 0; index < 10; index += 1)
       place(ask(`b${index}`, { promptTokens: 7_000, isReturn: true, promptMs: 0 }), 10)
@@ -104,7 +104,7 @@
   })
 
   it('spreads the times at which callers come back over a share of the time they have', () => {
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     const names = ['a', 'b', 'c', 'd']
     names.forEach((name) => place(ask(name, { promptTokens: 7_000 })))
@@ -121,8 +121,8 @@
       engine('d2', 'decode'),
       engine('d3', 'decode'),
     ]
-    const { allocator, place, decodeOf: decode } = world(endpoints)
-    allocator.noteUse('d2', 'other-instance', 0)
+    const { allocator, place, decodeOf: decode } = createAllocator(endpoints)
+    allocator.recordUse('d2', 'other-instance', 0)
     place(ask('one'))
     expect(decode('one')).toBe('d3')
     place(ask('two', { except: ['d3'] }))
@@ -131,8 +131,8 @@
   })
 
   it('waits for a moment where the only prefill engine has just refused, rather than read at the decode engine', () => {
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
-    allocator.noteUse('p1', 'full', 0)
+    const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
+    allocator.recordUse('p1', 'full', 0)
     place(ask('one'), 10)
     expect(decisions.has('one')).toBe(false)
     allocator.tick(400)
@@ -140,14 +140,14 @@
   })
 
   it('lets the decode engine read the prompt where no prefill engine is sound', () => {
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
-    allocator.noteUse('p1', 'unreachable', 0)
+    const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
+    allocator.recordUse('p1', 'unreachable', 0)
     place(ask('one'), 10)
     expect(decisions.get('one')).toEqual({ type: 'placed', prefill: undefined, decode: 'd1' })
   })
 
   it('does not queue a prompt where it would be late: the decode engine reads one, the next waits', () => {
-    const { place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     for (const name of ['a', 'b', 'c', 'd', 'e'])
       place(ask(name, { promptTokens: 1_000, targetMs: 150, hintTokens: 10 }))
     expect(
@@ -161,7 +161,7 @@
       engine('p2', 'prefill', { zone: 'z2' }),
       engine('d2', 'decode', { zone: 'z2' }),
     ]
-    const { place, decisions } = world(endpoints)
+    const { place, decisions } = createAllocator(endpoints)
     place(ask('one', { promptTokens: 500 }))
     expect(decisions.get('one')).toMatchObject({ prefill: 'p2', decode: 'd2' })
   })
@@ -172,28 +172,28 @@
       place,
       decisions,
       decodeOf: decode,
-    } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     const held = ask('before', { promptTokens: 7_000 })
-    allocator.adopt('e1', [{ ask: held, decode: 'd1', ageMs: 100, decodingForMs: 50 }], 1_000)
+    allocator.applyReport('e1', [{ ask: held, decode: 'd1', ageMs: 100, decodingForMs: 50 }], 1_000)
     place(ask('after', { promptTokens: 7_000, holdMs: 9_000, targetMs: 9_000 }), 1_000)
     expect(decisions.has('after')).toBe(false)
-    allocator.adopt('e1', [], 2_500)
+    allocator.applyReport('e1', [], 2_500)
     allocator.tick(2_500)
     expect(decode('after')).toBe('d1')
   })
 
   it('forgets what an entry held that is gone', () => {
-    const { allocator, place } = world(TWO)
+    const { allocator, place } = createAllocator(TWO)
     place(ask('one'))
     place(ask('two', { entry: 'e2' }))
-    allocator.dropEntry('e1')
+    allocator.removeEntry('e1')
     expect(allocator.holdCount).toBe(1)
   })
 
   it('does not let decode engines read whatever comes where no prefill engine is sound: who would be late waits', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
-    const { allocator, place, decisions } = world(endpoints)
-    allocator.noteUse('p1', 'unreachable', 0)
+    const { allocator, place, decisions } = createAllocator(endpoints)
+    allocator.recordUse('p1', 'unreachable', 0)
     // At 40 tokens a millisecond and half that pace, each prompt takes 100 ms at a decode engine.
     for (let index = 0; index < 12; index += 1)
       place(ask(`r${index}`, { promptTokens: 2_000 - index, targetMs: 370, hintTokens: 10 }), 1)
@@ -203,15 +203,15 @@
   })
 
   it('holds a prefill step that was given up against no engine whose queue others have made', () => {
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')])
+    const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     const held = ['a', 'b', 'c'].map((name) => ({
       ask: ask(name, { promptTokens: 500 }),
       prefill: 'p1',
       decode: 'd1',
       ageMs: 500,
     }))
-    allocator.adopt('e1', held, 1_000)
-    for (const { ask: asked } of held) allocator.notePrefilled(asked.request, 'silent', 800, 1_300)
+    allocator.applyReport('e1', held, 1_000)
+    for (const { ask: asked } of held) allocator.recordPrefilled(asked.request, 'silent', 800, 1_300)
     place(ask('next', { promptTokens: 500 }), 1_301)
     expect(decisions.get('next')).toMatchObject({ prefill: 'p1' })
   })
@@ -222,7 +222,7 @@
       engine('old', 'decode', { address: 'a:1' }),
       engine('new', 'decode', { address: 'a:1' }),
     ]
-    const { place, decodeOf: decode } = world(endpoints)
+    const { place, decodeOf: decode } = createAllocator(endpoints)
     for (const name of ['a', 'b']) place(ask(name, { promptTokens: 500 }))
     expect([decode('a'), decode('b')]).toEqual(['new', 'new'])
   })
@@ -235,27 +235,27 @@
       learned: { pace, forecast: new LengthForecast() },
     })
     const running = { ask: ask('a'), decode: 'd1', ageMs: 1_200, decodingForMs: 1_000, madeTokens: 100 }
-    allocator.adopt('e1', [running], 2_000)
-    expect(pace.decodingMs('d1', 2_000)).toBe(10)
-    expect(pace.decodingMs('another', 2_000)).toBe(10)
+    allocator.applyReport('e1', [running], 2_000)
+    expect(pace.msPerToken('d1', 2_000)).toBe(10)
+    expect(pace.msPerToken('another', 2_000)).toBe(10)
   })
 
   it('does not call an engine silent whose answers go on, though none has ended meanwhile', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
-    const { allocator, place, decisions } = world(endpoints)
+    const { allocator, place, decisions } = createAllocator(endpoints)
     const running = (madeTokens: number) => [
       { ask: ask('a', { promptTokens: 500 }), decode: 'd1', ageMs: 2_000, decodingForMs: 1_900, madeTokens },
     ]
     const fuller = [{ ask: ask('b', { entry: 'e2', promptTokens: 4_000 }), decode: 'd2', ageMs: 100 }]
-    allocator.adopt('e2', fuller, 900)
-    allocator.adopt('e1', running(100), 1_000)
-    allocator.adopt('e1', running(300), 2_000)
-    for (const now of [2_100, 2_200, 2_300]) allocator.noteUse('d1', 'silent', now, 900)
+    allocator.applyReport('e2', fuller, 900)
+    allocator.applyReport('e1', running(100), 1_000)
+    allocator.applyReport('e1', running(300), 2_000)
+    for (const now of [2_100, 2_200, 2_300]) allocator.recordUse('d1', 'silent', now, 900)
     place(ask('next', { promptTokens: 500 }), 2_400)
     expect(decisions.get('next')).toMatchObject({ decode: 'd1' })
     // The same answers without a token since are no progress.
-    allocator.adopt('e1', running(300), 4_000)
-    for (const now of [4_100, 4_200]) allocator.noteUse('d1', 'silent', now, 900)
+    allocator.applyReport('e1', running(300), 4_000)
+    for (const now of [4_100, 4_200]) allocator.recordUse('d1', 'silent', now, 900)
     place(ask('after', { promptTokens: 500 }), 4_300)
     expect(decisions.get('after')).toMatchObject({ decode: 'd2' })
   })
--- a/placement/allocator/test/allocatorService.test.ts
+++ b/placement/allocator/test/allocatorService.test.ts
@@ -13,7 +13,7 @@
 }
 
 /** A service on a machine that leads until told otherwise. */
-function world(coldIds: string[] = []) {
+function createService(coldIds: string[] = []) {
   const clock = new ManualClock()
   const cold = new Set(coldIds)
   const lead = { leads: true, term: 1, entries: 0 }
@@ -38,20 +38,20 @@
 
 describe('AllocatorService', () => {
   it('says with a place at a cold engine how long the request had waited and within how long it must leave', async () => {
-    const { clock, place } = world(['d1'])
+    const { clock, place } = createService(['d1'])
     await advance(clock, 400)
     expect(await place('r1')).toMatchObject({ decode: 'd1', cold: { waitedMs: 0, decodeMs: 250 } })
   })
 
   it('lets requests wait while a new leader hears what runs, then places them', async () => {
-    const { clock, place } = world()
+    const { clock, place } = createService()
     const answer = place('r1')
     await advance(clock, 400)
     expect(await answer).toMatchObject({ type: 'placed', decode: 'd1' })
   })
 
   it('tells those that wait as soon as it leads no more', async () => {
-    const { clock, lead, place } = world()
+    const { clock, lead, place } = createService()
     const first = place('r1')
     await advance(clock, 400)
     await first
@@ -63,7 +63,7 @@
   })
 
   it('tells those that wait when it leads again in another term', async () => {
-    const { clock, lead, place } = world()
+    const { clock, lead, place } = createService()
     const first = place('r1')
     await advance(clock, 400)
     await first
@@ -74,7 +74,7 @@
   })
 
   it('places as soon as every entry has reported, and not before while one may still run requests', async () => {
-    const { clock, lead, service, place } = world()
+    const { clock, lead, service, place } = createService()
     lead.entries = 2
     const answer = place('r1')
     let placedAt: number | undefined
--- a/placement/allocator/test/allocatorStages.test.ts
+++ b/placement/allocator/test/allocatorStages.test.ts
@@ -1,23 +1,23 @@
 import { describe, expect, it } from 'vitest'
 import { Allocator } from '../src'
-import { ask, engine, ENGINE, world } from './fixtures'
+import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 /** Shows how fast an engine makes tokens: before that no engine is told to change its part. */
 function showPace(allocator: Allocator, decode: string, now: number): void {
   const running = { ask: ask('seen'), decode, ageMs: 900, decodingForMs: 800, madeTokens: 1_000 }
-  allocator.adopt('e9', [running], now)
-  allocator.dropEntry('e9')
+  allocator.applyReport('e9', [running], now)
+  allocator.removeEntry('e9')
 }
 
 describe('Allocator, when engines should change their part', () => {
   it('lets the decode engine read where the only prefill engine refuses whatever comes, and plans another', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
-    const { allocator, place, decisions } = world(endpoints)
+    const { allocator, place, decisions } = createAllocator(endpoints)
     showPace(allocator, 'd1', 0)
     for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
     expect(allocator.planStage('s', 3_000)?.stage).not.toBe('prefill')
-    for (let index = 0; index < 3; index += 1) allocator.noteUse('p1', 'full', 3_000)
-    allocator.dropEntry('e1')
+    for (let index = 0; index < 3; index += 1) allocator.recordUse('p1', 'full', 3_000)
+    allocator.removeEntry('e1')
     place(ask('one'), 3_010)
     expect(decisions.get('one')).toEqual({ type: 'placed', decode: expect.stringMatching(/^d/) })
     expect(allocator.planStage('s', 3_020)?.stage).toBe('prefill')
@@ -25,23 +25,23 @@
 
   it('gives work, but no other order, to an engine of which it is not known what became of its order', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode')]
-    const { allocator, place, decisions } = world(endpoints)
-    allocator.noteOrdered('p1', 'decode', 14_000, 0)
+    const { allocator, place, decisions } = createAllocator(endpoints)
+    allocator.markOrdered('p1', 'decode', 14_000, 0)
     place(ask('one'), 10)
     expect(decisions.get('one')).toMatchObject({ prefill: 'p1', decode: 'd1' })
   })
 
   it('does not turn a decode engine into a prefill engine because the only one is out for a moment', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
-    const { allocator, place } = world(endpoints)
+    const { allocator, place } = createAllocator(endpoints)
     for (let index = 0; index < 200; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 20)
-    allocator.noteUse('p1', 'unreachable', 4_000)
+    allocator.recordUse('p1', 'unreachable', 4_000)
     expect(allocator.planStage('s', 4_100)?.stage).not.toBe('prefill')
   })
 
   it('changes the part of an engine only once it has seen enough, and one at a time', () => {
     const endpoints = [engine('p1', 'prefill'), engine('p2', 'prefill'), engine('d1', 'decode')]
-    const { allocator, place } = world(endpoints)
+    const { allocator, place } = createAllocator(endpoints)
     for (let index = 0; index < 40; index += 1) {
       place(ask(`r${index}`), index * 200)
       allocator.release(`r${index}`, 'ok', 1_000, index * 200 + 150)
@@ -54,14 +54,14 @@
     showPace(allocator, 'd1', 8_300)
     const change = allocator.planStage('s', 8_300)
     expect(change?.stage).toBe('decode')
-    allocator.noteChanging(change!.id, change!.stage, 6_000, 8_300)
+    allocator.markChanging(change!.id, change!.stage, 6_000, 8_300)
     expect(allocator.planStage('s', 8_400)).toBeUndefined()
     expect(allocator.isChanging(change!.id, 8_400)).toBe(true)
   })
 
   it('changes the part of the engine whose answers end first, not of the one with the fewest', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
-    const { allocator, place } = world(endpoints)
+    const { allocator, place } = createAllocator(endpoints)
     const running = (name: string, decode: string, madeTokens: number) => ({
       ask: ask(name, { promptTokens: 500, mostTokens: 2_000 }),
       decode,
@@ -70,12 +70,12 @@
       madeTokens,
     })
     const held = [running('new', 'd1', 100), running('old', 'd2', 1_950), running('older', 'd2', 1_960)]
-    allocator.adopt('e1', held, 0)
+    allocator.applyReport('e1', held, 0)
     for (let index = 0; index < 30; index += 1)
       place(ask(`r${index}`, { entry: 'e2', holdMs: 1 }), index * 100)
-    for (let index = 0; index < 3; index += 1) allocator.noteUse('p1', 'full', 3_000)
-    allocator.dropEntry('e2')
-    allocator.adopt('e1', held, 3_000)
+    for (let index = 0; index < 3; index += 1) allocator.recordUse('p1', 'full', 3_000)
+    allocator.removeEntry('e2')
+    allocator.applyReport('e1', held, 3_000)
     expect(allocator.planStage('s', 3_010)).toMatchObject({ id: 'd2', stage: 'prefill' })
   })
 
@@ -90,7 +90,7 @@
     (count) => {
       const readers = Array.from({ length: count }, (_, index) => engine(`p${index}`, 'prefill'))
       const endpoints = [...readers, engine('d1', 'decode')]
-      const { allocator, place } = world(endpoints)
+      const { allocator, place } = createAllocator(endpoints)
       showPace(allocator, 'd1', 0)
       for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
       endpoints.pop()
@@ -104,10 +104,10 @@
 
   it('leaves the last reader where an engine is on its way to decode', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'prefill')]
-    const { allocator, place } = world(endpoints)
+    const { allocator, place } = createAllocator(endpoints)
     showPace(allocator, 'd1', 0)
     for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
-    allocator.noteChanging('d1', 'decode', 6_000, 3_000)
+    allocator.markChanging('d1', 'decode', 6_000, 3_000)
     expect(allocator.planStage('s', 3_020)).toBeUndefined()
   })
 })
--- a/placement/allocator/test/avoidedEngines.test.ts
+++ b/placement/allocator/test/avoidedEngines.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { ask, engine, world } from './fixtures'
+import { ask, engine, createAllocator } from './fixtures'
 
 const POOL = [
   engine('p1', 'prefill'),
@@ -10,7 +10,7 @@
 
 describe('Allocator, where an entry has heard that engines want nothing from it', () => {
   it('places its requests elsewhere, and those of other entries as before', () => {
-    const { place, decisions } = world(POOL)
+    const { place, decisions } = createAllocator(POOL)
     for (let turn = 0; turn < 6; turn += 1)
       place(ask(`told ${turn}`, { promptTokens: 100, mostTokens: 100, avoid: ['p1', 'd1'] }), turn * 300)
     for (let turn = 0; turn < 6; turn += 1)
@@ -22,10 +22,10 @@
   })
 
   it('does not go back to a reader that keeps the prompt', () => {
-    const one = world([engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')])
+    const one = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')])
     const parts = [{ id: 'a', tokens: 3_000 }]
     one.place(ask('first', { parts }), 0)
-    one.allocator.notePrefilled('first', 'failed', 155, 155)
+    one.allocator.recordPrefilled('first', 'failed', 155, 155)
     one.allocator.release('first', 'cancelled', 0, 155)
     one.place(ask('first', { parts, except: ['p1'], avoid: ['p1'] }), 156)
     expect(one.decisions.get('first')).toMatchObject({ type: 'placed' })
@@ -33,7 +33,7 @@
   })
 
   it('refuses its request in time where all of them want none', () => {
-    const { place, decisions, allocator } = world(POOL)
+    const { place, decisions, allocator } = createAllocator(POOL)
     place(ask('told', { avoid: ['d1', 'd2'] }))
     allocator.tick(150)
     allocator.tick(600)
--- a/placement/allocator/test/beliefs.test.ts
+++ b/placement/allocator/test/cacheInvalidation.test.ts
@@ -1,16 +1,16 @@
 import { describe, expect, it } from 'vitest'
-import { ask, engine, ENGINE, world } from './fixtures'
+import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 const PARTS = [{ id: 'text', tokens: 3_000 }]
 
 describe('Allocator, where beliefs about kept prompts must go', () => {
   it('forgets what an engine kept as soon as it is said to have turned cold', () => {
     const isKept = [false, true].map((turnsCold) => {
-      const one = world([engine('p0', 'prefill'), engine('d0', 'decode')])
+      const one = createAllocator([engine('p0', 'prefill'), engine('d0', 'decode')])
       one.place(ask('first', { parts: PARTS }), 0)
-      one.allocator.notePrefilled('first', 'ok', 75, 75)
+      one.allocator.recordPrefilled('first', 'ok', 75, 75)
       one.allocator.release('first', 'ok', 200, 600)
-      if (turnsCold) for (const id of ['p0', 'd0']) one.allocator.forgetKept(id)
+      if (turnsCold) for (const id of ['p0', 'd0']) one.allocator.clearPrefixCache(id)
       one.place(ask('again', { parts: PARTS }), 1_000)
       const decision = one.decisions.get('again')
       return decision?.type === 'placed' && decision.keptTokens !== undefined
@@ -19,12 +19,12 @@
   })
 
   it('does not believe that an engine read a prompt which never arrived there', () => {
-    const one = world([engine('p0', 'prefill'), engine('p1', 'prefill'), engine('d0', 'decode')])
+    const one = createAllocator([engine('p0', 'prefill'), engine('p1', 'prefill'), engine('d0', 'decode')])
     one.place(ask('first', { parts: PARTS }), 0)
     const first = one.decisions.get('first')
     const dark = first?.type === 'placed' ? first.prefill! : ''
     // No connection within 400 ms, of which the engine has had nothing.
-    one.allocator.notePrefilled('first', 'failed', 0, 400)
+    one.allocator.recordPrefilled('first', 'failed', 0, 400)
     one.allocator.release('first', 'cancelled', 0, 400)
     one.place(ask('second', { parts: PARTS, except: [dark] }), 400)
     const second = one.decisions.get('second')
@@ -34,7 +34,7 @@
 
 describe('Allocator, without a prefill engine', () => {
   it('lets a decode engine read a long prompt for a late request', () => {
-    const one = world([engine('d0', 'decode')], {
+    const one = createAllocator([engine('d0', 'decode')], {
       engine: () => ({ ...ENGINE, kvTokens: 40_000 }),
     })
     const late = { targetMs: -1_000, isReturn: true, promptMs: 0, holdMs: 3_000 }
--- a/placement/allocator/test/checkReport.test.ts
+++ b/placement/allocator/test/checkReport.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest'
-import { whyNoReport } from '../src/checkReport'
+import { checkReport } from '../src/checkReport'
 import { ask } from './fixtures'
 
 const GOOD = { ask: ask('a'), decode: 'd', ageMs: 900, decodingForMs: 800, madeTokens: 300 }
 
 describe('whyNoReport', () => {
   it('finds nothing wrong with what an entry can see', () => {
-    expect(whyNoReport(GOOD)).toBeUndefined()
-    expect(whyNoReport({ ...GOOD, decodingForMs: undefined, madeTokens: undefined })).toBeUndefined()
+    expect(checkReport(GOOD)).toBeUndefined()
+    expect(checkReport({ ...GOOD, decodingForMs: undefined, madeTokens: undefined })).toBeUndefined()
   })
 
   it.each([
@@ -19,6 +19,6 @@
     ['a count without end', { madeTokens: Infinity }],
     ['far more tokens than were asked for', { madeTokens: 1_000_000 }],
   ])('refuses %s', (_what, fields) => {
-    expect(whyNoReport({ ...GOOD, ...fields })).toEqual(expect.any(String))
+    expect(checkReport({ ...GOOD, ...fields })).toEqual(expect.any(String))
   })
 })
--- a/placement/allocator/test/coldBudget.test.ts
+++ b/placement/allocator/test/coldBudget.test.ts
@@ -1,22 +1,22 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { describe, expect, it } from 'vitest'
 import { ColdBudget, type Placed } from '../src'
-import { ask, coldWorld, engine } from './fixtures'
+import { ask, createColdAllocator, engine } from './fixtures'
 
-const B = 50
-const LEADER = 25
-const NEW_LEADER = 10
+const REQUESTS_PER_SECOND = 50
+const LEADER_LIMIT = 25
+const NEW_LEADER_LIMIT = 10
 /** Long enough to have led, so that no earlier leader's places are out. */
-const LED = 10_000
+const ESTABLISHED_MS = 10_000
 
 /** The most of some times that fall into any second. */
 function mostInSecond(times: number[]): number {
   return Math.max(0, ...times.map((from) => times.filter((at) => at >= from && at < from + 1_000).length))
 }
 
-function budget(leads = 0) {
-  const one = new ColdBudget({ leftMs: (_id, at) => 60_000 - at, perSecond: () => B })
-  one.noteLeads(leads)
+function createBudget(leads = 0) {
+  const one = new ColdBudget({ leftMs: (_id, at) => 60_000 - at, perSecond: () => REQUESTS_PER_SECOND })
+  one.markLeading(leads)
   return one
 }
 
@@ -24,7 +24,7 @@
   it('lets no second hold more than the leader’s part, whenever in its span each step leaves', () => {
     const random = createSeededRandom(11)
     const engineOf = engine('d1', 'decode')
-    const one = budget(-LED)
+    const one = createBudget(-ESTABLISHED_MS)
     const left: number[] = []
     for (let now = 0; now < 8_000; now += 5) {
       const request = ask('r', { isPrefilled: random() < 0.5 })
@@ -35,11 +35,11 @@
       left.push(now + (random() < 0.5 ? 0 : grant.decodeMs!))
     }
     expect(left.length).toBeGreaterThan(100)
-    expect(mostInSecond(left)).toBeLessThanOrEqual(LEADER)
+    expect(mostInSecond(left)).toBeLessThanOrEqual(LEADER_LIMIT)
   })
 
   it('gives little for as long as an earlier leader’s places may be out', () => {
-    const one = budget(0)
+    const one = createBudget(0)
     const engineOf = engine('p1', 'prefill')
     const given: number[] = []
     for (let now = 0; now < 5_000; now += 10) {
@@ -47,9 +47,9 @@
       one.grant({ prefill: engineOf, decode: engine('d', 'decode') }, 0, now)
       given.push(now)
     }
-    expect(mostInSecond(given.filter((at) => at < 2_250))).toBeLessThanOrEqual(NEW_LEADER)
+    expect(mostInSecond(given.filter((at) => at < 2_250))).toBeLessThanOrEqual(NEW_LEADER_LIMIT)
     expect(given.filter((at) => at < 1_000).length).toBeGreaterThan(0)
-    expect(mostInSecond(given)).toBeGreaterThan(NEW_LEADER)
+    expect(mostInSecond(given)).toBeGreaterThan(NEW_LEADER_LIMIT)
   })
 
   it('bounds nothing of an engine that is warm, and counts nothing there', () => {
@@ -64,16 +64,24 @@
   const tiny = { promptTokens: 100, mostTokens: 200, hintTokens: 100 }
 
   it('spreads a burst over warm engines first, not over those with the least load', () => {
-    const { place, decisions } = coldWorld([engine('p1', 'prefill'), ...domain()], ['d2', 'd3'], B)
+    const { place, decisions } = createColdAllocator(
+      [engine('p1', 'prefill'), ...domain()],
+      ['d2', 'd3'],
+      REQUESTS_PER_SECOND,
+    )
     const warm = { promptTokens: 1_000, hintTokens: 200, mostTokens: 400 }
-    for (let index = 0; index < 3; index += 1) place(ask(`r${index}`, warm), LED)
+    for (let index = 0; index < 3; index += 1) place(ask(`r${index}`, warm), ESTABLISHED_MS)
     const decodes = [...decisions.values()].map((one) => (one as Placed).decode)
     expect(decodes).toEqual(['d1', 'd1', 'd1'])
   })
 
   it('lets cold ones join before warm ones are full, and says within how long each step must leave', () => {
-    const { place, decisions } = coldWorld([engine('p1', 'prefill'), ...domain()], ['p1', 'd2', 'd3'], B)
-    for (let index = 0; index < 3; index += 1) place(ask(`r${index}`), LED + index)
+    const { place, decisions } = createColdAllocator(
+      [engine('p1', 'prefill'), ...domain()],
+      ['p1', 'd2', 'd3'],
+      REQUESTS_PER_SECOND,
+    )
+    for (let index = 0; index < 3; index += 1) place(ask(`r${index}`), ESTABLISHED_MS + index)
     const placed = [...decisions.values()] as Placed[]
     expect(placed.map(({ decode }) => decode === 'd1')).toContain(false)
     expect(placed[0]!.cold).toMatchObject({ waitedMs: 0, prefillMs: 250 })
@@ -82,12 +90,13 @@
   })
 
   it('refuses as early and truthfully what exceeds the budget where cold ones are all there are', () => {
-    const { allocator, place, decisions } = coldWorld(
+    const { allocator, place, decisions } = createColdAllocator(
       [engine('p1', 'prefill'), engine('d1', 'decode')],
       ['d1'],
       10,
     )
-    for (let index = 0; index < 20; index += 1) place(ask(`r${index}`, { ...tiny, isPrefilled: true }), LED)
+    for (let index = 0; index < 20; index += 1)
+      place(ask(`r${index}`, { ...tiny, isPrefilled: true }), ESTABLISHED_MS)
     const placed = [...decisions.values()].filter(({ type }) => type === 'placed')
     expect(placed).toHaveLength(5)
     const refused = [...decisions.values()].filter(({ type }) => type === 'refused')
@@ -97,13 +106,13 @@
       // What left within 250 ms leaves the second after 1,250 ms.
       expect((one as { retryAfterMs: number }).retryAfterMs).toBeGreaterThanOrEqual(1_250)
     }
-    expect(allocator.outlook(ask('x'), LED).cold).toEqual({ engines: 1, withheld: 1 })
+    expect(allocator.summarize(ask('x'), ESTABLISHED_MS).cold).toEqual({ engines: 1, withheld: 1 })
   })
 
   it('serves thrice the usual load from its first moment on where every engine is unknown, as after a loss of all power', () => {
     const ids = Array.from({ length: 16 }, (_, index) => [`p${index}`, `d${index}`]).flat()
     const engines = ids.map((id) => engine(id, id.startsWith('p') ? 'prefill' : 'decode'))
-    const { allocator, place, decisions } = coldWorld(engines, ids, 54.5)
+    const { allocator, place, decisions } = createColdAllocator(engines, ids, 54.5)
     // 22 letters a second are usual for 32 engines.
     for (let now = 0; now < 2_000; now += 15) {
       allocator.tick(now)
@@ -115,37 +124,52 @@
   })
 
   it('goes on at a cold engine when the last warm one is lost, by its budget', () => {
-    const { allocator, place, decisions } = coldWorld(
+    const { allocator, place, decisions } = createColdAllocator(
       [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')],
       ['d2'],
       10,
     )
-    for (let times = 0; times < 2; times += 1) allocator.noteUse('d1', 'unreachable', LED)
-    for (let index = 0; index < 9; index += 1) place(ask(`r${index}`, { ...tiny, isPrefilled: true }), LED)
+    for (let times = 0; times < 2; times += 1) allocator.recordUse('d1', 'unreachable', ESTABLISHED_MS)
+    for (let index = 0; index < 9; index += 1)
+      place(ask(`r${index}`, { ...tiny, isPrefilled: true }), ESTABLISHED_MS)
     const decodes = [...decisions.values()].flatMap((one) => (one.type === 'placed' ? [one.decode] : []))
     expect(decodes).toEqual(Array(5).fill('d2'))
   })
 
   it('believes neither an engine’s slowness nor its silence while it is cold', () => {
-    const cold = coldWorld([engine('p1', 'prefill'), engine('d1', 'decode')], ['p1', 'd1'], B)
-    for (let times = 0; times < 4; times += 1) cold.allocator.noteUse('d1', 'silent', LED, 500)
-    cold.place(ask('one', tiny), LED)
+    const cold = createColdAllocator(
+      [engine('p1', 'prefill'), engine('d1', 'decode')],
+      ['p1', 'd1'],
+      REQUESTS_PER_SECOND,
+    )
+    for (let times = 0; times < 4; times += 1) cold.allocator.recordUse('d1', 'silent', ESTABLISHED_MS, 500)
+    cold.place(ask('one', tiny), ESTABLISHED_MS)
     expect(cold.decodeOf('one')).toBe('d1')
-    const warm = coldWorld([engine('p1', 'prefill'), engine('d1', 'decode')], [], B)
-    for (let times = 0; times < 4; times += 1) warm.allocator.noteUse('d1', 'silent', LED, 500)
+    const warm = createColdAllocator(
+      [engine('p1', 'prefill'), engine('d1', 'decode')],
+      [],
+      REQUESTS_PER_SECOND,
+    )
+    for (let times = 0; times < 4; times += 1) warm.allocator.recordUse('d1', 'silent', ESTABLISHED_MS, 500)
     expect(warm.ejected).toContain('d1')
     expect(cold.ejected).toEqual([])
   })
 
   it('learns no pace from what a cold engine does, and forgets what it had shown', () => {
-    const { pace, cold } = coldWorld([engine('p1', 'prefill'), engine('p2', 'prefill')], [], B)
+    const { pace, cold } = createColdAllocator(
+      [engine('p1', 'prefill'), engine('p2', 'prefill')],
+      [],
+      REQUESTS_PER_SECOND,
+    )
     const slow = { promptTokens: 3_000, tookMs: 900, isAlone: true, isGivenUp: false }
     cold.add('p1')
-    for (let now = LED; now < LED + 4_000; now += 900) pace.learnReading('p1', slow, now)
-    expect(pace.view('p1', 'prefill', LED + 4_000).slowness).toBe(1)
-    for (let now = LED; now < LED + 4_000; now += 900) pace.learnReading('p2', slow, now)
-    expect(pace.view('p2', 'prefill', LED + 4_000).ageMs).toBeLessThan(Infinity)
+    for (let now = ESTABLISHED_MS; now < ESTABLISHED_MS + 4_000; now += 900)
+      pace.learnPrefill('p1', slow, now)
+    expect(pace.view('p1', 'prefill', ESTABLISHED_MS + 4_000).slowness).toBe(1)
+    for (let now = ESTABLISHED_MS; now < ESTABLISHED_MS + 4_000; now += 900)
+      pace.learnPrefill('p2', slow, now)
+    expect(pace.view('p2', 'prefill', ESTABLISHED_MS + 4_000).ageMs).toBeLessThan(Infinity)
     pace.forget('p2')
-    expect(pace.view('p2', 'prefill', LED + 4_000).ageMs).toBe(Infinity)
+    expect(pace.view('p2', 'prefill', ESTABLISHED_MS + 4_000).ageMs).toBe(Infinity)
   })
 })
--- a/placement/allocator/test/decisionCost.test.ts
+++ b/placement/allocator/test/decisionCost.test.ts
@@ -1,13 +1,13 @@
 import { afterEach, describe, expect, it, vi } from 'vitest'
 import { WorkPace } from '../src/workPace'
-import { ask, engine, world } from './fixtures'
+import { ask, engine, createAllocator } from './fixtures'
 
 afterEach(() => void vi.restoreAllMocks())
 
 /** How often an engine's pace is worked out for one request that looks for a place among so many engines. */
-function paceLooksFor(engines: number): number {
+function countPaceReads(engines: number): number {
   const decoders = Array.from({ length: engines }, (_, index) => engine(`d${index}`, 'decode'))
-  const one = world([engine('p', 'prefill'), ...decoders])
+  const one = createAllocator([engine('p', 'prefill'), ...decoders])
   const holds = decoders.map(({ id }) => ({
     ask: ask(`at-${id}`, { entry: 'runner', promptTokens: 100 }),
     decode: id,
@@ -15,17 +15,17 @@
     decodingForMs: 1_000,
     madeTokens: 200,
   }))
-  one.allocator.adopt('runner', holds, 1_000)
-  const looks = vi.spyOn(WorkPace.prototype, 'msPerUnit')
-  looks.mockClear()
+  one.allocator.applyReport('runner', holds, 1_000)
+  const paceReads = vi.spyOn(WorkPace.prototype, 'msPerUnit')
+  paceReads.mockClear()
   one.place(ask('next', { promptTokens: 100, pauseMs: 300 }), 1_100)
   expect(one.decodeOf('next')).toMatch(/^d/)
-  return looks.mock.calls.length
+  return paceReads.mock.calls.length
 }
 
 describe('a decision', () => {
   it('costs as much more as there are engines more, not its square: the leader would lose its lease', () => {
-    const [few, many] = [paceLooksFor(60), paceLooksFor(240)]
+    const [few, many] = [countPaceReads(60), countPaceReads(240)]
     expect(many / few).toBeLessThan(5)
     expect(many).toBeLessThan(240 * 8)
   })
--- a/placement/allocator/test/travelCost.test.ts
+++ b/placement/allocator/test/distanceCost.test.ts
@@ -3,14 +3,14 @@
 import { Topology } from '@forkstage/topology'
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import { Allocator, type PlaceDecision } from '../src'
-import { callAwayMs, copyMs, decodingAwayTokens, readingAwayMs } from '../src/travelCost'
+import { extraCallMs, copyMs, entryDistanceTokens, remotePrefillCostMs } from '../src/distanceCost'
 import { ask, engine, ENGINE } from './fixtures'
 
 const TOPOLOGY = new Topology({ w1: 'west', w2: 'west', e1: 'east', e2: 'east' })
 /** As large engines are: 5,200 tokens of 18.4 KB over 700 Gbit/s. */
 const LARGE = { ...ENGINE, kvTokens: 73_530, kvBytesPerToken: 18_432, linkMbps: 700_000 }
 
-function world(endpoints: RegisteredEndpoint[], topology = TOPOLOGY) {
+function createAllocator(endpoints: RegisteredEndpoint[], topology = TOPOLOGY) {
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => LARGE, topology })
   const decisions: PlaceDecision[] = []
   const place = (request: string, entryDomain?: string, now = 0, fields = {}) =>
@@ -38,12 +38,12 @@
   })
 
   it('rises with the distance, and within a region is what it was', () => {
-    expect(readingAwayMs('same-domain', 5_200, 95, LARGE)).toBe(0)
-    expect(readingAwayMs('other-domain', 5_200, 95, LARGE)).toBeCloseTo(28.5)
-    expect(readingAwayMs('other-region', 5_200, 95, LARGE)).toBeGreaterThan(60)
+    expect(remotePrefillCostMs('same-domain', 5_200, 95, LARGE)).toBe(0)
+    expect(remotePrefillCostMs('other-domain', 5_200, 95, LARGE)).toBeCloseTo(28.5)
+    expect(remotePrefillCostMs('other-region', 5_200, 95, LARGE)).toBeGreaterThan(60)
     for (const distance of ['same-domain', 'other-domain'] as const) {
-      expect(callAwayMs(distance)).toBe(0)
-      expect(decodingAwayTokens(distance, LARGE)).toBe(0)
+      expect(extraCallMs(distance)).toBe(0)
+      expect(entryDistanceTokens(distance, LARGE)).toBe(0)
     }
   })
 })
@@ -57,7 +57,7 @@
   ]
 
   it('is decoded there, and read there', () => {
-    const { place, decodes, reads } = world(engines)
+    const { place, decodes, reads } = createAllocator(engines)
     place('a', 'w1')
     place('b', 'e2')
     expect(decodes()).toEqual(['dw', 'de'])
@@ -65,19 +65,19 @@
   })
 
   it('goes to another region where the engines of its own have much more to hold', () => {
-    const { place, decodes } = world(engines)
+    const { place, decodes } = createAllocator(engines)
     for (const request of ['a', 'b', 'c']) place(request, 'w1')
     expect(decodes()).toEqual(['dw', 'dw', 'de'])
   })
 
   it('is decoded where it is read rather than where its caller is', () => {
-    const { place, decodes, reads } = world(engines.filter(({ id }) => id !== 'pw'))
+    const { place, decodes, reads } = createAllocator(engines.filter(({ id }) => id !== 'pw'))
     place('a', 'w1')
     expect([decodes(), reads()]).toEqual([['de'], ['pe']])
   })
 
   it('is read in another region only where readers of its own come too late', () => {
-    const { place, reads } = world(engines.filter(({ id }) => id !== 'de'))
+    const { place, reads } = createAllocator(engines.filter(({ id }) => id !== 'de'))
     for (const request of ['a', 'b', 'c', 'd']) place(request, 'w1')
     expect(reads()[0]).toBe('pw')
     expect(reads()).toContain('pe')
@@ -90,7 +90,7 @@
         engine('d2', 'decode', { zone: 'e1' }),
         engine('d3', 'decode', { zone: 'w2' }),
       ]
-      const { allocator } = world(all)
+      const { allocator } = createAllocator(all)
       for (let now = 0; now <= 800; now += 400) {
         const running = (request: string, decode: string, promptTokens: number) => ({
           ask: ask(request, {
@@ -106,7 +106,7 @@
           madeTokens: (now + 800) / 4,
         })
         const holds = [running('a', 'd1', 500), running('b', 'd2', 10), running('c', 'd3', lightElsewhere)]
-        allocator.adopt('e', holds, now)
+        allocator.applyReport('e', holds, now)
       }
       all[0]!.state = 'draining'
       allocator.tick(810)
@@ -130,8 +130,8 @@
         }),
         (fields, requests) => {
           const engines = () => fields.map(({ stage, zone }, index) => engine(`i${index}`, stage, { zone }))
-          const known = world(engines(), one)
-          const unknown = world(engines(), new Topology())
+          const known = createAllocator(engines(), one)
+          const unknown = createAllocator(engines(), new Topology())
           requests.forEach(({ from, tokens }, index) => {
             known.place(`r${index}`, from, index * 30, { promptTokens: tokens })
             unknown.place(`r${index}`, undefined, index * 30, { promptTokens: tokens })
--- a/placement/allocator/test/enginePace.test.ts
+++ b/placement/allocator/test/enginePace.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { EnginePace, type ReadPrompt } from '../src'
+import { EnginePace, type PrefillSample } from '../src'
 
 /** A prompt that was read without waiting for another. */
-function alone(promptTokens: number, tookMs: number): ReadPrompt {
+function alone(promptTokens: number, tookMs: number): PrefillSample {
   return { promptTokens, tookMs, isAlone: true, isGivenUp: false }
 }
 
@@ -13,21 +13,21 @@
     const pace = new EnginePace()
     for (let index = 0; index < 60; index += 1) {
       const tokens = 1_000 + random() * 5_000
-      pace.learnReading('p', alone(tokens, 50 + tokens * 0.0355 + random() * 4), index * 200)
+      pace.learnPrefill('p', alone(tokens, 50 + tokens * 0.0355 + random() * 4), index * 200)
     }
-    expect(pace.readingMs(1_000)).toBeCloseTo(35.5, 0)
-    expect(pace.readingLatencyMs()).toBeGreaterThan(45)
-    expect(pace.readingLatencyMs()).toBeLessThan(60)
+    expect(pace.prefillMs(1_000)).toBeCloseTo(35.5, 0)
+    expect(pace.prefillLatencyMs()).toBeGreaterThan(45)
+    expect(pace.prefillLatencyMs()).toBeLessThan(60)
   })
 
   it('keeps near its first belief while prompts have one length, and never beyond what was seen', () => {
     const pace = new EnginePace()
-    expect(pace.readingMs(4_000)).toBe(100)
-    for (let index = 0; index < 20; index += 1) pace.learnReading('p', alone(4_000, 150), index * 200)
-    expect(pace.readingMs(4_000)).toBeCloseTo(100, 5)
-    expect(pace.readingLatencyMs()).toBeCloseTo(50, 5)
-    for (let index = 0; index < 200; index += 1) pace.learnReading('p', alone(4_000, 40), 4_000 + index * 200)
-    expect(pace.readingMs(4_000)).toBeLessThan(42)
+    expect(pace.prefillMs(4_000)).toBe(100)
+    for (let index = 0; index < 20; index += 1) pace.learnPrefill('p', alone(4_000, 150), index * 200)
+    expect(pace.prefillMs(4_000)).toBeCloseTo(100, 5)
+    expect(pace.prefillLatencyMs()).toBeCloseTo(50, 5)
+    for (let index = 0; index < 200; index += 1) pace.learnPrefill('p', alone(4_000, 40), 4_000 + index * 200)
+    expect(pace.prefillMs(4_000)).toBeLessThan(42)
   })
 
   it('takes the pace of its peers, by their lower median, for an engine that has shown nothing', () => {
@@ -35,22 +35,22 @@
     pace.learnDecoding('a', 100, 400, 0)
     pace.learnDecoding('b', 100, 420, 0)
     pace.learnDecoding('slow', 100, 4_000, 0)
-    expect(pace.decodingMs('a', 0)).toBeCloseTo(4.1, 0)
-    expect(pace.decodingMs('new', 0)).toBeCloseTo(4, 0)
-    expect(pace.decodingMs('slow', 0)).toBeGreaterThan(20)
+    expect(pace.msPerToken('a', 0)).toBeCloseTo(4.1, 0)
+    expect(pace.msPerToken('new', 0)).toBeCloseTo(4, 0)
+    expect(pace.msPerToken('slow', 0)).toBeGreaterThan(20)
     pace.keepOnly(new Set(['slow']))
     for (let now = 500; now <= 20_000; now += 500) pace.learnDecoding('slow', 100, 4_000, now)
-    expect(pace.decodingMs('new', 20_000)).toBeCloseTo(40, 0)
+    expect(pace.msPerToken('new', 20_000)).toBeCloseTo(40, 0)
   })
 })
 
 describe('EnginePace, of a reader', () => {
   it('does not take a prompt that was kept for the pace of engines that are well', () => {
     const pace = new EnginePace()
-    pace.learnReading('a', alone(4_000, 6), 0)
+    pace.learnPrefill('a', alone(4_000, 6), 0)
     for (let index = 1; index < 6; index += 1) {
-      pace.learnReading('a', alone(4_000, 100), index * 300)
-      pace.learnReading('b', alone(4_000, 100), index * 300)
+      pace.learnPrefill('a', alone(4_000, 100), index * 300)
+      pace.learnPrefill('b', alone(4_000, 100), index * 300)
     }
     expect(pace.view('a', 'prefill', 1_600).slowness).toBeLessThan(1.4)
     expect(pace.view('b', 'prefill', 1_600).slowness).toBeLessThan(1.4)
--- a/placement/allocator/test/evacuated.test.ts
+++ b/placement/allocator/test/evacuated.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { ask, engine, world } from './fixtures'
+import { ask, engine, createAllocator } from './fixtures'
 
 const PAUSED = { promptTokens: 500, pauseMs: 300, hintTokens: 1_000, mostTokens: 2_000, leftMs: 20_000 }
 
 /** Engines of two domains, of which one is evacuated at will. */
-function domains(endpoints?: RegisteredEndpoint[]) {
+function createDomains(endpoints?: RegisteredEndpoint[]) {
   const evacuated = new Set<string>()
   const both = endpoints ?? [
     engine('p1', 'prefill', { zone: 'a' }),
@@ -13,12 +13,12 @@
     engine('d1', 'decode', { zone: 'a' }),
     engine('d2', 'decode', { zone: 'b' }),
   ]
-  return { evacuated, ...world(both, { isBarred: ({ zone }) => evacuated.has(zone) }) }
+  return { evacuated, ...createAllocator(both, { isBarred: ({ zone }) => evacuated.has(zone) }) }
 }
 
 describe('Allocator, while a domain is evacuated', () => {
   it('places nothing there, reads nothing there, and does so again once it is withdrawn', () => {
-    const { evacuated, allocator, place, decisions } = domains()
+    const { evacuated, allocator, place, decisions } = createDomains()
     evacuated.add('a')
     allocator.tick(0)
     for (const [turn, id] of ['r1', 'r2', 'r3'].entries()) place(ask(id, { promptTokens: 500 }), turn * 300)
@@ -32,7 +32,7 @@
   })
 
   it('refuses by the capacity that is left', () => {
-    const { evacuated, allocator, place, decisions } = domains()
+    const { evacuated, allocator, place, decisions } = createDomains()
     evacuated.add('a')
     allocator.tick(0)
     place(ask('fills', { promptTokens: 7_000 }))
@@ -42,7 +42,7 @@
   })
 
   it('refuses at once where every domain is evacuated, also what waits already', () => {
-    const { evacuated, allocator, place, decisions } = domains()
+    const { evacuated, allocator, place, decisions } = createDomains()
     for (const id of ['one', 'two', 'three']) place(ask(id, { promptTokens: 7_000 }))
     expect(decisions.has('three')).toBe(false)
     evacuated.add('a').add('b')
@@ -53,13 +53,13 @@
   })
 
   it('lets running answers end there, and moves none into it', () => {
-    const { evacuated, allocator } = domains([
+    const { evacuated, allocator } = createDomains([
       engine('d0', 'decode', { zone: 'a' }),
       engine('d1', 'decode', { zone: 'b' }),
       engine('d2', 'decode', { zone: 'c' }),
     ])
     const report = (msPerToken: Record<string, number>, now: number) =>
-      allocator.adopt(
+      allocator.applyReport(
         'runner',
         Object.entries(msPerToken).map(([decode, ms]) => ({
           ask: ask(`at-${decode}`, { ...PAUSED, entry: 'runner' }),
@@ -80,42 +80,42 @@
   })
 
   it('keeps what was learned of engines there', () => {
-    const { evacuated, allocator, place, decisions } = domains()
+    const { evacuated, allocator, place, decisions } = createDomains()
     const readAt = (request: string, now: number) => {
       place(ask(request, { promptTokens: 500 }), now)
       return (decisions.get(request) as { prefill: string }).prefill
     }
     const first = readAt('first', 0)
-    allocator.notePrefilled('first', 'ok', 800, 800)
-    expect(allocator.outlook(ask('other'), 810).slow.map((one) => one.endpoint)).toEqual([first])
+    allocator.recordPrefilled('first', 'ok', 800, 800)
+    expect(allocator.summarize(ask('other'), 810).slow.map((one) => one.endpoint)).toEqual([first])
     evacuated.add(first === 'p1' ? 'a' : 'b')
     allocator.tick(820)
     evacuated.clear()
     allocator.tick(830)
-    expect(allocator.outlook(ask('other'), 840).slow.map((one) => one.endpoint)).toEqual([first])
+    expect(allocator.summarize(ask('other'), 840).slow.map((one) => one.endpoint)).toEqual([first])
   })
 })
 
 describe('Allocator, when engines should change their part while a domain is evacuated', () => {
   const CHANGE_MS = 6_000
 
-  function planned() {
-    const one = domains([
+  function createLoaded() {
+    const one = createDomains([
       engine('p1', 'prefill', { zone: 'a' }),
       engine('d1', 'decode', { zone: 'b' }),
       engine('d2', 'decode', { zone: 'b' }),
       engine('d3', 'decode', { zone: 'a' }),
     ])
     const running = { ask: ask('seen'), decode: 'd1', ageMs: 900, decodingForMs: 800, madeTokens: 1_000 }
-    one.allocator.adopt('e9', [running], 0)
-    one.allocator.dropEntry('e9')
+    one.allocator.applyReport('e9', [running], 0)
+    one.allocator.removeEntry('e9')
     for (let index = 0; index < 200; index += 1) one.place(ask(`r${index}`, { holdMs: 1 }), index * 20)
-    one.allocator.dropEntry('e1')
+    one.allocator.removeEntry('e1')
     return one
   }
 
   it('plans none for what is back before a change would be done, and then without its engines', () => {
-    const { evacuated, allocator } = planned()
+    const { evacuated, allocator } = createLoaded()
     expect(allocator.planStage('s', 4_000)?.stage).not.toBe('prefill')
     evacuated.add('a')
     allocator.tick(4_000)
@@ -128,7 +128,7 @@
   })
 
   it('orders none of its engines', () => {
-    const { evacuated, allocator } = planned()
+    const { evacuated, allocator } = createLoaded()
     evacuated.add('b')
     allocator.tick(4_000)
     expect(['d1', 'd2']).not.toContain(allocator.planStage('s', 4_100)?.id)
--- a/placement/allocator/test/failedSendings.test.ts
+++ b/placement/allocator/test/failedSends.test.ts
@@ -14,7 +14,7 @@
 }
 
 /** Twice as many requests as engines can hold, for ten seconds; a third of the sendings fail as they begin. */
-function play(seed: number): Outcome {
+function simulate(seed: number): Outcome {
   const random = createSeededRandom(seed)
   const decoders = ['d0', 'd1', 'd2'].map((id) => engine(id, 'decode'))
   const endpoints = [engine('p0', 'prefill'), engine('p1', 'prefill'), ...decoders]
@@ -35,7 +35,7 @@
     events.push({
       at: readAt,
       run: () => {
-        if (prefill !== undefined) allocator.notePrefilled(request, 'ok', readMs, now)
+        if (prefill !== undefined) allocator.recordPrefilled(request, 'ok', readMs, now)
         if (!fails) {
           if (isRepeated) outcome.failedAnswered += 1
           if (now + 60 - arrivedAt <= 900) outcome.inTime += 1
@@ -70,7 +70,7 @@
 describe('Allocator, when sendings fail under more load than engines can hold', () => {
   it('answers most of those whose prompt has been read, and serves as many in time', () => {
     const seeds = [1, 2, 3, 4]
-    const all = seeds.map(play)
+    const all = seeds.map(simulate)
     const sum = (key: keyof Outcome) => all.reduce((total, one) => total + one[key], 0)
     expect(sum('failed')).toBeGreaterThan(100)
     expect(sum('failedAnswered') / sum('failed')).toBeGreaterThan(0.7)
--- a/placement/allocator/test/fixtures.ts
+++ b/placement/allocator/test/fixtures.ts
@@ -53,7 +53,7 @@
 }
 
 /** An allocator over some engines, and the decisions it has given. */
-export function world(endpoints: RegisteredEndpoint[], options: Partial<AllocatorOptions> = {}) {
+export function createAllocator(endpoints: RegisteredEndpoint[], options: Partial<AllocatorOptions> = {}) {
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => ENGINE, ...options })
   const decisions = new Map<string, PlaceDecision>()
   const place = (asked: PlaceAsk, now = 0) =>
@@ -62,7 +62,7 @@
 }
 
 /** An allocator that leads since time 0, over engines of which some are cold and get so many requests a second. */
-export function coldWorld(endpoints: RegisteredEndpoint[], coldIds: string[], perSecond: number) {
+export function createColdAllocator(endpoints: RegisteredEndpoint[], coldIds: string[], perSecond: number) {
   const cold = new Set(coldIds)
   const policy = { leftMs: (id: string) => (cold.has(id) ? 60_000 : 0), perSecond: () => perSecond }
   const pace = new EnginePace(undefined, (id) => cold.has(id))
--- a/placement/allocator/test/forecast.test.ts
+++ b/placement/allocator/test/forecast.test.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { LengthForecast, lengthQuantile, peakMemory, planStages, type Growing } from '../src'
+import { LengthForecast, lengthQuantile, peakMemory, planStages, type GrowingAnswer } from '../src'
 
 /** The peak by playing every step. */
-function playedPeak(answers: Growing[]): number {
+function simulatedPeak(answers: GrowingAnswer[]): number {
   let peak = 0
-  const last = Math.max(0, ...answers.map((answer) => answer.toCome))
+  const last = Math.max(0, ...answers.map((answer) => answer.remaining))
   for (let step = 0; step <= last; step += 1) {
-    const running = answers.filter((answer) => answer.toCome >= step)
+    const running = answers.filter((answer) => answer.remaining >= step)
     peak = Math.max(
       peak,
       running.reduce((sum, answer) => sum + answer.held + step, 0),
@@ -19,13 +19,13 @@
 
 describe('peakMemory', () => {
   it('is what playing every step gives', () => {
-    const answers = fc.array(fc.record({ held: fc.nat(500), toCome: fc.nat(60) }), {
+    const answers = fc.array(fc.record({ held: fc.nat(500), remaining: fc.nat(60) }), {
       minLength: 1,
       maxLength: 8,
     })
     fc.assert(
       fc.property(answers, (set) => {
-        expect(peakMemory(set)).toBe(playedPeak(set))
+        expect(peakMemory(set)).toBe(simulatedPeak(set))
       }),
     )
   })
@@ -62,13 +62,13 @@
       const hint = length * Math.exp(0.5 * normal())
       if (index > 200) {
         guessError += Math.abs(Math.log(hint / length))
-        forecastError += Math.abs(forecast.expect('c', hint, 20_000).mu - Math.log(length))
+        forecastError += Math.abs(forecast.predict('c', hint, 20_000).mu - Math.log(length))
       }
       forecast.learn('c', hint, length)
     }
     expect(forecastError).toBeLessThan(guessError * 0.95)
-    expect(forecast.expect('c', 3_000, 20_000).sigma).toBeGreaterThan(0.3)
-    expect(forecast.expect('c', 3_000, 20_000).sigma).toBeLessThan(0.55)
+    expect(forecast.predict('c', 3_000, 20_000).sigma).toBeGreaterThan(0.3)
+    expect(forecast.predict('c', 3_000, 20_000).sigma).toBeLessThan(0.55)
   })
 })
 
--- a/placement/allocator/test/impatientCallers.test.ts
+++ b/placement/allocator/test/impatientCallers.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { Allocator, type PlaceDecision } from '../src'
-import { ask, engine, ENGINE, world } from './fixtures'
+import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 const TARGET_MS = 900
 const PATIENCE_MS = 3_600
@@ -14,7 +14,7 @@
 }
 
 /** Long prompts, more than one reader can read, for six seconds; a caller leaves after four targets of silence. */
-function play(): Outcome {
+function simulate(): Outcome {
   const endpoints = [engine('p0', 'prefill'), ...['d0', 'd1', 'd2', 'd3'].map((id) => engine(id, 'decode'))]
   const memory = { ...ENGINE, kvTokens: 80_000 }
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => memory })
@@ -34,7 +34,7 @@
     else if (firstAt - arrivedAt > TARGET_MS) outcome.late += 1
     else outcome.inTime += 1
     if (decision.prefill !== undefined && !isGone)
-      events.push({ at: readAt, run: () => allocator.notePrefilled(request, 'ok', readAt - placedAt, now) })
+      events.push({ at: readAt, run: () => allocator.recordPrefilled(request, 'ok', readAt - placedAt, now) })
     const endsAt = isGone ? arrivedAt + PATIENCE_MS : readAt + 700
     events.push({ at: endsAt, run: () => allocator.release(request, isGone ? 'cancelled' : 'ok', 200, now) })
   }
@@ -61,7 +61,7 @@
 
 describe('Allocator, whose callers leave a stream that stays silent', () => {
   it('reads no prompt for a caller that will have left, and keeps new ones in time beside late ones', () => {
-    const { inTime, late, inVain } = play()
+    const { inTime, late, inVain } = simulate()
     expect(inVain).toBe(0)
     expect(inTime).toBeGreaterThanOrEqual(18)
     expect(inTime + late).toBeGreaterThanOrEqual(25)
@@ -69,7 +69,7 @@
 
   it('places no late request whose caller leaves before the first event, and one that is just late enough', () => {
     const placed = (patienceMs: number) => {
-      const one = world([engine('p0', 'prefill'), engine('d0', 'decode')])
+      const one = createAllocator([engine('p0', 'prefill'), engine('d0', 'decode')])
       one.place(ask('late', { promptTokens: 8_000, mostTokens: 300, targetMs: -1_000, patienceMs }), 0)
       return one.decisions.get('late')?.type
     }
--- a/placement/allocator/test/instanceHealth.test.ts
+++ b/placement/allocator/test/instanceHealth.test.ts
@@ -4,20 +4,20 @@
 describe('InstanceHealth', () => {
   it('takes an instance out at once that refuses connections, for longer each time', () => {
     const health = new InstanceHealth()
-    expect(health.note('i', 'unreachable', 0)).toBe(1_500)
-    expect(health.isSound('i', 1_499)).toBe(false)
-    expect(health.isSound('i', 1_500)).toBe(true)
-    expect(health.note('i', 'unreachable', 1_600)).toBe(8_000)
-    expect(health.isSound('i', 9_599)).toBe(false)
+    expect(health.record('i', 'unreachable', 0)).toBe(1_500)
+    expect(health.isHealthy('i', 1_499)).toBe(false)
+    expect(health.isHealthy('i', 1_500)).toBe(true)
+    expect(health.record('i', 'unreachable', 1_600)).toBe(8_000)
+    expect(health.isHealthy('i', 9_599)).toBe(false)
   })
 
   it('forgives a single failure, and takes one out that fails most of the time', () => {
     const health = new InstanceHealth()
-    expect(health.note('i', 'failed', 0)).toBe(0)
-    expect(health.note('i', 'failed', 1)).toBe(1_500)
+    expect(health.record('i', 'failed', 0)).toBe(0)
+    expect(health.record('i', 'failed', 1)).toBe(1_500)
     const grey = new InstanceHealth()
     const outcomes = ['failed', 'ok', 'failed', 'ok', 'ok', 'failed'] as const
-    expect(outcomes.map((outcome, index) => grey.note('i', outcome, index))).toEqual([0, 0, 0, 0, 0, 0])
+    expect(outcomes.map((outcome, index) => grey.record('i', outcome, index))).toEqual([0, 0, 0, 0, 0, 0])
   })
 
   it('calls one lost only after it was out several times without a good use between', () => {
@@ -25,46 +25,46 @@
     const ejections: number[] = []
     for (let now = 0; ejections.length < 3; now += 500) {
       expect(health.isLost('i', now, 0)).toBe(false)
-      if (health.note('i', 'failed', now) > 0) ejections.push(now)
+      if (health.record('i', 'failed', now) > 0) ejections.push(now)
     }
     expect(health.isLost('i', 20_000, 6_000)).toBe(true)
-    health.note('i', 'ok', 20_000)
+    health.record('i', 'ok', 20_000)
     expect(health.isLost('i', 20_000, 0)).toBe(false)
   })
 
   it('calls one lost where nobody listened twice, once it could have been back: its process has ended', () => {
     const health = new InstanceHealth()
-    health.note('i', 'unreachable', 0)
+    health.record('i', 'unreachable', 0)
     expect(health.isLost('i', 9_000, 6_000)).toBe(false)
-    health.note('i', 'ok', 1_000)
-    health.note('i', 'unreachable', 2_000)
+    health.record('i', 'ok', 1_000)
+    health.record('i', 'unreachable', 2_000)
     expect(health.isLost('i', 9_000, 6_000)).toBe(false)
-    health.note('i', 'unreachable', 2_001)
+    health.record('i', 'unreachable', 2_001)
     expect(health.isLost('i', 7_999, 6_000)).toBe(false)
     expect(health.isLost('i', 8_000, 6_000)).toBe(true)
-    health.note('i', 'ok', 20_000)
+    health.record('i', 'ok', 20_000)
     expect(health.isLost('i', 30_000, 6_000)).toBe(false)
   })
 
   it('holds a use that was given up against an instance only if it answered nobody meanwhile', () => {
     const busy = new InstanceHealth()
-    busy.note('i', 'ok', 1_000)
-    const givenUp = [1_100, 1_200, 1_300, 1_400, 1_500].map((now) => busy.note('i', 'silent', now, 800))
+    busy.record('i', 'ok', 1_000)
+    const givenUp = [1_100, 1_200, 1_300, 1_400, 1_500].map((now) => busy.record('i', 'silent', now, 800))
     expect(givenUp).toEqual([0, 0, 0, 0, 0])
     const silent = new InstanceHealth()
-    silent.note('i', 'ok', 1_000)
-    expect(silent.note('i', 'silent', 2_000, 800)).toBe(0)
-    expect(silent.note('i', 'silent', 2_010, 800)).toBe(1_500)
+    silent.record('i', 'ok', 1_000)
+    expect(silent.record('i', 'silent', 2_000, 800)).toBe(0)
+    expect(silent.record('i', 'silent', 2_010, 800)).toBe(1_500)
   })
 
   it('pauses one that has no room, longer with each refusal in a row', () => {
     const health = new InstanceHealth()
-    health.note('i', 'full', 0)
+    health.record('i', 'full', 0)
     expect([health.isFull('i', 199), health.isFull('i', 200)]).toEqual([true, false])
-    health.note('i', 'full', 200)
+    health.record('i', 'full', 200)
     expect([health.isFull('i', 599), health.isFull('i', 600)]).toEqual([true, false])
-    health.note('i', 'ok', 700)
-    health.note('i', 'full', 800)
+    health.record('i', 'ok', 700)
+    health.record('i', 'full', 800)
     expect(health.isFull('i', 1_000)).toBe(false)
   })
 })
--- a/placement/allocator/test/begunAnswers.test.ts
+++ b/placement/allocator/test/interruptedAnswers.test.ts
@@ -25,7 +25,7 @@
  * Twice as many requests as three engines can hold, for ten seconds; at two moments an engine ends under its answers, and is
  * back a second later. Those that had begun ask again until their caller has gone.
  */
-function play(seed: number, isBegun: true | undefined): Outcome {
+function simulate(seed: number, isBegun: true | undefined): Outcome {
   const random = createSeededRandom(seed)
   const decoders = ['d0', 'd1', 'd2'].map((id) => engine(id, 'decode'))
   let endpoints = [engine('p0', 'prefill'), engine('p1', 'prefill'), ...decoders]
@@ -42,12 +42,12 @@
           if (now + 60 - arrivedAt <= 900) outcome.inTime += 1
         })
     })
-  const goOn = (asked: PlaceAsk, arrivedAt: number, lostAt: number) => {
+  const resume = (asked: PlaceAsk, arrivedAt: number, lostAt: number) => {
     const silentMs = now - lostAt
     if (silentMs > CALLER_WAITS_MS) return
     const times = { targetMs: 900 - (now - arrivedAt), promptMs: 0, holdMs: 3_060 - silentMs }
     allocator.ask({ ...asked, ...times, isBegun }, now, (decision) => {
-      if (decision.type !== 'placed') return at(now + ASK_AGAIN_MS, () => goOn(asked, arrivedAt, lostAt))
+      if (decision.type !== 'placed') return at(now + ASK_AGAIN_MS, () => resume(asked, arrivedAt, lostAt))
       make(asked, arrivedAt, decision, () => {
         if (now - lostAt > CALLER_WAITS_MS) return
         outcome.begunWhole += 1
@@ -63,7 +63,7 @@
     running.set(request, { decode, lose: () => (isLost = true) })
     at(now + readMs, () => {
       if (isLost) return
-      if (prefill !== undefined) allocator.notePrefilled(request, 'ok', readMs, now)
+      if (prefill !== undefined) allocator.recordPrefilled(request, 'ok', readMs, now)
       onFirst()
       const madeFrom = now
       running.set(request, {
@@ -72,7 +72,7 @@
           isLost = true
           allocator.release(request, 'failed', 0, now)
           outcome.begun += 1
-          goOn({ ...asked, except: [decode] }, arrivedAt, now)
+          resume({ ...asked, except: [decode] }, arrivedAt, now)
         },
       })
       at(madeFrom + ANSWER_MS, () => {
@@ -105,8 +105,8 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6]
 
-function playAll(isBegun: true | undefined) {
-  const all = SEEDS.map((seed) => play(seed, isBegun))
+function simulateAll(isBegun: true | undefined) {
+  const all = SEEDS.map((seed) => simulate(seed, isBegun))
   const sum = (key: 'asked' | 'inTime' | 'begun' | 'begunWhole') =>
     all.reduce((total, one) => total + one[key], 0)
   const pauses = all.flatMap((one) => one.pauses).sort((left, right) => left - right)
@@ -122,8 +122,8 @@
   // Six seeds: of 24 begun answers 24 end whole, the median after 1,025 ms of silence; placed like new requests 3 of 30 do,
   // after 1,540 ms. Of new requests 31.3 in 100 begin in time, 34.4 otherwise: the places are the same ones.
   it('lets nearly all of them end whole, for a few in a hundred fewer that begin in time', () => {
-    const first = playAll(true)
-    const likeNew = playAll(undefined)
+    const first = simulateAll(true)
+    const likeNew = simulateAll(undefined)
     expect(Math.min(first.begun, likeNew.begun)).toBeGreaterThan(20)
     expect(first.begunWhole).toBeGreaterThan(0.95)
     expect(likeNew.begunWhole).toBeLessThan(0.5)
--- a/placement/allocator/test/limitedEngines.test.ts
+++ b/placement/allocator/test/limitedEngines.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { LimitPolicy, Placed } from '../src'
-import { ask, ENGINE, engine, world } from './fixtures'
+import { ask, ENGINE, engine, createAllocator } from './fixtures'
 
 /** Engines that name a rate and may still get so many requests. */
 function limits(left: Record<string, number>): LimitPolicy {
@@ -20,7 +20,7 @@
 describe('Allocator, with engines that name the rate that they take', () => {
   it('counts each step at such an engine, and says within how long it must leave', () => {
     const left = { p1: 1, d1: 1 }
-    const { place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')], {
+    const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')], {
       limits: limits(left),
     })
     place(ask('r1', { ...small, promptTokens: 2_000 }))
@@ -33,7 +33,7 @@
   })
 
   it('says nothing of engines that name none', () => {
-    const { place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')], {
+    const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')], {
       limits: limits({}),
     })
     place(ask('r1', small))
@@ -44,7 +44,7 @@
     const engines = ['p1', 'p2', 'd1', 'd2'].map((id) =>
       engine(id, id.startsWith('p') ? 'prefill' : 'decode'),
     )
-    const { place, decisions } = world(engines, { limits: limits({ p1: 0, d1: 0 }) })
+    const { place, decisions } = createAllocator(engines, { limits: limits({ p1: 0, d1: 0 }) })
     for (let index = 0; index < 6; index += 1) place(ask(`r${index}`, small))
     const placed = [...decisions.values()] as Placed[]
     expect(placed.length).toBeGreaterThan(0)
@@ -54,9 +54,12 @@
 
   it('lets a request wait for what the rate allows, and refuses it within its time where that does not come', () => {
     const left = { d1: 1 }
-    const { allocator, place, decisions } = world([engine('p1', 'prefill'), engine('d1', 'decode')], {
-      limits: limits(left),
-    })
+    const { allocator, place, decisions } = createAllocator(
+      [engine('p1', 'prefill'), engine('d1', 'decode')],
+      {
+        limits: limits(left),
+      },
+    )
     const read = { ...small, isPrefilled: true }
     for (const request of ['r1', 'r2', 'r3']) place(ask(request, read))
     expect([...decisions.keys()]).toEqual(['r1'])
@@ -69,7 +72,7 @@
 
   it('moves no running answer to such an engine', () => {
     const engines = [engine('d1', 'decode'), engine('d2', 'decode')]
-    const { allocator, place, decisions } = world(engines, {
+    const { allocator, place, decisions } = createAllocator(engines, {
       limits: limits({ d2: 5 }),
       engine: () => ENGINE,
     })
--- a/placement/allocator/test/mixedEngines.test.ts
+++ b/placement/allocator/test/mixedEngines.test.ts
@@ -9,7 +9,7 @@
 }
 
 /** Engines that make tokens at a pace each, which varies by a tenth with what runs there. */
-function decode(pace: EnginePace, msPerToken: Record<string, number>, { from, until }: Span): void {
+function learnDecoding(pace: EnginePace, msPerToken: Record<string, number>, { from, until }: Span): void {
   const random = createSeededRandom(from + 1)
   for (let now = from; now < until; now += 400)
     for (const [id, ms] of Object.entries(msPerToken))
@@ -17,7 +17,7 @@
 }
 
 /** Collects which engines were found slow. */
-function watched() {
+function watchPace() {
   const slow = new Set<string>()
   const ever = new Set<string>()
   const pace = new EnginePace((id, _, isSlow) => {
@@ -30,33 +30,33 @@
 
 describe('EnginePace, of engines that differ by build', () => {
   it('does not take an engine that is slower by build for slow, also where it runs more answers than others', () => {
-    const { pace, ever } = watched()
-    decode(pace, { a: 4, b: 4, c: 4, old: 5.6 }, { from: 0, until: 60_000 })
-    decode(pace, { a: 4, b: 4, c: 4, old: 5.6 * 1.4 }, { from: 60_000, until: 66_000 })
+    const { pace, ever } = watchPace()
+    learnDecoding(pace, { a: 4, b: 4, c: 4, old: 5.6 }, { from: 0, until: 60_000 })
+    learnDecoding(pace, { a: 4, b: 4, c: 4, old: 5.6 * 1.4 }, { from: 60_000, until: 66_000 })
     expect([...ever]).toEqual([])
     // It is believed as slow as it is all the same.
-    expect(pace.decodingMs('old', 66_000)).toBeGreaterThan(7)
+    expect(pace.msPerToken('old', 66_000)).toBeGreaterThan(7)
   })
 
   it('finds a fast engine that lost its lead and more', () => {
-    const { pace, slow } = watched()
-    decode(pace, { a: 4, b: 4, c: 4, fast: 3 }, { from: 0, until: 60_000 })
-    decode(pace, { a: 4, b: 4, c: 4, fast: 6.4 }, { from: 60_000, until: 64_000 })
+    const { pace, slow } = watchPace()
+    learnDecoding(pace, { a: 4, b: 4, c: 4, fast: 3 }, { from: 0, until: 60_000 })
+    learnDecoding(pace, { a: 4, b: 4, c: 4, fast: 6.4 }, { from: 60_000, until: 64_000 })
     expect([...slow]).toEqual(['fast'])
-    decode(pace, { a: 4, b: 4, c: 4, fast: 3 }, { from: 64_000, until: 70_000 })
+    learnDecoding(pace, { a: 4, b: 4, c: 4, fast: 3 }, { from: 64_000, until: 70_000 })
     expect([...slow]).toEqual([])
   })
 
   it('finds an engine that has been slow from its first word on, and goes on finding it', () => {
-    const { pace, slow } = watched()
-    decode(pace, { a: 4, b: 4, c: 4, ill: 9 }, { from: 0, until: 120_000 })
+    const { pace, slow } = watchPace()
+    learnDecoding(pace, { a: 4, b: 4, c: 4, ill: 9 }, { from: 0, until: 120_000 })
     expect([...slow]).toEqual(['ill'])
   })
 
   it('finds an engine that grows slow by little steps once it is beyond what builds differ by', () => {
-    const { pace, slow } = watched()
+    const { pace, slow } = watchPace()
     for (let step = 0; step <= 40; step += 1)
-      decode(
+      learnDecoding(
         pace,
         { a: 4, b: 4, c: 4, ill: 4 * (1 + step * 0.06) },
         { from: step * 10_000, until: step * 10_000 + 10_000 },
@@ -65,12 +65,12 @@
   })
 
   it('takes none for slow while all slow down alike, whatever their build', () => {
-    const { pace, ever } = watched()
-    decode(pace, { a: 4, b: 4, fast: 3 }, { from: 0, until: 60_000 })
+    const { pace, ever } = watchPace()
+    learnDecoding(pace, { a: 4, b: 4, fast: 3 }, { from: 0, until: 60_000 })
     for (let step = 1; step <= 20; step += 1) {
       const by = 1 + step * 0.1
       const span = { from: 60_000 + step * 1_000, until: 61_000 + step * 1_000 }
-      decode(pace, { a: 4 * by, b: 4 * by, fast: 3 * by }, span)
+      learnDecoding(pace, { a: 4 * by, b: 4 * by, fast: 3 * by }, span)
     }
     expect([...ever]).toEqual([])
   })
@@ -78,14 +78,14 @@
 
 describe('Allocator, with engines that differ by build', () => {
   it('counts capacity in paces: faster decode engines are more supply', () => {
-    const stageAfter = (fastMs: number) => {
+    const allocatorWith = (fastMs: number) => {
       const endpoints = [
         engine('p0', 'prefill'),
         ...['d0', 'd1', 'd2', 'fast0', 'fast1'].map((id) => engine(id, 'decode')),
       ]
       const pace = new EnginePace()
       const forecast = new LengthForecast()
-      decode(pace, { d0: 4, d1: 4, d2: 4, fast0: fastMs, fast1: fastMs }, { from: 0, until: 90_000 })
+      learnDecoding(pace, { d0: 4, d1: 4, d2: 4, fast0: fastMs, fast1: fastMs }, { from: 0, until: 90_000 })
       const allocator = new Allocator({
         endpoints: () => endpoints,
         engine: () => ENGINE,
@@ -100,8 +100,8 @@
       }
       return allocator.planStage('s', 93_000)?.have.decode
     }
-    expect(supplyOf(stageAfter(4))).toBe(5)
-    expect(supplyOf(stageAfter(2.8))).toBeGreaterThan(5.5)
+    expect(supplyOf(allocatorWith(4))).toBe(5)
+    expect(supplyOf(allocatorWith(2.8))).toBeGreaterThan(5.5)
   })
 
   it('gives less work to an engine that is slower by build, and does not pass it over', () => {
@@ -112,7 +112,7 @@
       engine('old', 'decode'),
     ]
     const pace = new EnginePace()
-    decode(pace, { d0: 4, d1: 4, old: 6 }, { from: 0, until: 60_000 })
+    learnDecoding(pace, { d0: 4, d1: 4, old: 6 }, { from: 0, until: 60_000 })
     const forecast = new LengthForecast()
     const allocator = new Allocator({
       endpoints: () => endpoints,
