--- a/placement/allocator/test/moves.test.ts
+++ b/placement/allocator/test/moves.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { ask, engine, world } from './fixtures'
+import { ask, engine, createAllocator } from './fixtures'
 
 const PAUSED = { promptTokens: 500, pauseMs: 300, hintTokens: 1_000, mostTokens: 2_000, leftMs: 20_000 }
 
 /** Reports answers of one entry, one at each engine named, at a pace of its own. */
-function run(
-  { allocator }: ReturnType<typeof world>,
+function reportAnswers(
+  { allocator }: ReturnType<typeof createAllocator>,
   msPerToken: Record<string, number>,
   span: { from: number; until: number },
 ): void {
@@ -19,7 +19,7 @@
       decodingForMs: forMs,
       madeTokens: Math.round(forMs / ms),
     }))
-    allocator.adopt('runner', holds, now)
+    allocator.applyReport('runner', holds, now)
   }
 }
 
@@ -28,8 +28,8 @@
 
 describe('Allocator, for answers that run', () => {
   it('lets those at an engine that has turned too slow for them go on elsewhere, once', () => {
-    const one = world(three())
-    run(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
+    const one = createAllocator(three())
+    reportAnswers(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
     expect(one.allocator.planMoves('runner', 1_210)).toEqual([
       { request: 'at-d0', to: expect.stringMatching(/^d[12]$/) },
     ])
@@ -37,18 +37,18 @@
   })
 
   it('leaves them where all are slow alike, or where they end in a moment', () => {
-    const alike = world(three())
-    run(alike, { d0: 25, d1: 25, d2: 25 }, { from: 0, until: 1_200 })
+    const alike = createAllocator(three())
+    reportAnswers(alike, { d0: 25, d1: 25, d2: 25 }, { from: 0, until: 1_200 })
     expect(alike.allocator.planMoves('runner', 1_210)).toEqual([])
-    const ending = world(three())
-    run(ending, PEERS, { from: 0, until: 7_600 })
+    const ending = createAllocator(three())
+    reportAnswers(ending, PEERS, { from: 0, until: 7_600 })
     expect(ending.allocator.planMoves('runner', 7_610)).toEqual([])
   })
 
   it('lets those go on elsewhere whose engine leaves before they end', () => {
     const endpoints: RegisteredEndpoint[] = three()
-    const one = world(endpoints)
-    run(one, PEERS, { from: 0, until: 800 })
+    const one = createAllocator(endpoints)
+    reportAnswers(one, PEERS, { from: 0, until: 800 })
     expect(one.allocator.planMoves('runner', 810)).toEqual([])
     endpoints[0] = engine('d0', 'decode', { state: 'draining' })
     one.allocator.tick(820)
@@ -56,16 +56,16 @@
   })
 
   it('lets those go on elsewhere whose engine is to change its part, which it does once it is empty', () => {
-    const one = world(three())
-    run(one, PEERS, { from: 0, until: 800 })
-    one.allocator.noteChanging('d1', 'prefill', 20_000, 810)
+    const one = createAllocator(three())
+    reportAnswers(one, PEERS, { from: 0, until: 800 })
+    one.allocator.markChanging('d1', 'prefill', 20_000, 810)
     expect(one.allocator.planMoves('runner', 820)).toMatchObject([{ request: 'at-d1' }])
   })
 
   it('counts what they hold where they go, and moves none that does not fit', () => {
     const endpoints: RegisteredEndpoint[] = [engine('d0', 'decode'), engine('d1', 'decode')]
-    const one = world(endpoints)
-    run(one, { d0: 4, d1: 4 }, { from: 0, until: 400 })
+    const one = createAllocator(endpoints)
+    reportAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 400 })
     one.place(ask('large', { promptTokens: 6_500 }), 410)
     endpoints[0] = engine('d0', 'decode', { state: 'draining' })
     one.allocator.tick(420)
@@ -76,14 +76,14 @@
   })
 
   it('learns no pace from the time in which an answer moved, and takes it back where it stays', () => {
-    const one = world(three())
-    run(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
+    const one = createAllocator(three())
+    reportAnswers(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
     const [move] = one.allocator.planMoves('runner', 1_210)
     // It goes on being reported where it was: the move has failed.
-    run(one, { ...PEERS, d0: 25 }, { from: 1_600, until: 4_800 })
+    reportAnswers(one, { ...PEERS, d0: 25 }, { from: 1_600, until: 4_800 })
     expect(one.allocator.planMoves('runner', 4_810)).toMatchObject([{ request: move!.request }])
     const views = ['d1', 'd2'].map((id) =>
-      one.allocator.outlook(ask('x'), 4_810).slow.some((s) => s.endpoint === id),
+      one.allocator.summarize(ask('x'), 4_810).slow.some((s) => s.endpoint === id),
     )
     expect(views).toEqual([false, false])
   })
@@ -91,7 +91,7 @@
   it('teaches the engine that an answer has moved to nothing of the one it left', () => {
     const others = ['d1', 'd2', 'd3']
     // The idle one has the most room, and no other answer there tells its pace.
-    const one = world(['d0', ...others, 'idle'].map((id) => engine(id, 'decode')))
+    const one = createAllocator(['d0', ...others, 'idle'].map((id) => engine(id, 'decode')))
     const report = (decode: string, now: number, madeTokens: number) => ({
       ask: ask('moved', { ...PAUSED, entry: 'runner', mostTokens: 4_000 }),
       decode,
@@ -102,16 +102,16 @@
     const peers = (now: number) =>
       others.map((decode) => ({ ...report(decode, now, now / 4), ask: ask(`at-${decode}`, PAUSED) }))
     for (let now = 800; now <= 2_000; now += 400) {
-      one.allocator.adopt('e1', peers(now), now)
-      one.allocator.adopt('runner', [report('d0', now, now / 25)], now)
+      one.allocator.applyReport('e1', peers(now), now)
+      one.allocator.applyReport('runner', [report('d0', now, now / 25)], now)
     }
     const [move] = one.allocator.planMoves('runner', 2_010)
     // From here on it makes a token each 4 ms at its new engine, as its peers do.
     for (const now of [2_400, 2_800]) {
-      one.allocator.adopt('e1', peers(now), now)
-      one.allocator.adopt('runner', [report(move!.to, now, 80 + (now - 2_010) / 4)], now)
+      one.allocator.applyReport('e1', peers(now), now)
+      one.allocator.applyReport('runner', [report(move!.to, now, 80 + (now - 2_010) / 4)], now)
     }
-    const slow = one.allocator.outlook(ask('x'), 2_810).slow.map(({ endpoint }) => endpoint)
+    const slow = one.allocator.summarize(ask('x'), 2_810).slow.map(({ endpoint }) => endpoint)
     expect(slow).not.toContain(move!.to)
   })
 })
--- a/placement/allocator/test/waitingRoom.test.ts
+++ b/placement/allocator/test/placementQueue.test.ts
@@ -1,56 +1,56 @@
 import { describe, expect, it } from 'vitest'
 import type { PlaceAsk } from '../src'
-import { WaitingRoom } from '../src/waitingRoom'
+import { PlacementQueue } from '../src/placementQueue'
 import { ask } from './fixtures'
 
 /** A room with requests that all asked at time 0, and ends of uses at an even pace before. */
-function room(names: string[], endsEveryMs: number) {
-  const waiting = new WaitingRoom((one, now) => one.ask.targetMs - (now - one.since), 'returns-last')
-  for (let at = -2_000; at <= 0; at += endsEveryMs) waiting.noteEnd('s', at)
+function createQueue(names: string[], endsEveryMs: number) {
+  const waiting = new PlacementQueue((one, now) => one.ask.targetMs - (now - one.since), 'returns-last')
+  for (let at = -2_000; at <= 0; at += endsEveryMs) waiting.recordEnd('s', at)
   for (const request of names)
-    waiting.add({ ask: ask(request), since: 0, isKept: false, resolve: () => undefined })
+    waiting.add({ ask: ask(request), since: 0, isAdmitted: false, resolve: () => undefined })
   return waiting
 }
 
 describe('WaitingRoom', () => {
   it('asks nobody to leave before the time at which they must hear', () => {
-    expect(room(['a', 'b'], 10_000).takeHopeless(149)).toEqual([])
+    expect(createQueue(['a', 'b'], 10_000).removeHopeless(149)).toEqual([])
   })
 
   it('lets only as many wait as have a place in sight, the first first', () => {
-    const waiting = room(['a', 'b', 'c', 'd', 'e', 'f'], 200)
-    const sent = waiting.takeHopeless(150).map((one) => one.ask.request)
+    const waiting = createQueue(['a', 'b', 'c', 'd', 'e', 'f'], 200)
+    const sent = waiting.removeHopeless(150).map((one) => one.ask.request)
     expect(sent.length).toBeGreaterThan(0)
     expect(sent.length).toBeLessThan(6)
     expect(sent).toEqual(['a', 'b', 'c', 'd', 'e', 'f'].slice(-sent.length))
   })
 
   it('judges each once: who was told to wait is not sent away later', () => {
-    const waiting = room(['a'], 100)
-    expect(waiting.takeHopeless(150)).toEqual([])
-    expect(waiting.takeHopeless(880)).toEqual([])
+    const waiting = createQueue(['a'], 100)
+    expect(waiting.removeHopeless(150)).toEqual([])
+    expect(waiting.removeHopeless(880)).toEqual([])
     expect(waiting.size).toBe(1)
   })
 
   it('counts only the queue of the same service', () => {
-    const waiting = room([], 100)
+    const waiting = createQueue([], 100)
     for (const request of ['x', 'y', 'z', 'u', 'v', 'w'])
       waiting.add({
         ask: ask(request, { service: 'other' }),
         since: 0,
-        isKept: false,
+        isAdmitted: false,
         resolve: () => undefined,
       })
-    waiting.add({ ask: ask('a'), since: 10, isKept: false, resolve: () => undefined })
-    const sent = waiting.takeHopeless(170).map((one) => one.ask.request)
+    waiting.add({ ask: ask('a'), since: 10, isAdmitted: false, resolve: () => undefined })
+    const sent = waiting.removeHopeless(170).map((one) => one.ask.request)
     expect(sent).not.toContain('a')
     expect(sent).toContain('x')
   })
 
   it('lets those go first of their like whose sending failed: their prompt has most likely been read', () => {
-    const waiting = new WaitingRoom((one) => one.ask.targetMs, 'returns-last')
+    const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
-      waiting.add({ ask: ask(request, fields), since, isKept: false, resolve: () => undefined })
+      waiting.add({ ask: ask(request, fields), since, isAdmitted: false, resolve: () => undefined })
     add('late', { targetMs: -100 }, 0)
     add('new', {}, 1)
     add('back', { isReturn: true }, 2)
@@ -61,13 +61,13 @@
   })
 
   it('lets those go first whose answer has begun, also late ones: nobody else can end it', () => {
-    const waiting = new WaitingRoom((one) => one.ask.targetMs, 'returns-last')
+    const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
-      waiting.add({ ask: ask(request, fields), since, isKept: false, resolve: () => undefined })
+      waiting.add({ ask: ask(request, fields), since, isAdmitted: false, resolve: () => undefined })
     add('new', {}, 0)
     add('read', { isPrefilled: true }, 1)
     add('begun', { targetMs: -4_000, promptMs: 0, isBegun: true }, 2)
     expect(waiting.inOrder(3).map((one) => one.ask.request)).toEqual(['begun', 'read', 'new'])
-    expect(waiting.takeHopeless(10_000).map((one) => one.ask.request)).not.toContain('begun')
+    expect(waiting.removeHopeless(10_000).map((one) => one.ask.request)).not.toContain('begun')
   })
 })
--- a/placement/allocator/test/keptPrompts.test.ts
+++ b/placement/allocator/test/prefixCache.test.ts
@@ -1,57 +1,64 @@
 import { describe, expect, it } from 'vitest'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { Allocator, EnginePace, KeptPrompts, type PlaceAsk, type Placed, type PlaceDecision } from '../src'
-import { ask, engine, ENGINE, world } from './fixtures'
+import {
+  Allocator,
+  EnginePace,
+  PrefixCacheIndex,
+  type PlaceAsk,
+  type Placed,
+  type PlaceDecision,
+} from '../src'
+import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 const SHARED = { id: 'shared', tokens: 1_000 }
 /** A request for a text of its own behind a part that all share. */
-const letter = (request: string, text: string, fields: Partial<PlaceAsk> = {}) =>
+const textAsk = (request: string, text: string, fields: Partial<PlaceAsk> = {}) =>
   ask(request, { parts: [SHARED, { id: text, tokens: 2_000 }], hintTokens: 200, mostTokens: 400, ...fields })
 
-type World = ReturnType<typeof world>
+type Setup = ReturnType<typeof createAllocator>
 
-function placedOf({ decisions }: World, request: string) {
+function placedOf({ decisions }: Setup, request: string) {
   const decision = decisions.get(request)
   return decision?.type === 'placed' ? decision : undefined
 }
 
 /** Places a request, has it read and lets it make its answer. */
-function serve(one: World, asked: PlaceAsk, now: number, made = 200): PlaceDecision | undefined {
+function serve(one: Setup, asked: PlaceAsk, now: number, made = 200): PlaceDecision | undefined {
   one.place(asked, now)
-  one.allocator.notePrefilled(asked.request, 'ok', 75, now + 75)
+  one.allocator.recordPrefilled(asked.request, 'ok', 75, now + 75)
   one.allocator.release(asked.request, 'ok', made, now + 600)
   return one.decisions.get(asked.request)
 }
 
 describe('KeptPrompts', () => {
   it('tells what an engine need not read: the parts that it keeps from the first one on', () => {
-    const kept = new KeptPrompts()
-    kept.note('p', [SHARED, { id: 'a', tokens: 2_000 }])
-    expect(kept.tokensOf('p', [SHARED, { id: 'a', tokens: 2_000 }])).toBe(3_000)
-    expect(kept.tokensOf('p', [SHARED, { id: 'b', tokens: 2_000 }])).toBe(1_000)
-    expect(kept.tokensOf('p', [{ id: 'b', tokens: 500 }, SHARED])).toBe(0)
-    expect(kept.tokensOf('other', [SHARED])).toBe(0)
+    const kept = new PrefixCacheIndex()
+    kept.recordUse('p', [SHARED, { id: 'a', tokens: 2_000 }])
+    expect(kept.cachedTokens('p', [SHARED, { id: 'a', tokens: 2_000 }])).toBe(3_000)
+    expect(kept.cachedTokens('p', [SHARED, { id: 'b', tokens: 2_000 }])).toBe(1_000)
+    expect(kept.cachedTokens('p', [{ id: 'b', tokens: 500 }, SHARED])).toBe(0)
+    expect(kept.cachedTokens('other', [SHARED])).toBe(0)
   })
 
   it('forgets the parts unused longest where memory has no room for them, and none that answers use', () => {
-    const kept = new KeptPrompts()
-    kept.note('p', [{ id: 'old', tokens: 100 }])
-    kept.note('p', [{ id: 'used', tokens: 100 }])
-    kept.note('p', [{ id: 'new', tokens: 100 }])
+    const kept = new PrefixCacheIndex()
+    kept.recordUse('p', [{ id: 'old', tokens: 100 }])
+    kept.recordUse('p', [{ id: 'used', tokens: 100 }])
+    kept.recordUse('p', [{ id: 'new', tokens: 100 }])
     kept.trim('p', 150, new Set(['used']))
-    expect(['old', 'used', 'new'].map((id) => kept.tokensOf('p', [{ id, tokens: 100 }]))).toEqual([
+    expect(['old', 'used', 'new'].map((id) => kept.cachedTokens('p', [{ id, tokens: 100 }]))).toEqual([
       0, 100, 100,
     ])
     // What is gone does not come back when memory is free again.
     kept.trim('p', 1_000, new Set())
-    expect(kept.tokensOf('p', [{ id: 'old', tokens: 100 }])).toBe(0)
+    expect(kept.cachedTokens('p', [{ id: 'old', tokens: 100 }])).toBe(0)
   })
 
   it('is bounded, however many parts callers name', () => {
-    const kept = new KeptPrompts()
-    for (let index = 0; index < 2_000; index += 1) kept.note('p', [{ id: `t${index}`, tokens: 1 }])
+    const kept = new PrefixCacheIndex()
+    for (let index = 0; index < 2_000; index += 1) kept.recordUse('p', [{ id: `t${index}`, tokens: 1 }])
     const parts = Array.from({ length: 2_000 }, (_, index) => ({ id: `t${index}`, tokens: 1 }))
-    expect(parts.filter((part) => kept.tokensOf('p', [part]) > 0).length).toBeLessThan(500)
+    expect(parts.filter((part) => kept.cachedTokens('p', [part]) > 0).length).toBeLessThan(500)
   })
 })
 
@@ -62,24 +69,24 @@
   ]
 
   it('sends the retry of a request whose answer was lost to the engines that have read it', () => {
-    const one = world(pool(4, 4))
-    one.place(letter('first', 'a'), 0)
+    const one = createAllocator(pool(4, 4))
+    one.place(textAsk('first', 'a'), 0)
     const first = placedOf(one, 'first')!
-    one.allocator.notePrefilled('first', 'ok', 75, 75)
+    one.allocator.recordPrefilled('first', 'ok', 75, 75)
     one.allocator.release('first', 'failed', 0, 100)
-    one.place(letter('retry', 'a', { isReturn: true }), 400)
+    one.place(textAsk('retry', 'a', { isReturn: true }), 400)
     expect(placedOf(one, 'retry')).toMatchObject({ prefill: first.prefill, keptTokens: 3_000 })
   })
 
   it('asks the only reader again where its answer was lost after the reading, and not where it read nothing', () => {
     const retriedAfter = (tookMs: number) => {
-      const one = world(pool(1, 2))
-      one.place(letter('before', 'b'), 0)
-      one.place(letter('first', 'a'), 1)
-      one.allocator.notePrefilled('before', 'ok', 75, 75)
-      one.allocator.notePrefilled('first', 'failed', tookMs, 1 + tookMs)
+      const one = createAllocator(pool(1, 2))
+      one.place(textAsk('before', 'b'), 0)
+      one.place(textAsk('first', 'a'), 1)
+      one.allocator.recordPrefilled('before', 'ok', 75, 75)
+      one.allocator.recordPrefilled('first', 'failed', tookMs, 1 + tookMs)
       one.allocator.release('first', 'cancelled', 0, 1 + tookMs)
-      one.place(letter('first', 'a', { except: ['p0'] }), 2 + tookMs)
+      one.place(textAsk('first', 'a', { except: ['p0'] }), 2 + tookMs)
       return placedOf(one, 'first')
     }
     expect(retriedAfter(155)).toMatchObject({ prefill: 'p0', keptTokens: 3_000 })
@@ -87,22 +94,22 @@
   })
 
   it('has a prompt that a decode engine keeps neither read nor moved', () => {
-    const one = world(pool(2, 4))
-    const first = serve(one, letter('first', 'a'), 0)
-    one.place(letter('again', 'a'), 1_000)
+    const one = createAllocator(pool(2, 4))
+    const first = serve(one, textAsk('first', 'a'), 0)
+    one.place(textAsk('again', 'a'), 1_000)
     const again = placedOf(one, 'again')!
     expect(again.prefill).toBeUndefined()
     expect(again).toMatchObject({ decode: first?.type === 'placed' && first.decode, keptTokens: 3_000 })
     // Nor does it hold up others there: a prompt that is really read goes on being read elsewhere.
-    one.place(letter('other', 'b'), 1_001)
+    one.place(textAsk('other', 'b'), 1_001)
     expect(placedOf(one, 'other')?.prefill).toBeDefined()
   })
 
   it('spreads the same text over engines once the one that keeps it fills up, and overfills none', () => {
-    const one = world(pool(3, 3))
-    serve(one, letter('first', 'a'), 0)
+    const one = createAllocator(pool(3, 3))
+    serve(one, textAsk('first', 'a'), 0)
     const names = Array.from({ length: 9 }, (_, index) => `again${index}`)
-    names.forEach((name, index) => one.place(letter(name, 'a'), 1_000 + index))
+    names.forEach((name, index) => one.place(textAsk(name, 'a'), 1_000 + index))
     const decodes = names.map((name) => placedOf(one, name)?.decode).filter((id) => id !== undefined)
     const counts = ['d0', 'd1', 'd2'].map((id) => decodes.filter((each) => each === id).length)
     // Each holds 3,000 and up to 400 more, of 10,000.
@@ -111,10 +118,10 @@
   })
 
   it('believes nothing of an engine that may have restarted, is cold, or serves several models', () => {
-    const forgets: ((one: World, endpoints: RegisteredEndpoint[], id: string) => void)[] = [
+    const changes: ((one: Setup, endpoints: RegisteredEndpoint[], id: string) => void)[] = [
       // As a comparison: nothing happens to it.
       () => undefined,
-      (one, _, id) => one.allocator.noteUse(id, 'other-instance', 900),
+      (one, _, id) => one.allocator.recordUse(id, 'other-instance', 900),
       (one, endpoints, id) => {
         const at = endpoints.findIndex((each) => each.id === id)
         endpoints[at] = { ...endpoints[at]!, coldMs: 2_000 }
@@ -126,34 +133,34 @@
         one.allocator.tick(950)
       },
     ]
-    const isReadAnew = forgets.map((forget) => {
+    const isReadAnew = changes.map((forget) => {
       const endpoints = pool(2, 3)
-      const one = world(endpoints)
-      const first = serve(one, letter('first', 'a'), 0)
+      const one = createAllocator(endpoints)
+      const first = serve(one, textAsk('first', 'a'), 0)
       forget(one, endpoints, first?.type === 'placed' ? first.decode : '')
-      one.place(letter('again', 'a'), 20_000)
+      one.place(textAsk('again', 'a'), 20_000)
       return placedOf(one, 'again')?.prefill !== undefined
     })
     expect(isReadAnew).toEqual([false, true, true, true])
   })
 
   it('forgets prompts that later ones have pushed out of the memory', () => {
-    const one = world(pool(1, 1))
-    serve(one, letter('first', 'a'), 0)
+    const one = createAllocator(pool(1, 1))
+    serve(one, textAsk('first', 'a'), 0)
     for (let index = 0; index < 6; index += 1) {
-      serve(one, letter(`other${index}`, `o${index}`), 1_000 + index * 1_000)
+      serve(one, textAsk(`other${index}`, `o${index}`), 1_000 + index * 1_000)
       one.allocator.tick(1_700 + index * 1_000)
     }
-    one.place(letter('again', 'a'), 8_000)
+    one.place(textAsk('again', 'a'), 8_000)
     expect(placedOf(one, 'again')).toMatchObject({ prefill: 'p0', keptTokens: 1_000 })
   })
 
   it('knows from the reports of entries what engines keep after a change of leader', () => {
-    const one = world(pool(2, 3))
-    const running = letter('running', 'a', { entry: 'e2' })
+    const one = createAllocator(pool(2, 3))
+    const running = textAsk('running', 'a', { entry: 'e2' })
     const holds = [{ ask: running, decode: 'd1', ageMs: 900, decodingForMs: 700, madeTokens: 20 }]
-    one.allocator.adopt('e2', holds, 0)
-    one.place(letter('again', 'a'), 10)
+    one.allocator.applyReport('e2', holds, 0)
+    one.place(textAsk('again', 'a'), 10)
     expect(placedOf(one, 'again')).toMatchObject({ decode: 'd1', keptTokens: 3_000 })
     expect(placedOf(one, 'again')?.prefill).toBeUndefined()
   })
@@ -186,7 +193,7 @@
     const tookMs = readAt - now
     const { request } = asked
     if (prefill !== undefined)
-      ends.push({ at: readAt, run: () => allocator.notePrefilled(request, 'ok', tookMs, now) })
+      ends.push({ at: readAt, run: () => allocator.recordPrefilled(request, 'ok', tookMs, now) })
     ends.push({ at: readAt + 700, run: () => allocator.release(request, 'ok', 200, now) })
   }
   for (now = 0; now < 6_000; now += 5) {
@@ -198,7 +205,7 @@
     if (now % 10 !== 0) continue
     const index = now / 10
     const text = `t${Math.floor(index / 60) * 30 + (index % 30)}`
-    const asked = letter(`r${index}`, text, isKnown ? {} : { parts: undefined })
+    const asked = textAsk(`r${index}`, text, isKnown ? {} : { parts: undefined })
     const askedAt = now
     allocator.ask(asked, now, (decision) => {
       if (decision.type === 'placed') start(asked, text, askedAt, decision)
@@ -219,18 +226,18 @@
   it('takes an engine for well that reads the rest of a prompt in its time, or all of it', () => {
     const pace = new EnginePace()
     for (let index = 0; index < 8; index += 1) {
-      pace.learnReading('a', alone(1_000, 25), index * 300)
+      pace.learnPrefill('a', alone(1_000, 25), index * 300)
       // It had kept nothing, whatever was believed.
-      pace.learnReading('b', alone(1_000, 100), index * 300)
+      pace.learnPrefill('b', alone(1_000, 100), index * 300)
     }
     expect(pace.view('a', 'prefill', 2_400).slowness).toBeLessThan(1.2)
     expect(pace.view('b', 'prefill', 2_400).slowness).toBeLessThan(1.2)
-    expect(pace.readingMs(4_000)).toBeCloseTo(100, -1)
+    expect(pace.prefillMs(4_000)).toBeCloseTo(100, -1)
   })
 
   it('finds an engine slow that takes longer than the whole prompt should', () => {
     const pace = new EnginePace()
-    for (let index = 0; index < 8; index += 1) pace.learnReading('a', alone(1_000, 400), index * 300)
+    for (let index = 0; index < 8; index += 1) pace.learnPrefill('a', alone(1_000, 400), index * 300)
     expect(pace.view('a', 'prefill', 2_400).ms).toBeGreaterThan(1.8)
   })
 })
--- a/placement/allocator/test/readPlaceCalls.test.ts
+++ b/placement/allocator/test/readPlaceCalls.test.ts
@@ -7,7 +7,7 @@
 const asSent = (value: unknown): unknown => JSON.parse(JSON.stringify(value))
 
 /** One field of a good statement replaced by anything, or left out. */
-function spoilt(good: object): fc.Arbitrary<{ field: string; value: unknown }> {
+function withOneFieldReplaced(good: object): fc.Arbitrary<{ field: string; value: unknown }> {
   return fc.record({ field: fc.constantFrom(...Object.keys(good)), value: fc.anything() })
 }
 
@@ -22,7 +22,7 @@
 
   it('is never more than an error where anything is: no other error, nothing made up', () => {
     fc.assert(
-      fc.property(fc.anything(), spoilt(ask('a')), (any, { field, value }) => {
+      fc.property(fc.anything(), withOneFieldReplaced(ask('a')), (any, { field, value }) => {
         for (const raw of [any, { ask: any }, { ask: { ...ask('a'), [field]: value } }]) {
           try {
             const read = readPlaceAsk(raw)
@@ -40,7 +40,7 @@
   it('holds for every other place where one row is none', () => {
     const { entry } = ask('a')
     fc.assert(
-      fc.property(spoilt(hold('b')), fc.nat(2), ({ field, value }, at) => {
+      fc.property(withOneFieldReplaced(hold('b')), fc.nat(2), ({ field, value }, at) => {
         const rows: unknown[] = [hold('a'), hold('c')]
         rows.splice(at, 0, { ...hold('b'), [field]: value })
         const read = readPlaceReport({ entry, holds: rows })
--- a/placement/allocator/test/homes.test.ts
+++ b/placement/allocator/test/regions.test.ts
@@ -8,7 +8,7 @@
 const TOPOLOGY = new Topology({ w1: 'west', w2: 'west', e1: 'east', e2: 'east', s1: 'south' })
 const DOMAINS = ['w1', 'w2', 'e1', 'e2', 's1', 'unnamed']
 
-function world(endpoints: RegisteredEndpoint[]) {
+function createAllocator(endpoints: RegisteredEndpoint[]) {
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => ENGINE, topology: TOPOLOGY })
   const decisions = new Map<string, PlaceDecision>()
   const place = (request: string, regions: Homes, now = 0, fields = {}) =>
@@ -18,7 +18,7 @@
 
 describe('the homes of a request', () => {
   it('bind the engine that reads and the one that decodes', () => {
-    const { place, decisions } = world([
+    const { place, decisions } = createAllocator([
       engine('pw', 'prefill', { zone: 'w1' }),
       engine('dw', 'decode', { zone: 'w2' }),
       engine('pe', 'prefill', { zone: 'e1' }),
@@ -32,7 +32,7 @@
   })
 
   it('leave the reading to the decode engine where no reader lies there', () => {
-    const { place, decisions } = world([
+    const { place, decisions } = createAllocator([
       engine('pw', 'prefill', { zone: 'w1' }),
       engine('de', 'decode', { zone: 'e1' }),
     ])
@@ -41,7 +41,7 @@
   })
 
   it('refuse at once where no decode engine lies there', () => {
-    const { place, decisions } = world([engine('dw', 'decode', { zone: 'w1' })])
+    const { place, decisions } = createAllocator([engine('dw', 'decode', { zone: 'w1' })])
     for (const [request, regions] of [
       ['a', ['east']],
       ['b', []],
@@ -63,7 +63,7 @@
       promptTokens: fc.integer({ min: 1, max: 6_000 }),
       isPrefilled: fc.boolean(),
     })
-    const happening = fc.oneof(
+    const event = fc.oneof(
       fc.record({ type: fc.constant('fails'), index: fc.nat(20) }),
       fc.record({ type: fc.constant('drains'), index: fc.nat(20) }),
       fc.record({ type: fc.constant('ends'), index: fc.nat(20) }),
@@ -73,13 +73,13 @@
     fc.assert(
       fc.property(
         fc.array(endpoint, { minLength: 2, maxLength: 14 }),
-        fc.array(fc.tuple(request, happening), { minLength: 1, maxLength: 20 }),
+        fc.array(fc.tuple(request, event), { minLength: 1, maxLength: 20 }),
         (fields, course) => {
           const all = fields.map(({ stage, zone }, index) => engine(`i${index}`, stage, { zone }))
           const zoneOf = (id: string) => all.find((one) => one.id === id)!.zone
-          const { allocator, decisions, place } = world(all)
+          const { allocator, decisions, place } = createAllocator(all)
           const homesOf = new Map<string, Homes>()
-          const mustBeHome = (name: string, id: string | undefined) => {
+          const expectInRegions = (name: string, id: string | undefined) => {
             if (id !== undefined) expect(isWithin(TOPOLOGY, zoneOf(id), homesOf.get(name))).toBe(true)
           }
           let now = 0
@@ -89,7 +89,7 @@
             homesOf.set(name, regions)
             place(name, regions, now, rest)
             const one = all[index % all.length]!
-            if (type === 'fails') allocator.noteUse(one.id, 'unreachable', now)
+            if (type === 'fails') allocator.recordUse(one.id, 'unreachable', now)
             if (type === 'drains') one.state = one.state === 'ready' ? 'draining' : 'ready'
             if (type === 'ends') allocator.release(`r${(1 + (index % (now / 100))) * 100}`, 'ok', 50, now)
             allocator.tick(now)
@@ -98,16 +98,20 @@
             )
             placed += running.length
             for (const { request, decision } of running) {
-              mustBeHome(request, decision.prefill)
-              mustBeHome(request, decision.decode)
+              expectInRegions(request, decision.prefill)
+              expectInRegions(request, decision.decode)
               const reported = {
                 ask: ask(request, { regions: homesOf.get(request) }),
                 decode: decision.decode,
               }
-              allocator.adopt('e1', [{ ...reported, ageMs: 500, decodingForMs: 400, madeTokens: 20 }], now)
+              allocator.applyReport(
+                'e1',
+                [{ ...reported, ageMs: 500, decodingForMs: 400, madeTokens: 20 }],
+                now,
+              )
               for (const move of allocator.planMoves('e1', now)) {
                 moved += 1
-                mustBeHome(move.request, move.to)
+                expectInRegions(move.request, move.to)
               }
             }
           }
--- a/placement/allocator/test/slowEngines.test.ts
+++ b/placement/allocator/test/slowEngines.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { ask, engine, world } from './fixtures'
+import { ask, engine, createAllocator } from './fixtures'
 
-type World = ReturnType<typeof world>
+type Setup = ReturnType<typeof createAllocator>
 
 /** Answers that run one at each engine, reported each 400 ms at a pace of its own. */
 function runAnswers(
-  { allocator }: World,
+  { allocator }: Setup,
   msPerToken: Record<string, number>,
   span: { from: number; until: number },
 ): void {
@@ -26,13 +26,13 @@
         madeTokens: Math.round(made[decode]),
       }
     })
-    allocator.adopt('runner', holds, now)
+    allocator.applyReport('runner', holds, now)
   }
 }
 
 /** Has an engine read prompts one after the other, each in the given time. */
 function readPrompts(
-  { allocator, place, decisions }: World,
+  { allocator, place, decisions }: Setup,
   tookMs: Record<string, number>,
   span: { from: number; times: number },
 ): void {
@@ -43,7 +43,7 @@
     const decision = decisions.get(name)
     if (decision?.type !== 'placed' || decision.prefill === undefined) continue
     const took = tookMs[decision.prefill]!
-    allocator.notePrefilled(name, 'ok', took, now + took)
+    allocator.recordPrefilled(name, 'ok', took, now + took)
     allocator.release(name, 'ok', 300, now + took + 50)
   }
 }
@@ -60,7 +60,7 @@
 
 describe('Allocator, when engines turn slow', () => {
   it('sends no request that can be in time to a decode engine whose pauses would be too long', () => {
-    const one = world(pool(1, 3))
+    const one = createAllocator(pool(1, 3))
     runAnswers(one, { d0: 4, d1: 4, d2: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4, d2: 4 }, { from: 2_400, until: 4_400 })
     for (const name of ['a', 'b', 'c', 'd']) one.place(ask(name, PAUSED), 4_410)
@@ -68,7 +68,7 @@
   })
 
   it('notices it within a second', () => {
-    const one = world(pool(1, 3))
+    const one = createAllocator(pool(1, 3))
     runAnswers(one, { d0: 4, d1: 4, d2: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4, d2: 4 }, { from: 2_400, until: 3_200 })
     for (const name of ['a', 'b', 'c']) one.place(ask(name, PAUSED), 3_210)
@@ -76,7 +76,7 @@
   })
 
   it('places requests on while all are slow alike', () => {
-    const one = world(pool(1, 3))
+    const one = createAllocator(pool(1, 3))
     runAnswers(one, { d0: 4, d1: 4, d2: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 26, d2: 24 }, { from: 2_400, until: 6_400 })
     for (const name of ['a', 'b', 'c']) one.place(ask(name, PAUSED), 6_410)
@@ -84,7 +84,7 @@
   })
 
   it('gives a slow engine that is well again its part of the work back', () => {
-    const one = world(pool(1, 2))
+    const one = createAllocator(pool(1, 2))
     runAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4 }, { from: 2_400, until: 4_400 })
     runAnswers(one, { d0: 4, d1: 4 }, { from: 4_800, until: 8_400 })
@@ -93,7 +93,7 @@
   })
 
   it('tries a slow engine with a single request once nothing has been seen of it for a while', () => {
-    const one = world(pool(1, 2))
+    const one = createAllocator(pool(1, 2))
     runAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4 }, { from: 2_400, until: 4_400 })
     runAnswers(one, { d1: 4 }, { from: 4_800, until: 12_000 })
@@ -102,19 +102,19 @@
   })
 
   it('sends prompts past a reader that takes longer than its peers', () => {
-    const one = world(pool(2, 2))
+    const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
     const readerOf = (name: string) => (one.decisions.get(name) as { prefill?: string }).prefill
     one.place(ask('first', { promptTokens: 2_000 }), 9_000)
     const slow = readerOf('first')
-    one.allocator.notePrefilled('first', 'ok', 500, 9_500)
+    one.allocator.recordPrefilled('first', 'ok', 500, 9_500)
     for (const name of ['next', 'after']) one.place(ask(name, { promptTokens: 2_000 }), 9_600)
     expect(readerOf('next')).toMatch(/^p/)
     expect(['next', 'after'].map(readerOf)).not.toContain(slow)
   })
 
   it('lets nothing wait behind a prompt that is late already', () => {
-    const one = world(pool(2, 2))
+    const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
     one.place(ask('stuck', { promptTokens: 2_000 }), 10_000)
     const stuck = one.decisions.get('stuck') as { prefill?: string }
@@ -124,7 +124,7 @@
   })
 
   it('lets a decode engine read where the only reader is slow and would be later', () => {
-    const one = world(pool(1, 3))
+    const one = createAllocator(pool(1, 3))
     readPrompts(one, { p0: 90 }, { from: 0, times: 8 })
     readPrompts(one, { p0: 700 }, { from: 8_000, times: 3 })
     one.place(ask('next', { promptTokens: 2_000 }), 11_000)
@@ -132,7 +132,7 @@
   })
 
   it('takes slow tokens for less supply, not for more demand', () => {
-    const one = world(pool(2, 4))
+    const one = createAllocator(pool(2, 4))
     const demand = (from: number, until: number) => {
       for (let now = from; now < until; now += 100)
         one.place(ask(`r${now}`, { entry: 'caller', promptTokens: 500, holdMs: 1 }), now)
@@ -147,16 +147,16 @@
   })
 
   it('does not let a decode engine read where its answers would pause too long', () => {
-    const one = world(pool(1, 2))
+    const one = createAllocator(pool(1, 2))
     runAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 2_000 })
-    for (let index = 0; index < 3; index += 1) one.allocator.noteUse('p0', 'full', 2_000)
+    for (let index = 0; index < 3; index += 1) one.allocator.recordUse('p0', 'full', 2_000)
     one.place(ask('long', { ...PAUSED, promptTokens: 6_000 }), 2_010)
     one.place(ask('short', { ...PAUSED, promptTokens: 2_000 }), 2_020)
     expect(['long', 'short'].map(one.decodeOf)).toEqual([undefined, expect.stringMatching(/^d/)])
   })
 
   it('says until when another engine could still read the prompt in time', () => {
-    const one = world(pool(2, 2))
+    const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
     one.place(ask('next', { promptTokens: 2_000 }), 9_000)
     expect(one.decisions.get('next')).toMatchObject({ readElsewhereInMs: 750 })
--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -1,5 +1,5 @@
 import type { Clock, Random } from '@forkstage/clock'
-import { callAwayMs } from '@forkstage/allocator'
+import { extraCallMs } from '@forkstage/allocator'
 import { newestPerAddress, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import type { Logger } from '@forkstage/logger'
 import type { StatementBook } from '@forkstage/statements'
@@ -202,7 +202,7 @@
   /** How far away an endpoint is, as a cost. */
   private awayOf({ endpoint }: PooledEndpoint): number {
     const distance = this.topology.distance(this.options.zone, endpoint.zone)
-    return (distance === 'same-domain' ? 0 : 1) + callAwayMs(distance)
+    return (distance === 'same-domain' ? 0 : 1) + extraCallMs(distance)
   }
 
   /**
@@ -290,7 +290,7 @@
     const wait = ((one.inFlight + 1) * meanMs) / Math.max(1, one.endpoint.slots)
     const distance = this.topology.distance(this.options.zone, one.endpoint.zone)
     const away = distance === 'same-domain' ? 1 : AWAY_FACTOR
-    return wait * away * (1 + this.options.random() * DRAW) + callAwayMs(distance)
+    return wait * away * (1 + this.options.random() * DRAW) + extraCallMs(distance)
   }
 
   /** What runs there is lost: nobody need wait for an answer that no process can give. */
--- a/request/gateway/test/coldFleet.test.ts
+++ b/request/gateway/test/coldFleet.test.ts
@@ -179,7 +179,7 @@
     if (decision.type === 'refused') return void this.results.push(`refused: ${decision.reason}`)
     const { request } = ask
     entry.gate.take(request, decision, askedAt)
-    const onRead = () => leader.notePrefilled(request, 'ok', READING_MS, this.clock.now())
+    const onRead = () => leader.recordPrefilled(request, 'ok', READING_MS, this.clock.now())
     const onEnd = (made: number) => leader.release(request, 'ok', made, this.clock.now())
     if (this.ended.has(decision.decode)) {
       this.results.push('other instance')
--- a/tools/bench/src/memoryRun.ts
+++ b/tools/bench/src/memoryRun.ts
@@ -155,7 +155,7 @@
       decodingForMs: this.now - decodingAt,
       madeTokens: Math.floor(answer.made),
     }))
-    this.allocator.adopt(ENTRY, holds, this.now)
+    this.allocator.applyReport(ENTRY, holds, this.now)
     if (this.variant.withoutMoves === true) return
     for (const { request, to } of this.allocator.planMoves(ENTRY, this.now)) this.move(request, to)
   }
@@ -217,7 +217,7 @@
       Math.max(this.now, reader.until) + (call.prompt * reader.slowness) / this.shape.engine.readsPerMs
     reader.until = readAt
     this.at(readAt + TRANSIT_MS, () => {
-      this.allocator.notePrefilled(request, 'ok', this.now - placedAt, this.now)
+      this.allocator.recordPrefilled(request, 'ok', this.now - placedAt, this.now)
       this.decode(call, ask, decision.decode, placedAt)
     })
   }
