--- a/daemon/fleet/test/endpointRecall.test.ts
+++ b/daemon/fleet/test/endpointRecall.test.ts
@@ -86,7 +86,7 @@
     const answer = callEndpoint(endpoint('i-1', address), call, clock)
     await isAsked
     clock.advance(2_000)
-    expect(await answer).toMatchObject({ type: 'failed', sent: true, isGivenUp: true })
+    expect(await answer).toMatchObject({ type: 'failed', sent: true, isTimedOut: true })
   })
 })
 
