--- a/placement/load/src/endpointTracker.ts
+++ b/placement/load/src/endpointTracker.ts
@@ -69,10 +69,10 @@
   private readonly linkRates = new Map<string, number>()
   private readonly linkQueues = new Map<string, Map<RequestId, number>>()
   private leaving = new Set<string>()
-  private readonly statements: AvailabilityTracker
+  private readonly availability: AvailabilityTracker
 
   constructor(private readonly options: EndpointTrackerOptions) {
-    this.statements = new AvailabilityTracker(options)
+    this.availability = new AvailabilityTracker(options)
   }
 
   /** Takes a new table. @returns whether it has endpoints that were not there before. */
@@ -80,12 +80,12 @@
     let hasNew = false
     const names = new Set(table.endpoints.map((row) => row.endpoint))
     for (const name of this.entries.keys()) if (!names.has(name)) this.entries.delete(name)
-    this.statements.sweep((name) => names.has(name))
+    this.availability.sweep((name) => names.has(name))
     for (const row of table.endpoints) {
       const known = this.entries.get(row.endpoint)
       if (known?.row.address === row.address) known.row = row
       else {
-        this.statements.sweep((name) => name !== row.endpoint)
+        this.availability.sweep((name) => name !== row.endpoint)
         this.entries.set(row.endpoint, this.createEntry(row))
         hasNew = true
       }
@@ -166,7 +166,7 @@
     entry.sent.set(request, { ...work, at: now })
     entry.prefixes.recordSent(blocks)
     entry.ejection.recordSent(now)
-    this.statements.recordSent(endpoint)
+    this.availability.recordSent(endpoint)
     entry.promptBudget = this.promptBudget(entry, now) - work.promptTokens
     entry.promptBudgetAt = now
     this.shares.add(endpoint, 1, now)
@@ -193,7 +193,7 @@
     const entry = this.entries.get(endpoint)
     if (entry === undefined) return
     const { clock, random } = this.options
-    if (error === undefined) this.statements.recordSuccess(endpoint)
+    if (error === undefined) this.availability.recordSuccess(endpoint)
     const change =
       error === undefined ? entry.ejection.recordSuccess() : entry.ejection.recordFailure(clock.now(), random)
     this.logChange(endpoint, change, error)
@@ -203,14 +203,14 @@
    * Takes a refusal, or a failure that says when to come back. One that does has said what it can do, which is no failure:
    * it gets nothing until then, and is not put out.
    */
-  recordRefusal(endpoint: EndpointName, rest: RetryAfter, request: RequestId, reason: string): void {
-    if (rest.type === 'rest') this.statements.recordRetryAfter(endpoint, rest, request)
+  recordRefusal(endpoint: EndpointName, retryAfter: RetryAfter, request: RequestId, reason: string): void {
+    if (retryAfter.type === 'rest') this.availability.recordRetryAfter(endpoint, retryAfter, request)
     else this.recordResult(endpoint, reason)
   }
 
   /** Until some endpoints that all want nothing may be asked again, in milliseconds; undefined where one may be now. */
-  restLeftMs(endpoints: EndpointName[]): Millis | undefined {
-    const bound = this.statements.earliestAvailable(endpoints)
+  backoffLeftMs(endpoints: EndpointName[]): Millis | undefined {
+    const bound = this.availability.earliestAvailable(endpoints)
     return bound && bound.untilMs - this.options.clock.now()
   }
 
@@ -285,7 +285,7 @@
     if (row.weight <= 0) return 'weight'
     if (entry.report?.leaving || this.leaving.has(row.endpoint)) return 'leaving'
     if (!entry.ejection.isOpen(now)) return 'ejected'
-    if (this.statements.unavailability(row.endpoint) !== undefined) return 'resting'
+    if (this.availability.unavailability(row.endpoint) !== undefined) return 'resting'
     if (now >= entry.shareUntil || entry.sent.size >= entry.share) return 'no-credit'
     if (this.promptBudget(entry, now) <= 0) return 'rate-limit'
     return undefined
--- a/request/machine/src/stepRequest.ts
+++ b/request/machine/src/stepRequest.ts
@@ -125,7 +125,7 @@
   state.placement = placement
   state.phase = 'reserving'
   state.order.fence(epoch)
-  hold(state, placement.decode, epoch)
+  recordHold(state, placement.decode, epoch)
   const { slotLeaseMs } = state.options
   state.effects.push({
     type: 'reserve',
@@ -143,7 +143,7 @@
   const epoch = engineEpoch(state)
   state.phase = 'prefilling'
   state.dispatched = true
-  hold(state, placement.prefill, epoch)
+  recordHold(state, placement.prefill, epoch)
   state.effects.push({ type: 'prefill', attempt: state.attempt, epoch, endpoint: placement.prefill })
 }
 
@@ -275,7 +275,7 @@
   state.lastLineAt = now
   state.placement = adoptedPlacement(endpoint)
   state.order.fence(epoch)
-  hold(state, endpoint, epoch)
+  recordHold(state, endpoint, epoch)
   state.effects.push({ type: 'resume', attempt: state.attempt, epoch, endpoint, from: 0 })
   state.effects.push({ type: 'noteDecoding', endpoint, epoch })
 }
@@ -314,6 +314,6 @@
   if (stalled) handleBrokenStream(state, 'stalled', now)
 }
 
-function hold(state: RequestState, endpoint: EndpointName, epoch: number): void {
+function recordHold(state: RequestState, endpoint: EndpointName, epoch: number): void {
   state.holds.set(endpoint, Math.max(epoch, state.holds.get(endpoint) ?? 0))
 }
--- a/request/quota/test/quotaRandom.test.ts
+++ b/request/quota/test/quotaRandom.test.ts
@@ -49,7 +49,7 @@
   ],
 }
 
-async function play(seed: number, names: string[]): Promise<{ most: number; faults: string[] }> {
+async function runWithFaults(seed: number, names: string[]): Promise<{ most: number; faults: string[] }> {
   const random = createSeededRandom(seed)
   const simulation = new QuotaSimulation({ entries: ENTRIES, slack: SLACK })
   simulation.workspaces.set('w', workspace('w', RATE))
@@ -71,7 +71,7 @@
   it.each(Array.from({ length: RUNS }, (_, index) => FIRST_SEED + index))(
     'is never exceeded by more than the sheet lets it be, seed %d',
     async (seed) => {
-      const { most, faults } = await play(seed, ['nothing', ...names])
+      const { most, faults } = await runWithFaults(seed, ['nothing', ...names])
       expect(most, faults.join('\n')).toBeLessThanOrEqual(ALLOWED * 1.1 + SLACK)
     },
   )
--- a/request/runner/src/placer.ts
+++ b/request/runner/src/placer.ts
@@ -26,7 +26,7 @@
   answer: (result: PlaceResult | 'retry-budget') => void
 }
 
-interface Waiting extends QueueItem {
+interface WaitingQuery extends QueueItem {
   query: PlacementQuery
   since: Millis
 }
@@ -51,7 +51,7 @@
 
 /** Places requests, and keeps those that must wait for room in a fair queue. */
 export class Placer {
-  private readonly queue = new FairQueue<Waiting>()
+  private readonly queue = new FairQueue<WaitingQuery>()
   private readonly baseline = createBaselineState()
   private draining = false
 
@@ -94,7 +94,7 @@
     this.draining = false
   }
 
-  private answerWaiting(item: Waiting, result: PlaceResult | 'retry-budget'): void {
+  private answerWaiting(item: WaitingQuery, result: PlaceResult | 'retry-budget'): void {
     this.queue.remove(item, result !== 'retry-budget' && result.type === 'placed')
     item.query.answer(result)
   }
--- a/request/runner/src/plainCalls.ts
+++ b/request/runner/src/plainCalls.ts
@@ -105,7 +105,7 @@
       .claim(key, call.bodyDigest, call.request, call.repeatable)
       .catch((error: unknown) => {
         const message = 'The request could not be claimed.'
-        throw notRun('FORKSTAGE_JOURNAL_UNAVAILABLE', message, 503, { cause: error })
+        throw notRunError('FORKSTAGE_JOURNAL_UNAVAILABLE', message, 503, { cause: error })
       })
     this.parts.traces.record(call.request, 'claim', { outcome: result.type })
     return this.applyClaimResult(result, call, response)
@@ -128,7 +128,7 @@
       case 'mismatch':
         throw new KeyReusedError(call.key ?? '')
       default:
-        throw notRun('FORKSTAGE_JOURNAL_FULL', 'The journal takes no more keys now.', 503)
+        throw notRunError('FORKSTAGE_JOURNAL_FULL', 'The journal takes no more keys now.', 503)
     }
   }
 
@@ -163,7 +163,7 @@
       .filter((row) => row.service === service && row.pool === 'plain')
       .map(({ endpoint }) => endpoint)
     const message = `No endpoint of ${service} takes calls now.`
-    return notRun('FORKSTAGE_NO_ENDPOINT', message, 503, { retryAfterMs: tracker.restLeftMs(names) })
+    return notRunError('FORKSTAGE_NO_ENDPOINT', message, 503, { retryAfterMs: tracker.backoffLeftMs(names) })
   }
 
   /**
@@ -206,7 +206,7 @@
       const refused = answer.headers[NOT_RUN_HEADER] === NOT_RUN_VALUE && answer.statusCode >= 400
       if (refused) {
         await answer.body.dump()
-        tracker.recordRefusal(row.endpoint, restOf(answer), call.request, 'refused')
+        tracker.recordRefusal(row.endpoint, retryAfterOf(answer), call.request, 'refused')
         return { notRun: true, reason: `refused with status ${answer.statusCode}` }
       }
       await this.relay(call, answer, response, epoch)
@@ -307,7 +307,7 @@
   return body === undefined || Buffer.isBuffer(body)
 }
 
-function notRun(
+function notRunError(
   code: `FORKSTAGE_${string}`,
   message: string,
   status: number,
@@ -317,7 +317,7 @@
   return new AnswerError(code, message, hint, status, 'not-run', retryAfterMs, { step: 'dispatch', cause })
 }
 
-function restOf({ statusCode, headers }: Dispatcher.ResponseData): RetryAfter {
+function retryAfterOf({ statusCode, headers }: Dispatcher.ResponseData): RetryAfter {
   return readRetryAfter({ status: statusCode, rawHeaders: flattenHeaders(headers) })
 }
 
--- a/request/runner/test/restingPlain.test.ts
+++ b/request/runner/test/restingPlain.test.ts
@@ -28,14 +28,14 @@
 }
 
 /** A box before plain endpoints, each with the seconds of rest that it asks for; one without serves. */
-async function start(...rests: (string | undefined)[]) {
+async function start(...retryAfters: (string | undefined)[]) {
   const clock = new ManualClock(1_000)
   const logger = createSilentLogger()
   const tracker = new EndpointTracker({ clock, random: () => 0.5, logger })
-  const asks = [...rests]
-  const seen = rests.map(() => 0)
+  const asks = [...retryAfters]
+  const seen = retryAfters.map(() => 0)
   const rows = await Promise.all(
-    rests.map(async (_, index) => {
+    retryAfters.map(async (_, index) => {
       const server = createServer((_request, response) => {
         seen[index] = seen[index]! + 1
         const seconds = asks[index]
