--- a/request/relay/src/frameReorderBuffer.ts
+++ b/request/relay/src/frameReorderBuffer.ts
@@ -1,6 +1,6 @@
 import { assertInvariant } from '@forkstage/error'
 
-/** How far ahead of the next token a frame may arrive and still be kept. */
+/** How many tokens ahead of the next one a frame may arrive and still be held. */
 const MAX_TOKENS_AHEAD = 1_024
 
 /** One token of an answer. */
@@ -10,12 +10,12 @@
   text: string
 }
 
-/** What became of a frame. */
+/** What was done with a frame: `taken` in order, `held` until the tokens before it arrive, or dropped. */
 export type FrameVerdict = 'taken' | 'held' | 'double' | 'fenced' | 'too-far'
 
 /**
- * Puts the tokens of one answer in order: drops doubles and what a fenced attempt sends late, holds
- * what comes too early, and says when the answer is whole.
+ * Puts the tokens of one answer in order: drops duplicates and late frames of a fenced attempt, holds frames that
+ * arrive early, and knows when the answer is complete.
  */
 export class FrameReorderBuffer {
   private readonly tokens: string[] = []
@@ -24,12 +24,12 @@
   private length: number | undefined
   readonly counts: Record<FrameVerdict, number> = { taken: 0, held: 0, double: 0, fenced: 0, 'too-far': 0 }
 
-  /** The number of the next token that is missing. */
+  /** The sequence number of the next missing token. */
   get nextSeq(): number {
     return this.tokens.length
   }
 
-  /** Whether every token up to the announced end is there. */
+  /** Whether every token up to the announced end has arrived. */
   get isComplete(): boolean {
     return this.length !== undefined && this.tokens.length === this.length
   }
@@ -39,20 +39,21 @@
     return this.early.size > 0 || (this.length !== undefined && this.tokens.length < this.length)
   }
 
-  /** The tokens from a number on, in order and without gaps. */
+  /** The tokens from number `seq` on, in order and without gaps. */
   from(seq: number): string[] {
     return this.tokens.slice(seq)
   }
 
-  /** From now on only frames of this epoch count. */
+  /** Accepts only frames of this epoch from now on, and drops those held of an earlier one. */
   fence(epoch: number): void {
-    assertInvariant(epoch >= this.epoch, 'epochs never fall', () => `${epoch} after ${this.epoch}`)
+    assertInvariant(epoch >= this.epoch, 'epochs never decrease', () => `${epoch} after ${this.epoch}`)
     if (epoch === this.epoch) return
     this.epoch = epoch
     this.early.clear()
     this.length = undefined
   }
 
+  /** Adds a frame. @returns what was done with it. */
   push(frame: TokenFrame): FrameVerdict {
     const verdict = this.classify(frame)
     this.counts[verdict] += 1
@@ -61,12 +62,12 @@
     return verdict
   }
 
-  /** Notes the announced length. @returns false where the announcement is fenced. */
+  /** Sets the announced length of the answer in tokens. @returns false if the announcement is fenced. */
   setEnd(epoch: number, length: number): boolean {
     if (epoch !== this.epoch) return false
     assertInvariant(
       length >= this.tokens.length,
-      'an answer does not shrink',
+      'an answer does not get shorter',
       () => `${length} after ${this.tokens.length}`,
     )
     this.length = length
--- a/request/relay/src/index.ts
+++ b/request/relay/src/index.ts
@@ -1,3 +1,3 @@
-/** The order of a stream's frames. */
+/** Puts the frames of an answer in order. */
 export { FrameReorderBuffer } from './frameReorderBuffer'
 export type { FrameVerdict, TokenFrame } from './frameReorderBuffer'
--- a/request/relay/test/frameReorderBuffer.test.ts
+++ b/request/relay/test/frameReorderBuffer.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest'
 import { FrameReorderBuffer } from '../src'
 
-describe('frameOrder', () => {
-  it('gives the whole answer once, however its frames arrive', () => {
+describe('FrameReorderBuffer', () => {
+  it('returns the complete answer once, in whatever order its frames arrive', () => {
     const arrivals = fc.integer({ min: 1, max: 40 }).chain((length) => {
       const seqs = Array.from({ length }, (_, seq) => seq)
       const doubled = fc.array(fc.nat(length - 1), { maxLength: 20 })
@@ -28,7 +28,7 @@
     )
   })
 
-  it('is not whole while a token is missing, and goes on at the gap under a new epoch', () => {
+  it('is not complete while a token is missing, and continues at the gap under a new epoch', () => {
     const buffer = new FrameReorderBuffer()
     buffer.fence(1)
     buffer.push({ epoch: 1, seq: 0, text: 'a' })
