--- a/request/machine/src/endRequest.ts
+++ b/request/machine/src/endRequest.ts
@@ -3,12 +3,12 @@
 import type { RequestState } from './requestState'
 import type { RequestEnd, WasteCause } from './requestTypes'
 
-/** Ends a request: everything it may hold is released, and the end is told once. */
+/** Ends a request: releases everything that it may hold, and emits the end once. */
 export function endRequest(state: RequestState, end: RequestEnd): void {
   assertInvariant(state.phase !== 'ended', 'a request ends once', () => state.request)
   assertEndConsistent(state, end)
   discardKeptPrefill(state, wasteCauseOf(end))
-  // A finished stream holds no memory; the engine forgets its text by itself.
+  // A finished stream holds no memory; the engine drops its text by itself.
   const stillHolds = end.type !== 'answered'
   for (const [endpoint, epoch] of state.holds) {
     const decodedHere = endpoint === state.placement?.decode
@@ -19,7 +19,7 @@
   state.effects.push({ type: 'end', end })
 }
 
-/** Ends a request without an answer: truthfully as not run, or as one that may have run. */
+/** Ends a request without an answer: as not run if no model work was dispatched, else as one that may have run. */
 export function failRequest(
   state: RequestState,
   reason: string,
@@ -42,7 +42,7 @@
   failRequest(state, failure.reason, failure.step, failure.peer)
 }
 
-/** Counts a kept prefill as thrown away. */
+/** Discards a kept prefill result and counts its tokens as wasted. */
 export function discardKeptPrefill(state: RequestState, cause: WasteCause): void {
   if (state.kept === undefined) return
   const { endpoint, freshTokens } = state.kept
@@ -58,7 +58,11 @@
 
 function assertEndConsistent(state: RequestState, end: RequestEnd): void {
   const saysNotRun = (end.type === 'refused' || end.type === 'failed') && end.execution === 'not-run'
-  assertInvariant(!saysNotRun || !state.dispatched, 'what is called not run did not run', () => state.request)
+  assertInvariant(
+    !saysNotRun || !state.dispatched,
+    'a request reported as not run never ran',
+    () => state.request,
+  )
   const answers = end.type === 'answered'
   assertInvariant(
     !answers || state.claim === 'won',
@@ -67,7 +71,7 @@
   )
   assertInvariant(
     !answers || state.order.isComplete,
-    'an answer ends only when it is whole',
+    'an answer ends only when it is complete',
     () => state.request,
   )
 }
--- a/request/machine/src/index.ts
+++ b/request/machine/src/index.ts
@@ -1,4 +1,4 @@
-/** The life of one model request. */
+/** The state machine of one model request. */
 export { createRequest, engineEpoch } from './requestState'
 export type { KeptPrefill, RequestState } from './requestState'
 export { stepRequest } from './stepRequest'
--- a/request/machine/src/requestState.ts
+++ b/request/machine/src/requestState.ts
@@ -3,14 +3,14 @@
 import type { EndpointName, Millis, RequestId } from '@forkstage/types'
 import type { ClaimState, CreateRequestOptions, RequestEffect, RequestPhase } from './requestTypes'
 
-/** A prefill result that waits to be fetched. */
+/** A prefill result that an engine keeps until it is fetched or expires. */
 export interface KeptPrefill {
   endpoint: EndpointName
   freshTokens: number
   expiresAt: Millis
 }
 
-/** Everything one box knows of one model request. Changed only by {@link stepRequest}. */
+/** The state of one model request on one box. Changed only by {@link stepRequest}. */
 export interface RequestState {
   readonly request: RequestId
   readonly options: CreateRequestOptions
@@ -21,9 +21,9 @@
   attempt: number
   placement?: Placement
   kept?: KeptPrefill
-  /** Endpoints to which anything was sent, with the highest epoch sent: what must be released. */
+  /** Endpoints that may hold something for the request and must be released, with the highest epoch sent to each. */
   holds: Map<EndpointName, number>
-  /** Whether any model work was sent anywhere and not proved not to have run. */
+  /** Whether model work was sent to an engine that has not proved that it did not run it. */
   dispatched: boolean
   avoid: EndpointName[]
   deterministic: boolean
@@ -32,7 +32,7 @@
   finish: string
   resumes: number
   lastLineAt: Millis
-  /** When an answer that has begun and was refused a place asks again. */
+  /** When to request a placement again after a refusal; only set for an answer that has begun. */
   placeAgainAt?: Millis
   firstTokenAt?: Millis
   /** Why the last attempt failed, for the caller. */
@@ -40,7 +40,7 @@
   effects: RequestEffect[]
 }
 
-/** Builds the state of a request that has just been read. */
+/** Creates the state of a new request. */
 export function createRequest(options: CreateRequestOptions): RequestState {
   return {
     request: options.request,
@@ -63,10 +63,10 @@
   }
 }
 
-/** Attempts of one owner; a takeover leaves room for as many of its own above them. */
+/** Engine epochs for each claim epoch, so that those of a takeover are higher than all of the earlier owner. */
 const ATTEMPTS_PER_CLAIM_EPOCH = 64
 
-/** The epoch under which an attempt goes to engines: rises with the claim's epoch and with each attempt. */
+/** Returns the epoch that engines get with an attempt: rises with the claim's epoch and with each attempt. */
 export function engineEpoch(state: RequestState): number {
   return Math.max(1, state.claimEpoch) * ATTEMPTS_PER_CLAIM_EPOCH + state.attempt
 }
--- a/request/machine/src/requestTypes.ts
+++ b/request/machine/src/requestTypes.ts
@@ -2,20 +2,20 @@
 import type { Placement, RefusalReason } from '@forkstage/place'
 import type { EndpointName, Execution, Millis, RequestId } from '@forkstage/types'
 
-/** Where a request is. */
+/** The phase that a request is in. */
 export type RequestPhase = 'placing' | 'reserving' | 'prefilling' | 'decoding' | 'ended'
 
 /** Whether this box may answer the request. */
 export type ClaimState = 'pending' | 'won' | 'lost'
 
-/** Why a prefill was thrown away before decoding. */
+/** Why a prefill result was discarded before decoding. */
 export type WasteCause =
   'cancelled' | 'claim-lost' | 'expired' | 'decode-failed' | 'deadline' | 'transfer-stalled'
 
 /** How a request ended. */
 export type RequestEnd =
   | { type: 'answered'; tokens: number; finish: string }
-  /** Nothing was dispatched: proved by the dispatch record. */
+  /** No model work was dispatched, as the state of the request shows. */
   | {
       type: 'refused'
       reason: RefusalReason | 'claim-failed' | 'retry-budget'
@@ -32,15 +32,15 @@
   request: RequestId
   now: Millis
   deadline: Millis
-  /** Without a sign of life from an engine for this long, its stream is resumed or left. */
+  /** A stream without a line from its engine for this long is resumed or abandoned. */
   stallMs: Millis
   /** How long a reserved slot is held before decoding starts. */
   slotLeaseMs: Millis
-  /** Tokens that the caller got from an earlier owner; only the same answer may follow them. */
+  /** How many tokens the caller got from an earlier owner; only the same answer may continue them. */
   deliveredBefore: number
 }
 
-/** What can happen to a request. Answers carry the attempt they belong to. */
+/** The events of a request. Those that answer an effect carry the attempt of that effect. */
 export type RequestEvent =
   | { type: 'start' }
   | { type: 'claimed'; epoch: number }
@@ -60,15 +60,15 @@
     }
   | { type: 'line'; attempt: number; line: EngineLine }
   | { type: 'streamClosed'; attempt: number; reason: string; notRun: boolean }
-  /** A stream of an earlier owner was found alive at an engine; go on there. */
+  /** An engine may still run the stream of an earlier owner, which is resumed there. */
   | { type: 'adopt'; endpoint: EndpointName }
   | { type: 'callerGone' }
   | { type: 'tick' }
 
-/** What the shell must do. */
+/** What the runner of a request must carry out. */
 export type RequestEffect =
   | { type: 'claim' }
-  /** Ask placement; `keepPrefill` names an engine whose result is still there. */
+  /** Requests a placement; `keepPrefill` names the engine that still keeps the prefill result. */
   | { type: 'place'; attempt: number; avoid: EndpointName[]; waited: Millis; keepPrefill?: EndpointName }
   | {
       type: 'reserve'
@@ -81,10 +81,10 @@
   | { type: 'prefill'; attempt: number; epoch: number; endpoint: EndpointName }
   | { type: 'decode'; attempt: number; epoch: number; placement: Placement }
   | { type: 'resume'; attempt: number; epoch: number; endpoint: EndpointName; from: number }
-  /** Release until confirmed. */
+  /** Releases what the endpoint holds; retried until confirmed. */
   | { type: 'release'; endpoint: EndpointName; epoch: number }
   | { type: 'noteDecoding'; endpoint: EndpointName; epoch: number }
-  /** Tokens up to this count may go to the caller. */
+  /** Tokens up to this count may be sent to the caller. */
   | { type: 'deliver'; upTo: number }
   | { type: 'wasted'; tokens: number; cause: WasteCause; endpoint: EndpointName }
   | { type: 'end'; end: RequestEnd }
--- a/request/machine/src/stepRequest.ts
+++ b/request/machine/src/stepRequest.ts
@@ -6,16 +6,16 @@
 import { engineEpoch, type RequestState } from './requestState'
 import type { RequestEffect, RequestEvent, RequestPhase, WasteCause } from './requestTypes'
 
-/** Attempts of one request at most, whatever the retry budget allows. */
+/** The most attempts of one request, whatever the retry budget allows. */
 const MAX_ATTEMPTS = 4
 /** How often one stream is resumed before another engine is tried. */
 const MAX_RESUMES = 2
-/** While it is turned away, an answer that has begun asks for a place this often at least. */
+/** The longest wait until an answer that has begun requests a placement again after a refusal. */
 const MAX_PLACE_RETRY_MS: Millis = 400
-/** A kept result that expires sooner than this is not worth another transfer. */
+/** A kept prefill result that expires sooner than this is not worth another transfer. */
 const MIN_KEEP_MS = 300
 
-/** Advances a request by one event. The only way its state changes; does no I/O. */
+/** Applies an event to a request. @returns the effects to carry out. Nothing else changes the state; does no I/O. */
 export function stepRequest(state: RequestState, event: RequestEvent, now: Millis): RequestEffect[] {
   if (state.phase !== 'ended') handleEvent(state, event, now)
   const effects = state.effects
@@ -23,7 +23,7 @@
   return effects
 }
 
-/** The phase in which an engine's or placement's answer counts; in any other it is late or doubled. */
+/** The phases in which an answer of an engine or of placement counts; in any other it is late or a duplicate. */
 const AWAITED_IN: Partial<Record<RequestEvent['type'], RequestPhase[]>> = {
   placed: ['placing'],
   refused: ['placing'],
@@ -81,7 +81,7 @@
 
 function handleClaimed(state: RequestState, epoch: number): void {
   state.claim = 'won'
-  // Work sent before the claim was sure went out under the first epoch, which is this one unless it was taken over.
+  // Work sent before the claim was confirmed had the first epoch, which is also this one unless it is a takeover.
   state.claimEpoch = epoch
   deliver(state)
   finishIfWhole(state)
@@ -98,7 +98,7 @@
   state.effects.push({ type: 'place', attempt: state.attempt, avoid: state.avoid, waited, keepPrefill })
 }
 
-/** An answer that its caller has begun to get is owed until its time is up: a refused place is asked for again. */
+/** An answer that its caller has begun to receive requests a placement again until the deadline. */
 function handleRefused(
   state: RequestState,
   { reason, retryAfter }: Extract<RequestEvent, { type: 'refused' }>,
@@ -112,7 +112,7 @@
 
 function placeAgain(state: RequestState, now: Millis): void {
   state.placeAgainAt = undefined
-  // Those that failed it may be all there are.
+  // The endpoints that failed the request may be the only ones.
   state.avoid = []
   startAttempt(state, now)
 }
@@ -120,7 +120,7 @@
 function handlePlaced(state: RequestState, placement: Placement): void {
   const mustRepeat = state.options.deliveredBefore > 0 || state.delivered > 0
   if (mustRepeat && !state.deterministic)
-    return failRequest(state, 'the answer cannot be made again', 'place', placement.decode)
+    return failRequest(state, 'the same answer cannot be generated again', 'place', placement.decode)
   const epoch = engineEpoch(state)
   state.placement = placement
   state.phase = 'reserving'
@@ -170,7 +170,7 @@
 ): void {
   const { step } = event
   const onlyDispatch = step === 'prefill' && state.attempt === 0
-  // The endpoint's protocol proves that it ran nothing, and nothing else was sent.
+  // The endpoint's protocol proves that it ran nothing, and nothing else was dispatched.
   if (event.notRun && onlyDispatch) state.dispatched = false
   retryElsewhere(
     state,
@@ -187,7 +187,7 @@
   peer?: string
 }
 
-/** Leaves the present engines and starts again elsewhere, unless that may not be. */
+/** Releases the current engines and starts another attempt, or fails the request after the last one. */
 function retryElsewhere(
   state: RequestState,
   failure: Failure,
@@ -201,7 +201,7 @@
   if (state.kept !== undefined && avoid.includes(state.kept.endpoint)) discardKeptPrefill(state, cause)
   releaseAllBut(state, state.kept?.endpoint)
   state.attempt += 1
-  // Nothing has been shown yet, so another engine may give another answer.
+  // Nothing has been delivered yet, so another engine may give a different answer.
   if (state.delivered === 0) state.order = new FrameReorderBuffer()
   startAttempt(state, now)
 }
@@ -229,7 +229,7 @@
   finishIfWhole(state)
 }
 
-/** The engine decodes: the prefill was not in vain, and its result has been fetched. */
+/** The engine decodes, so the prefill result has been fetched: it is neither wasted nor held any more. */
 function handleFirstToken(state: RequestState): void {
   const { prefill, decode } = state.placement!
   state.kept = undefined
@@ -247,7 +247,7 @@
   endRequest(state, { type: 'answered', tokens: state.order.nextSeq, finish: state.finish })
 }
 
-/** The stream ended or stalled before the answer was whole: resume at the gap, or go elsewhere. */
+/** Handles a stream that ended or stalled before the answer was complete: resumes at the gap, or retries elsewhere. */
 function handleBrokenStream(state: RequestState, reason: string, now: Millis): void {
   if (state.phase !== 'decoding' || state.order.isComplete) return
   const { decode } = state.placement!
@@ -266,7 +266,7 @@
   })
 }
 
-/** Goes on with a stream that an earlier owner of the claim left at an engine. */
+/** Resumes a stream that an earlier owner of the claim left at an engine. */
 function adoptStream(state: RequestState, endpoint: EndpointName, now: Millis): void {
   const epoch = engineEpoch(state)
   state.dispatched = true
--- a/request/machine/test/sessions.test.ts
+++ b/request/machine/test/sessions.test.ts
@@ -10,7 +10,7 @@
 } from '@forkstage/place'
 import { createRequest, stepRequest, type RequestEffect, type RequestEvent, type RequestState } from '../src'
 
-/** Plays a whole session: placement and request machine together, every event and effect written down. */
+/** Runs placement and the request state machine together, and records every event and effect. */
 class Session {
   readonly state: RequestState = createRequest({
     request: 'bole-1~i~1',
@@ -25,7 +25,7 @@
 
   constructor(private readonly view: PlacementView) {}
 
-  /** Feeds an event in; questions to placement are answered at once by the real `place`. */
+  /** Applies an event; requests for a placement are answered at once by `place`. */
   step(event: RequestEvent, after = 10): void {
     this.now += after
     this.lines.push({ at: this.now, event })
@@ -150,7 +150,7 @@
     await expect(serializeLines(session)).toMatchFileSnapshot(golden('resumed'))
   })
 
-  it('a caller that left while its prompt was prefilled', async () => {
+  it('a caller that disconnected during the prefill', async () => {
     const session = new Session(healthy())
     session.step({ type: 'start' })
     session.step({ type: 'reserved', attempt: 0 })
@@ -175,7 +175,7 @@
     await expect(serializeLines(session)).toMatchFileSnapshot(golden(`refused-${reason}`))
   })
 
-  it('a claim that another box holds, and one that cannot be made', async () => {
+  it('a claim that another box holds, and a claim that failed', async () => {
     const lost = new Session(healthy())
     lost.step({ type: 'start' })
     lost.step({ type: 'reserved', attempt: 0 })
@@ -187,7 +187,7 @@
     await expect(serializeLines(failed)).toMatchFileSnapshot(golden('refused-claim-failed'))
   })
 
-  it('a prefill engine that refused with proof, and no other to go to', async () => {
+  it('a prefill engine that proved its refusal, without another engine', async () => {
     const session = new Session(healthy())
     session.step({ type: 'start' })
     session.step({ type: 'claimed', epoch: 1 })
--- a/request/machine/test/stepRequest.test.ts
+++ b/request/machine/test/stepRequest.test.ts
@@ -36,12 +36,12 @@
     ...patch,
   })
 
-/** Plays the world around a request: answers its effects, wrongly, late or not at all, as the numbers say. */
+/** Simulates what a request depends on: answers its effects out of order, twice, with failures or not at all. */
 class RequestEnvironment {
   readonly state: RequestState = create()
-  /** Events on their way; any of them may come next, or never. */
+  /** Pending events; any of them may be the next, or may never arrive. */
   waiting: RequestEvent[] = []
-  /** The claim's answer takes its own time: it often comes after the first tokens. */
+  /** The answer to the claim often arrives after the first tokens. */
   claimAsked = false
   held = new Map<string, number>()
   ran = new Set<number>()
@@ -120,7 +120,7 @@
 }
 
 describe('stepRequest', () => {
-  it('keeps the promises whatever answers come, in whatever order', () => {
+  it('keeps its guarantees whatever answers arrive, in any order', () => {
     const choices = fc.array(fc.tuple(fc.nat(1_000), fc.integer({ min: 0, max: 99 })), {
       minLength: 20,
       maxLength: 80,
@@ -137,7 +137,7 @@
           else if (kind < 8) environment.step({ type: 'tick' })
           else if (kind < 13 && environment.claimAsked) environment.step({ type: 'claimed', epoch: 1 })
           else if (environment.waiting.length > 0) {
-            // Two in three in order of arrival, the others out of order; some come twice.
+            // Two in three in order of arrival, the others out of order; some are repeated.
             const index = kind % 3 === 0 ? pick % environment.waiting.length : 0
             const event = environment.waiting[index]!
             if (pick % 10 > 0) environment.waiting.splice(index, 1)
@@ -162,7 +162,7 @@
     )
   })
 
-  it('calls a request not run when the only engine asked proves that it refused', () => {
+  it('reports a request as not run when the only engine asked proves that it refused', () => {
     const state = create()
     const step = (event: RequestEvent) => stepRequest(state, event, 1)
     step({ type: 'start' })
@@ -193,12 +193,11 @@
   })
 
   /**
-   * A caller that had got a part of its answer lost the rest as soon as the next place was refused, with most of its time
-   * left: a refusal was carried out alike whether the answer had begun or not. Found by looking for the cause of begun
-   * answers that entries cut.
+   * Guards against an answer that has begun and is cut off with most of its time left, because a refused placement ends
+   * it like a request that has not been answered yet.
    */
   it.each([true, false])(
-    'asks again for a place for an answer that has begun (made the same again: %s)',
+    'requests a placement again for an answer that has begun (deterministic: %s)',
     (same) => {
       const state = create()
       const step = (event: RequestEvent, now: number) => stepRequest(state, event, now)
@@ -218,13 +217,13 @@
       expect(step({ type: 'tick' }, 400)).toEqual([])
       const again = step({ type: 'tick' }, 411)
       expect(again).toEqual([expect.objectContaining({ type: 'place', attempt: 1, avoid: [] })])
-      // Too late for another wait: now it ends, as one that may have run.
+      // Too late for another wait: the request ends as one that may have run.
       const end = step({ type: 'refused', attempt: 1, reason: 'no-memory', retryAfter: 5_000 }, 700)
       expect(end.at(-1)).toMatchObject({ type: 'end', end: { type: 'failed', execution: 'may-have-run' } })
     },
   )
 
-  it('does not splice two answers where the engine cannot make the same one again', () => {
+  it('does not join two answers if the engine is not deterministic', () => {
     const state = create({ deliveredBefore: 3 })
     const effects = [
       ...stepRequest(state, { type: 'claimed', epoch: 2 }, 0),
@@ -237,7 +236,7 @@
     ]
     expect(effects.at(-1)).toMatchObject({
       type: 'end',
-      end: { type: 'failed', reason: 'the answer cannot be made again' },
+      end: { type: 'failed', reason: 'the same answer cannot be generated again' },
     })
   })
 })
