--- a/request/runner/src/answerErrors.ts
+++ b/request/runner/src/answerErrors.ts
@@ -1,7 +1,7 @@
 import { ForkstageError } from '@forkstage/error'
 import type { Execution, RequestId } from '@forkstage/types'
 
-/** An error that ends a caller's request, with what is promised about its execution. */
+/** An error that ends a caller's request, and states whether the request was or may have been executed. */
 export class AnswerError extends ForkstageError {
   constructor(
     code: `FORKSTAGE_${string}`,
@@ -16,7 +16,7 @@
   }
 }
 
-/** The key stands for another request. */
+/** Raised when a key was already used for another request. */
 export class KeyReusedError extends AnswerError {
   constructor(key: string) {
     super(
@@ -33,13 +33,13 @@
   }
 }
 
-/** A request that may not be repeated was begun and its outcome is not known. */
+/** Raised when a request that may not be repeated was started and its outcome is unknown. */
 export class MayHaveRunError extends AnswerError {
   constructor(request: RequestId) {
     super(
       'FORKSTAGE_MAY_HAVE_RUN',
-      `Request ${request} was begun and its outcome is not known.`,
-      'It is not run again. Send the same key later to ask for its outcome.',
+      `Request ${request} was started and its outcome is unknown.`,
+      'The request is not run again. Send the same key later to get its outcome.',
       409,
       'may-have-run',
       1_000,
@@ -48,13 +48,13 @@
   }
 }
 
-/** The request ran; its answer was too large to be kept. */
+/** Raised when a request has run and its answer was too large to be stored. */
 export class OutcomeNotKeptError extends AnswerError {
   constructor(request: RequestId, digest: string) {
     super(
       'FORKSTAGE_OUTCOME_NOT_KEPT',
       `Request ${request} ran; its answer (SHA-256 ${digest}) was too large to keep.`,
-      'Use a new key to have it run again, if it may be.',
+      'Use a new key to run the request again, if it may be repeated.',
       409,
       'ran',
       undefined,
--- a/request/runner/src/answerSource.ts
+++ b/request/runner/src/answerSource.ts
@@ -2,18 +2,18 @@
 import type { RequestId } from '@forkstage/types'
 import type { ModelRun } from './modelRun'
 
-/** More of an answer: tokens in order, and the end once there is nothing after them. */
+/** A part of an answer: tokens in order, and the end if no more tokens follow. */
 export interface AnswerPart {
   tokens: string[]
   end?: RequestEnd
 }
 
-/** Where a caller's answer comes from: a run on this box, one on another, or the journal. */
+/** The source of a caller's answer: a run on this box, a run on another box, or the journal. */
 export interface AnswerSource {
   request: RequestId
   /** Waits for tokens after the first `from`, or the end. */
   next(from: number): Promise<AnswerPart>
-  /** The caller is gone. */
+  /** Called when the caller has disconnected. */
   close(): void
 }
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** Hands back an answer that the journal has kept. */
+/** Returns an answer that is stored in the journal. */
 export function replayAnswer(request: RequestId, tokens: string[], finish: string): AnswerSource {
   const end: RequestEnd = { type: 'answered', tokens: tokens.length, finish }
   return {
--- a/request/runner/src/choosePlainEndpoint.ts
+++ b/request/runner/src/choosePlainEndpoint.ts
@@ -3,7 +3,7 @@
 import type { Logger } from '@forkstage/logger'
 import type { EndpointRow, RequestId } from '@forkstage/types'
 
-/** What choosing needs to know of a call. */
+/** What {@link choosePlainEndpoint} needs to know about a call. */
 export interface PlainChoice {
   request: RequestId
   caller: string
@@ -18,7 +18,7 @@
   random: () => number
 }
 
-/** Chooses an endpoint of a plain service: least load for its weight, at random among equals. */
+/** Chooses the open endpoint with the least load for its weight, at random among equals; undefined if none is open. */
 export function choosePlainEndpoint(
   call: PlainChoice,
   options: ChoosePlainOptions,
--- a/request/runner/src/engineSteps.ts
+++ b/request/runner/src/engineSteps.ts
@@ -13,14 +13,14 @@
   model: ModelRequest
   state: RequestState
   parts: RunParts
-  /** Takes what the engines answered. */
+  /** Called with what the engines answered. */
   emit: (event: RequestEvent) => void
 }
 
-/** Carries out what a request asks of engines, and tells the book and the story of it. */
+/** Carries out a request's engine calls, and records them in the endpoint tracker and the request's trace. */
 export class EngineSteps {
   private stream: DecodeStream | undefined
-  /** When the newest token came. */
+  /** When the newest token arrived, by the box's clock; 0 before the first. */
   lastTokenAt = 0
 
   constructor(private readonly options: EngineStepsOptions) {}
@@ -103,7 +103,7 @@
     parts.releases.release(endpoint, { request: id, epoch })
   }
 
-  /** Ends the connection of the present stream. */
+  /** Closes the connection of the current stream. */
   close(): void {
     this.stream?.close()
   }
--- a/request/runner/src/forwardHeaders.ts
+++ b/request/runner/src/forwardHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers that belong to one connection and are not passed on. */
+/** Headers that belong to one connection and are not forwarded. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -9,10 +9,10 @@
   'transfer-encoding',
   'upgrade',
 ])
-/** Headers that are the router's own business. */
+/** Headers that the router handles itself. */
 const NOT_FORWARDED = new Set(['authorization', 'host', 'content-length', 'expect'])
 
-/** The headers that are passed on: none that belong to one connection, to the router, or that `connection` names. */
+/** Returns the headers to forward: none of one connection, of the router, or that `connection` names. */
 export function forwardableHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string | string[]> {
@@ -28,7 +28,7 @@
   return Object.fromEntries(kept) as Record<string, string | string[]>
 }
 
-/** Headers with one value each, as the journal keeps them. */
+/** Joins the values of each header into one, as the journal stores them. */
 export function joinHeaderValues(headers: Record<string, string | string[]>): Record<string, string> {
   return Object.fromEntries(
     Object.entries(headers).map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : value]),
--- a/request/runner/src/modelRequest.ts
+++ b/request/runner/src/modelRequest.ts
@@ -1,11 +1,11 @@
 import type { CallerName, Millis, RequestKey } from '@forkstage/types'
 
-/** A model request that has been read and checked. */
+/** A parsed and validated model request. */
 export interface ModelRequest {
   caller: CallerName
   /** The key in the journal: the caller's name and its own key. */
   key: RequestKey
-  /** Whether the caller chose the key, and so may come back for the answer. */
+  /** Whether the caller chose the key, and so may reconnect for the answer. */
   resumable: boolean
   bodyDigest: string
   service: string
@@ -15,13 +15,13 @@
   blocks: string[]
   maxTokens: number
   kvBytesPerToken: number
-  /** Same seed, same answer. */
+  /** A deterministic engine gives the same answer for the same seed. */
   seed: number
   className: string
   workspace: string
   priority: number
-  /** How long the caller waits at most. */
+  /** The longest time that the caller waits for the answer. */
   deadlineMs: Millis
-  /** The target for the first token. */
+  /** The target time to the first token. */
   ttftMs: Millis
 }
--- a/request/runner/src/modelRun.ts
+++ b/request/runner/src/modelRun.ts
@@ -18,29 +18,29 @@
 import { roundFigures } from './placer'
 import type { RunParts } from './runParts'
 
-/** What the caller of a run that was superseded needs to know. */
+/** The journal's answer to a lost claim: who runs the request, its outcome, or that the key was reused. */
 export type ClaimAnswer = Extract<JournalResult, { type: 'running' | 'done' | 'mismatch' }>
 
 /** A request taken over from an owner that is gone. */
 export interface Takeover {
   epoch: number
   claim: Claim
-  /** Tokens that the caller has already. */
+  /** How many tokens the caller has already. */
   deliveredBefore: number
 }
 
-/** Extra time that an engine keeps a reserved slot, beyond what the steps before may take. */
+/** How much longer a slot stays reserved than the steps before decoding may take. */
 const SLOT_MARGIN_MS = 2_000
 const TICK_MS = 100
 
-/** Runs one model request on this box: performs what the request machine asks for. */
+/** Runs one model request on this box: carries out the effects of the request state machine. */
 export class ModelRun {
   private readonly state: RequestState
   private readonly steps: EngineSteps
   private readonly listeners = new Set<() => void>()
   private readonly cancelTicks: CancelTimer
   private claimEpoch = 1
-  /** Why another box answers instead, once that is known. */
+  /** The journal's answer once the claim is lost to another box; undefined before. */
   superseded: ClaimAnswer | undefined
   end: RequestEnd | undefined
 
@@ -85,18 +85,18 @@
     else this.step({ type: 'start' })
   }
 
-  /** Tokens that may be shown, from a number on. */
+  /** The tokens that may be delivered to callers, from number `seq` on. */
   tokensFrom(seq: number): string[] {
     return this.state.order.from(seq).slice(0, Math.max(0, this.state.delivered - seq))
   }
 
-  /** Calls back whenever there are more tokens or the end. */
+  /** Calls the listener whenever there are more tokens or the end. @returns a function that removes the listener. */
   listen(listener: () => void): () => void {
     this.listeners.add(listener)
     return () => this.listeners.delete(listener)
   }
 
-  /** How many callers wait for this run. */
+  /** The number of listeners of this run. */
   get followers(): number {
     return this.listeners.size
   }
@@ -198,7 +198,7 @@
 
   private noteDecoding(endpoint: EndpointName, epoch: number): void {
     const { key, resumable } = this.model
-    // Only helps a takeover to find the stream; without it the answer is made again.
+    // Only lets a takeover find the stream; without it the takeover generates the answer again.
     if (resumable)
       this.parts.journal.noteDecoding(key, this.claimEpoch, endpoint, epoch).catch(() => undefined)
   }
@@ -231,7 +231,7 @@
     if (end.type === 'answered') tracker.recordResult(placement.decode, undefined)
   }
 
-  /** Writes the outcome to the journal, or gives the key up where the request may simply run again. */
+  /** Writes the outcome to the journal, or removes the claim of a request without an answer, which may run again. */
   private async settle(end: RequestEnd): Promise<void> {
     const { journal, logger } = this.parts
     if (end.type === 'superseded' || this.state.claim !== 'won') return
--- a/request/runner/src/outcome.ts
+++ b/request/runner/src/outcome.ts
@@ -5,7 +5,7 @@
 export interface CreateOutcomeOptions {
   status: number
   headers: Record<string, string>
-  /** Answers up to this size are kept whole, larger ones by digest. */
+  /** Answers up to this size are stored whole; of larger ones only the digest is stored. */
   keepBytes: number
 }
 
--- a/request/runner/src/placer.ts
+++ b/request/runner/src/placer.ts
@@ -15,7 +15,7 @@
 import type { ModelRequest } from './modelRequest'
 import type { RequestMetrics } from './requestMetrics'
 
-/** What a run asks of placement. */
+/** A run's request for a placement. */
 export interface PlacementQuery {
   request: RequestId
   model: ModelRequest
@@ -42,14 +42,14 @@
   random: Random
   logger: Logger
   metrics: RequestMetrics
-  /** Asks for more credits at once. */
+  /** Requests more credits from the owners of endpoints at once. */
   requestCredits: () => void
 }
 
-/** Requests that may wait here at most; beyond, they are refused at once. */
+/** The most requests that may wait; more are refused at once. */
 const MAX_WAITING = 512
 
-/** Places requests, and keeps those that must wait for room in a fair queue. */
+/** Places requests, and keeps those that must wait for capacity in a fair queue. */
 export class Placer {
   private readonly queue = new FairQueue<WaitingQuery>()
   private readonly baseline = createBaselineState()
@@ -61,22 +61,22 @@
     return this.queue.length
   }
 
-  /** Answers by the question's own callback: at once, or when there is room, or when it is too late. */
+  /** Passes the result to `query.answer`: at once, when there is capacity, or when the target cannot be met. */
   ask(query: PlacementQuery): void {
     if (query.attempt > 0 && !this.consumeRetry()) return query.answer('retry-budget')
     if (query.attempt === 0) this.options.budget.recordFirstTry()
-    // Whoever waits already goes first, unless this request goes on with a prefill that is kept.
+    // Requests that wait already go first, unless this one continues with a kept prefill result.
     const mustQueue = this.queue.length > 0 && query.keepPrefill === undefined
     if (mustQueue) return this.enqueue(query)
     this.decide(query, () => this.enqueue(query))
   }
 
-  /** Drops a question whose request has ended. */
+  /** Removes the query of a request that has ended. */
   forget(request: RequestId): void {
     for (const item of this.queue.items()) if (item.query.request === request) this.queue.remove(item, false)
   }
 
-  /** Tries those that wait again, in fair order, until one finds no room. */
+  /** Retries waiting requests in fair order until one cannot be placed. */
   drain(): void {
     if (this.draining) return
     this.draining = true
@@ -120,7 +120,7 @@
     if (this.queue.length > 1) this.drain()
   }
 
-  /** Gives up on those that could not meet their target even if there were room now. */
+  /** Refuses waiting requests that would miss their target even if they were placed now. */
   private refuseLate(): void {
     const now = this.options.clock.now()
     for (const item of this.queue.items()) {
@@ -144,7 +144,7 @@
         .filter((each) => each.row.pool !== 'prefill' || each.row.endpoint === keepPrefill)
     const targeted = { ...policy, ttftTarget: query.model.ttftMs }
     if (policyName !== 'forkstage') return placeByBaseline(policyName, request, view, targeted, this.baseline)
-    // A retry has spent its time already: it goes ahead late rather than throwing away what was done.
+    // A retry has used up its time already: it is placed late rather than wasting the work done so far.
     const parts = query.attempt > 0 ? { ...policy.parts, refuseLate: false } : policy.parts
     return place(request, view, { policy: { ...targeted, parts }, random })
   }
@@ -191,20 +191,20 @@
   }
 }
 
-/** No room within the caller's target. */
+/** Refuses a request for which there is no capacity within its caller's target. */
 function refuseTooLate(query: PlacementQuery): PlaceResult {
   const retryAfter = query.model.ttftMs
   return { type: 'refused', reason: 'too-late', retryAfter, mayWait: false, candidates: [], closed: [] }
 }
 
-/** The engine that keeps this request's result needs no credit for handing it over. */
+/** Opens the engine that keeps the request's prefill result: fetching that result needs no credit. */
 function reopenKept<
   View extends { row: { endpoint: EndpointName }; closed?: unknown; queuedPrefillTokens: number },
 >(view: View, kept: EndpointName): View {
   return view.row.endpoint === kept ? { ...view, closed: undefined, queuedPrefillTokens: 0 } : view
 }
 
-/** Figures as a log line shows them. */
+/** Returns a copy with its numbers rounded to two decimals, for log lines and traces. */
 export function roundFigures(figures: object): Record<string, unknown> {
   const entries = Object.entries(figures).map(([name, value]) => [
     name,
--- a/request/runner/src/plainCalls.ts
+++ b/request/runner/src/plainCalls.ts
@@ -15,12 +15,12 @@
 import { forwardableHeaders, joinHeaderValues } from './forwardHeaders'
 import type { TraceStore } from './traceStore'
 
-/** A call to a plain service that has been read and checked. */
+/** A parsed and validated call to a plain service. */
 export interface PlainRequest {
   request: RequestId
   caller: string
   service: string
-  /** Absent where the call may be repeated and the caller gave no key: nothing is remembered of it then. */
+  /** Absent if the call may be repeated and the caller gave no key: the journal stores nothing of such a call. */
   key?: RequestKey
   bodyDigest: string
   repeatable: boolean
@@ -28,7 +28,7 @@
   /** Path and query, as the service sees them. */
   path: string
   headers: Record<string, string | string[]>
-  /** The body: whole where it had to be hashed for its key, else as it comes. */
+  /** A buffer if the body had to be hashed for its key, else the caller's stream. */
   body: Buffer | Readable | undefined
   deadlineMs: Millis
 }
@@ -42,20 +42,20 @@
   logger: Logger
   outcomeBytes: number
   random: () => number
-  /** Asks the owners of endpoints for more shares at once. */
+  /** Requests more shares from the owners of endpoints at once. */
   requestCredits: () => void
 }
 
-/** Endpoints tried for a call that may be repeated. */
+/** The most endpoints that a call that may be repeated is sent to. */
 const MAX_TRIES = 3
 /**
- * The longest wait for a share of an endpoint: other boxes give back what they do not use when they renew, which those
- * without work do each second.
+ * The longest wait for a share of an endpoint: other boxes return unused shares when they renew, which boxes without
+ * work do each second.
  */
 const SHARE_WAIT_MS = 1_500
 const SHARE_POLL_MS = 10
 
-/** Sends plain calls: at most once where they may not be repeated. */
+/** Sends calls to plain services, at most once each if they may not be repeated. */
 export class PlainCalls {
   private readonly agent = new Agent({
     connections: 128,
@@ -69,17 +69,17 @@
 
   constructor(private readonly parts: PlainParts) {}
 
-  /** Calls that are under way. */
+  /** The number of calls in progress. */
   get running(): number {
     return this.runningCount
   }
 
-  /** Calls that wait for a share of an endpoint of their service. */
+  /** The number of calls that wait for a share of an endpoint of their service. */
   get waiting(): number {
     return this.waitingForShareCount
   }
 
-  /** Serves a call. @throws AnswerError where no answer of the service can be given. */
+  /** Serves a call. @throws AnswerError if no answer of the service can be relayed. */
   async serve(call: PlainRequest, response: ServerResponse): Promise<void> {
     this.runningCount += 1
     try {
@@ -95,7 +95,7 @@
     return this.agent.destroy()
   }
 
-  /** Claims the key before anything is sent. The claim is synced on a majority when this returns. */
+  /** Claims the key before anything is sent. The claim is synced on a majority of replicas when this returns. */
   private async claim(
     key: RequestKey,
     call: PlainRequest,
@@ -128,7 +128,7 @@
       case 'mismatch':
         throw new KeyReusedError(call.key ?? '')
       default:
-        throw notRunError('FORKSTAGE_JOURNAL_FULL', 'The journal takes no more keys now.', 503)
+        throw notRunError('FORKSTAGE_JOURNAL_FULL', 'The journal is full and accepts no more keys.', 503)
     }
   }
 
@@ -162,13 +162,13 @@
     const names = tracker.rows
       .filter((row) => row.service === service && row.pool === 'plain')
       .map(({ endpoint }) => endpoint)
-    const message = `No endpoint of ${service} takes calls now.`
+    const message = `No endpoint of ${service} accepts calls now.`
     return notRunError('FORKSTAGE_NO_ENDPOINT', message, 503, { retryAfterMs: tracker.backoffLeftMs(names) })
   }
 
   /**
-   * Waits where endpoints would take the call but this box has no share of any: a box that has just started, or has
-   * been idle, may hold none of a small pool.
+   * Waits while endpoints accept calls but this box has no share of any: a box that has just started, or has been idle,
+   * may hold no share of a small pool.
    */
   private async waitForShare(call: PlainRequest, tried: EndpointRow[]): Promise<void> {
     const { clock, requestCredits } = this.parts
@@ -191,7 +191,7 @@
     return !closed.includes(undefined) && closed.includes('no-credit')
   }
 
-  /** One dispatch. Returns why it failed, or undefined once the answer has been relayed. */
+  /** Sends the call to one endpoint. @returns why that failed; undefined once the answer has been relayed. */
   private async dispatch(
     call: PlainRequest,
     row: EndpointRow,
@@ -239,7 +239,7 @@
     }
   }
 
-  /** Passes the answer on. With a key, the outcome is synced in the journal before the first byte leaves. */
+  /** Relays the answer. With a key, the outcome is written to the journal before the first byte is sent. */
   private async relay(
     call: PlainRequest,
     answer: Dispatcher.ResponseData,
@@ -283,10 +283,18 @@
     if (failure.notRun || call.repeatable) await this.forget(call, epoch)
     const message = `${row.endpoint} gave no answer: ${failure.reason}`
     if (failure.notRun)
-      return new AnswerError('FORKSTAGE_ENDPOINT', message, 'Send it again.', 503, 'not-run', 500, origin)
+      return new AnswerError(
+        'FORKSTAGE_ENDPOINT',
+        message,
+        'Send the request again.',
+        503,
+        'not-run',
+        500,
+        origin,
+      )
     const hint = call.repeatable
-      ? 'Send it again.'
-      : 'It is not run again. Send the same key later to ask for its outcome.'
+      ? 'Send the request again.'
+      : 'The request is not run again. Send the same key later to get its outcome.'
     return new AnswerError('FORKSTAGE_MAY_HAVE_RUN', message, hint, 502, 'may-have-run', 1_000, origin)
   }
 
@@ -297,7 +305,7 @@
 }
 
 interface DispatchFailure {
-  /** Whether it is proved that nothing ran. */
+  /** Whether it is proved that the endpoint did not run the call. */
   notRun: boolean
   reason: string
   cause?: unknown
@@ -313,7 +321,7 @@
   status: number,
   { retryAfterMs = 500, cause }: { retryAfterMs?: Millis; cause?: unknown } = {},
 ): AnswerError {
-  const hint = 'Nothing was run; send it again a little later.'
+  const hint = 'Nothing was run. Send the request again a little later.'
   return new AnswerError(code, message, hint, status, 'not-run', retryAfterMs, { step: 'dispatch', cause })
 }
 
--- a/request/runner/src/recordRunEnd.ts
+++ b/request/runner/src/recordRunEnd.ts
@@ -3,7 +3,7 @@
 import type { ModelRequest } from './modelRequest'
 import type { RunParts } from './runParts'
 
-/** What one run gave, as metrics, a log line and the last line of its story. */
+/** Records the end of a run: its metrics, its log line and the last entry of its trace. */
 export function recordRunEnd(
   state: RequestState,
   model: ModelRequest,
--- a/request/runner/src/releaseSender.ts
+++ b/request/runner/src/releaseSender.ts
@@ -13,20 +13,21 @@
 
 const FIRST_RETRY_MS = 100
 const MAX_RETRY_MS = 2_000
-/** Given up after this long: by then the engine has restarted, or its owner's comparison releases the hold. */
+/** By then the engine has restarted, or the endpoint's owner has released the hold in its sweep. */
 const GIVE_UP_AFTER_MS = 60_000
 
-/** Releases what engines hold for requests that have ended, and tries again until the engine confirms. */
+/** Releases what engines hold for ended requests, and retries until the engine confirms. */
 export class ReleaseSender {
   private pendingCount = 0
 
   constructor(private readonly options: ReleaseSenderOptions) {}
 
-  /** Releases that have not been confirmed yet. */
+  /** The number of releases that are not confirmed yet. */
   get pending(): number {
     return this.pendingCount
   }
 
+  /** Releases what an endpoint holds for an attempt, with retries in the background. */
   release(endpoint: EndpointName, attempt: AttemptId): void {
     this.pendingCount += 1
     this.tryRelease(endpoint, attempt, FIRST_RETRY_MS, this.options.clock.now() + GIVE_UP_AFTER_MS)
--- a/request/runner/src/requestBody.ts
+++ b/request/runner/src/requestBody.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from 'node:http'
 import { PassThrough, type Readable } from 'node:stream'
 
-/** Reads a body whole, up to a limit; undefined where it is larger. */
+/** Reads a body whole, up to a limit; undefined if it is larger. */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer | undefined> {
   const chunks: Buffer[] = []
   let bytes = 0
@@ -21,7 +21,7 @@
     bytes += chunk.length
     if (bytes > maxBytes) limited.destroy(new Error(`the body is larger than ${maxBytes} bytes`))
   })
-  request.on('aborted', () => limited.destroy(new Error('the caller is gone')))
+  request.on('aborted', () => limited.destroy(new Error('the caller has disconnected')))
   request.pipe(limited)
   return limited
 }
--- a/request/runner/src/requestMetrics.ts
+++ b/request/runner/src/requestMetrics.ts
@@ -1,7 +1,7 @@
 import { Counter, Gauge, Histogram, type Registry } from 'prom-client'
 import type { Millis } from '@forkstage/types'
 
-/** How one model request went, as the caller saw it. */
+/** How one model request ended, as its caller saw it. */
 export interface RequestOutcome {
   service: string
   className: string
@@ -11,7 +11,7 @@
   /** Mean time between tokens. */
   tbtMs?: Millis
   tokens: number
-  /** Both targets met and the answer whole. */
+  /** Whether the answer was complete and met both latency targets. */
   good: boolean
 }
 
@@ -19,7 +19,7 @@
 const TTFT_BUCKETS = [0.05, 0.1, 0.2, 0.3, 0.5, 0.77, 1, 1.5, 2, 3, 5, 10]
 const TBT_BUCKETS = [0.01, 0.02, 0.03, 0.04, 0.05, 0.061, 0.08, 0.1, 0.2, 0.5]
 
-/** The metrics of the brief, and what helps to find out why they are as they are. */
+/** The Prometheus metrics of model requests on this box, and of its table. */
 export class RequestMetrics {
   private readonly ended: Counter<'service' | 'class' | 'end'>
   private readonly good: Counter<'service' | 'class'>
--- a/request/runner/src/runRegistry.ts
+++ b/request/runner/src/runRegistry.ts
@@ -23,20 +23,20 @@
   members: () => Members
   peers: PeerCaller
   clock: Clock
-  /** How long a run whose caller is gone waits for it to come back, where it chose the key. */
+  /** How long a run goes on without a caller, if its caller chose the key and so may reconnect. */
   reconnectMs: Millis
 }
 
-/** A box's answer to another that follows one of its runs. */
+/** The answer to `requests.read`: the next part of an answer, or that this box has no such run. */
 type ReadAnswer = AnswerPart | { unknown: true }
 
-/** Ended runs stay readable this long, for callers that follow from other boxes. */
+/** Ended runs stay readable for this long, for callers that are connected to other boxes. */
 const KEEP_ENDED_MS = 3_000
 const READ_WAIT_MS = 800
 const READ_DEADLINE_MS = 2_500
 const RETRY_PAUSE_MS = 150
 
-/** All model requests that this box runs, and the way to those that other boxes run. */
+/** The model requests that this box runs. Follows, or takes over, those that other boxes run. */
 export class RunRegistry {
   private readonly byKey = new Map<RequestKey, ModelRun>()
   private readonly byId = new Map<RequestId, ModelRun>()
@@ -44,7 +44,7 @@
 
   constructor(private readonly options: RunRegistryOptions) {}
 
-  /** Runs that have not ended. */
+  /** The number of runs that have not ended. */
   get running(): number {
     return [...this.byId.values()].filter((run) => run.end === undefined).length
   }
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Finds or makes the run for a request and returns where its answer comes from.
-   * `from` is the number of tokens the caller has already.
+   * Joins the run with the same key or starts one, and returns the source of the answer.
+   * @param from how many tokens the caller has already.
    */
   async open(model: ModelRequest, from: number): Promise<AnswerSource> {
     const known = this.byKey.get(model.key)
@@ -79,7 +79,7 @@
     return this.followOrElse(run, model, from)
   }
 
-  /** Cuts every run short; returns how many. */
+  /** Cancels every run. @returns how many were running. */
   cancelAll(): number {
     const running = [...this.byId.values()].filter((run) => run.end === undefined)
     running.forEach((run) => run.cancel())
@@ -100,7 +100,7 @@
     return followRun(run, () => this.onSourceClosed(run))
   }
 
-  /** The caller is gone: without another one the run ends, at once or after the time to reconnect. */
+  /** Cancels a run whose last caller has disconnected: at once, or after the time to reconnect. */
   private onSourceClosed(run: ModelRun): void {
     const end = () => {
       // One listener is the registry's own.
@@ -110,7 +110,7 @@
     else end()
   }
 
-  /** Follows a run; where the claim turns out to be another box's, goes on from there. */
+  /** Follows a run; if another box turns out to hold the claim, continues with the answer from that box. */
   private followOrElse(run: ModelRun, model: ModelRequest, from: number): AnswerSource {
     let source = this.follow(run)
     return {
@@ -134,7 +134,7 @@
     throw new KeyReusedError(model.key)
   }
 
-  /** Follows the box that holds the claim, or takes it over where that box is gone. */
+  /** Follows the box that holds the claim, or takes the claim over if that box is gone. */
   private async openClaim(claim: Claim, model: ModelRequest, from: number): Promise<AnswerSource> {
     if (!claim.repeatable) throw new MayHaveRunError(claim.request)
     if (!this.isOwnerLive(claim)) return this.takeOver(claim, model, from)
@@ -143,7 +143,7 @@
 
   private isOwnerLive(claim: Claim): boolean {
     const { boxes, version } = this.options.members()
-    // Without a list of live boxes nobody may be taken for gone.
+    // Without a list of live boxes no owner may be considered gone.
     if (version[0] === 0) return true
     return boxes.some((box) => box.box === claim.owner.box && box.incarnation === claim.owner.incarnation)
   }
@@ -165,7 +165,7 @@
     return this.open(model, from)
   }
 
-  /** Reads a run of another box; when that box is lost or knows nothing of it, asks the journal again. */
+  /** Reads a run of another box; if that box does not answer or has no such run, asks the journal again. */
   private followRemote(claim: Claim, model: ModelRequest): AnswerSource {
     const { peers, clock } = this.options
     let replacement: AnswerSource | undefined
@@ -183,7 +183,7 @@
           continue
         }
         await new Promise<void>((resolve) => void clock.after(RETRY_PAUSE_MS, resolve))
-        // No answer: it may run there. An answer that knows nothing of it: it does not, though its claim stands.
+        // A box that does not answer may still run the request. One that answers `unknown` does not, despite its claim.
         const mayRun = answer === undefined
         replacement = await this.reopen(claim, model, from, mayRun)
       }
@@ -196,7 +196,7 @@
     return { request: claim.request, next, close }
   }
 
-  /** After a box was lost: the journal says whether its run has ended, goes on, or must be taken over. */
+  /** Asks the journal for the state of another box's run. @returns undefined if the run may still go on there. */
   private async reopen(
     claim: Claim,
     model: ModelRequest,
@@ -220,7 +220,7 @@
     return currentPart()
   }
 
-  /** Waits for news of a run, but not for ever; meanwhile the reader counts as its follower. */
+  /** Waits for progress of a run for a limited time, during which the reader counts as a follower. */
   private waitForProgress(run: ModelRun): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
--- a/request/runner/src/traceStore.ts
+++ b/request/runner/src/traceStore.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@forkstage/clock'
 import type { RequestId } from '@forkstage/types'
 
-/** One line of a request's story. */
+/** One entry of a request's trace. */
 export interface TraceEntry {
   /** Wall-clock milliseconds. */
   at: number
@@ -10,11 +10,11 @@
   detail: Record<string, unknown>
 }
 
-/** Requests whose stories are kept, oldest out first. */
+/** Requests whose traces are kept; the oldest are dropped first. */
 const MAX_TRACES = 5_000
 const MAX_ENTRIES_PER_TRACE = 64
 
-/** Keeps what happened to the latest requests on this box, for `explain`. */
+/** Keeps the traces of the latest requests on this box, for `explain`. */
 export class TraceStore {
   private readonly traces = new Map<RequestId, TraceEntry[]>()
 
@@ -23,6 +23,7 @@
     private readonly clock: Clock,
   ) {}
 
+  /** Appends an entry to a request's trace; dropped if the trace is full. */
   record(request: RequestId, step: string, detail: Record<string, unknown> = {}): void {
     const trace = this.traces.get(request) ?? []
     if (trace.length === 0) this.add(request, trace)
@@ -30,11 +31,12 @@
       trace.push({ at: this.clock.wallNow(), box: this.box, step, detail })
   }
 
+  /** Returns a request's trace, oldest entry first; empty if none is kept. */
   read(request: RequestId): TraceEntry[] {
     return this.traces.get(request) ?? []
   }
 
-  /** The latest requests, newest first. */
+  /** The ids of the latest requests, newest first. */
   latest(limit: number): RequestId[] {
     return [...this.traces.keys()].slice(-limit).reverse()
   }
--- a/request/runner/test/plainCalls.test.ts
+++ b/request/runner/test/plainCalls.test.ts
@@ -17,7 +17,7 @@
   return `127.0.0.1:${(server.address() as { port: number }).port}`
 }
 
-/** A box without a share of the only endpoint; its owner grants one once it has been wanted so often. */
+/** A box without a share of the only endpoint; the owner grants one after `grantAfter` requests for credits. */
 async function startBox(grantAfter: number) {
   const clock = new ManualClock(1_000)
   const logger = createSilentLogger()
@@ -56,7 +56,7 @@
   deadlineMs: 10_000,
 }
 
-/** Serves one call and gives what became of it, while the clock goes on. */
+/** Serves one call while the clock advances. @returns `served`, or the code of the error. */
 async function serve(calls: PlainCalls, clock: ManualClock): Promise<string> {
   let outcome: string | undefined
   const address = await listen((_request, response) => {
@@ -78,8 +78,8 @@
 }
 
 describe('PlainCalls', () => {
-  it('wait for a share of an endpoint, and ask its owner for one, rather than be refused', async () => {
-    // Six places among seven boxes leave one box without any.
+  it('waits for a share of an endpoint and requests one from its owner instead of refusing a call', async () => {
+    // A limit of six divided among seven boxes leaves one box without a share.
     const idle = new Map(['1', '2', '3', '4', '5', '6', '7'].map((box) => [box, { inFlight: 0, waiting: 0 }]))
     expect([...targetShares(6, idle).values()]).toContain(0)
     const { calls, clock, seen } = await startBox(3)
@@ -88,7 +88,7 @@
     expect(calls.waiting).toBe(0)
   })
 
-  it('are refused as not run where no share comes', async () => {
+  it('refuses a call as not run if no share is granted', async () => {
     const { calls, clock } = await startBox(Infinity)
     expect(await serve(calls, clock)).toBe('FORKSTAGE_NO_ENDPOINT')
     expect(calls.waiting).toBe(0)
--- a/request/runner/test/plainRow.ts
+++ b/request/runner/test/plainRow.ts
@@ -20,7 +20,7 @@
   }
 }
 
-/** What an owner says of it, with this box's share. */
+/** An owner's update on that endpoint, with this box's share. */
 export function plainUpdate(share: number): EndpointUpdate {
   const rest = { promptTokensPerSecond: Infinity, othersPrefillTokens: 0, cacheEvents: [] }
   return { leaseMs: 60_000, share, ...rest }
--- a/request/runner/test/restingPlain.test.ts
+++ b/request/runner/test/restingPlain.test.ts
@@ -1,6 +1,6 @@
-// Story: as in request/gateway's restingEndpoints.test.ts, at a box that goes by the operators' table. Two endpoints of one service; one turns
-// calls away with 503 and `Retry-After`. The box sent it every second call, put it out as failing, and told callers to come back
-// in half a second where it was the only one.
+// Two endpoints serve one plain service, and one refuses calls with 503 and `Retry-After`. Guards against a box that
+// still sends every second call there, ejects that endpoint as failing, or, if it is the only one, lets callers retry
+// in half a second. Here endpoints come from the operators' table; request/gateway tests registered ones.
 import { createServer, type Server } from 'node:http'
 import { Writable } from 'node:stream'
 import { afterEach, describe, expect, it } from 'vitest'
@@ -27,7 +27,7 @@
   deadlineMs: 2_000,
 }
 
-/** A box before plain endpoints, each with the seconds of rest that it asks for; one without serves. */
+/** Starts a box with plain endpoints, one for each `Retry-After` value in seconds; one without a value serves calls. */
 async function start(...retryAfters: (string | undefined)[]) {
   const clock = new ManualClock(1_000)
   const logger = createSilentLogger()
@@ -66,8 +66,8 @@
   return { clock, tracker, seen, call, recover }
 }
 
-describe('plain endpoints that ask a box for rest', () => {
-  it('get nothing from it until then, and their callers are served elsewhere', async () => {
+describe('plain endpoints that refuse calls with Retry-After', () => {
+  it('get no calls until then, and callers are served by the other endpoint', async () => {
     const { seen, call, clock, recover, tracker } = await start('3', undefined)
     for (let sent = 0; sent < 12; sent += 1) expect(await call()).toBe('served')
     expect(seen).toEqual([1, 12])
@@ -78,19 +78,19 @@
     expect(seen[0]).toBeGreaterThan(1)
   })
 
-  it('tell callers when to come back where there is no other', async () => {
+  it('give callers the retry time if there is no other endpoint', async () => {
     const { seen, call } = await start('7')
     await expect(call()).rejects.toMatchObject({ status: 503, execution: 'not-run' })
     const refused = await call().catch((error: unknown) => error as AnswerError)
     expect(refused).toMatchObject({ status: 503, execution: 'not-run' })
-    // Not before it wants to be asked, and no more than half a second later.
+    // Not before the endpoint accepts calls again, and at most half a second later.
     expect((refused as AnswerError).retryAfterMs).toBeGreaterThanOrEqual(7_000)
     expect((refused as AnswerError).retryAfterMs).toBeLessThanOrEqual(7_500)
     expect(seen).toEqual([1])
   })
 })
 
-/** Takes an answer in place of a caller's connection. */
+/** A response to a caller that discards what is written to it. */
 function discardingResponse() {
   const sink = new Writable({ write: (_chunk, _encoding, done) => done() })
   return Object.assign(sink, { headersSent: false, writeHead: () => undefined }) as never
--- a/request/runner/test/runRegistry.test.ts
+++ b/request/runner/test/runRegistry.test.ts
@@ -3,7 +3,7 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { RunRegistry, type ModelRequest, type RunRegistryOptions } from '../src'
 
-it('takes a claim over from a live owner that says it does not run the request', async () => {
+it('takes a claim over from a live owner that answers that it does not run the request', async () => {
   const clock = createSystemClock()
   const nothing = () => undefined
   const claim = {
