--- a/placement/place/src/baselines.ts
+++ b/placement/place/src/baselines.ts
@@ -2,10 +2,10 @@
 import { estimatePair } from './costModel'
 import type { EndpointView, PlacementView, PlacePolicy, PlaceRequest, PlaceResult } from './placeTypes'
 
-/** The policies that forkstage's own is measured against. */
+/** The policies that forkstage's own policy is compared with. */
 export type BaselineName = 'round-robin' | 'least-in-flight' | 'prefix-affinity'
 
-/** Remembers whose turn it is. */
+/** The state of the `round-robin` policy: the last turn of each pool. */
 export interface BaselineState {
   turns: Map<string, number>
 }
@@ -15,9 +15,9 @@
 }
 
 /**
- * Places as a balancer in front of two pools does: it honours the row's state, weight above 0 and
- * ejection, and knows neither shares, memory, links nor targets. An engine without memory refuses by
- * itself, and the request is tried elsewhere.
+ * Places like a load balancer in front of two pools: respects the row's state, a weight of 0 and
+ * ejection, and ignores shares, memory, links and targets. An engine without memory refuses the
+ * request, which is then retried elsewhere.
  */
 export function placeByBaseline(
   name: BaselineName,
--- a/placement/place/src/costModel.ts
+++ b/placement/place/src/costModel.ts
@@ -2,13 +2,14 @@
 
 /** What one more stream adds to a decode step, as a share of the step. */
 const STEP_GROWTH_PER_STREAM = 0.02
-/** A decode engine that prefills slows its own streams about this much. */
+/** A decode engine that prefills slows its own streams by about this factor. */
 const LOCAL_PREFILL_STEP_FACTOR = 1.8
-/** How strongly a share above the weight's is held against an engine. */
+/** How strongly a share of work above that of the engine's weight adds to the cost. */
 const WEIGHT_PENALTY = 0.6
-/** How strongly the wait for the first token counts against the targets. */
+/** How strongly times beyond the latency targets add to the cost. */
 const LATE_PENALTY = 4
 
+/** The key of the link between two engines in {@link PlacementView.links}. */
 export function linkName(prefill: EndpointView, decode: EndpointView): string {
   return `${prefill.row.domain}>${decode.row.domain}`
 }
@@ -19,7 +20,7 @@
   return request.promptTokens - cached
 }
 
-/** Time until the prefill is done, and the part of it spent waiting. */
+/** The time that a prompt waits at a prefill engine, and the time of the prefill itself. */
 export function prefillTimes(request: PlaceRequest, prefill: EndpointView, policy: PlacePolicy) {
   const waitMs = prefill.queuedPrefillTokens / prefill.prefillTokensPerMs
   const prefillMs = freshTokens(request, prefill, policy) / prefill.prefillTokensPerMs
@@ -31,7 +32,7 @@
   return decode.stepMs * (1 + STEP_GROWTH_PER_STREAM)
 }
 
-/** Bytes to move: what the decode engine does not hold already. */
+/** Bytes of KV cache to transfer: what the decode engine does not hold already. */
 export function transferBytes(
   request: PlaceRequest,
   prefill: EndpointView,
@@ -43,7 +44,7 @@
   return (request.promptTokens - known) * request.kvBytesPerToken
 }
 
-/** The figures of one pair. */
+/** Estimates the latencies and the cost of one pair. */
 export function estimatePair(
   request: PlaceRequest,
   prefill: EndpointView,
@@ -113,7 +114,7 @@
   const between = parts.decodeLoad ? tbtMs / tbtTarget : 0
   const late = LATE_PENALTY * (Math.max(0, first - 1) + Math.max(0, between - 1))
   const memory = decode.kvTokensUsed / Math.max(1, decode.row.kvTokens)
-  // A prefill is thrown away most often where decode memory is nearly full, and costs what was not cached.
+  // A prefill is wasted most often where decode memory is nearly full, and costs what was not cached.
   const wasteRisk = inputs.freshShare * memory ** 4
   const weights = parts.weights ? WEIGHT_PENALTY * (overShare(prefill) + overShare(decode)) : 0
   return goodputWeight * (first + between + late) + wastedPrefillWeight * wasteRisk + weights
--- a/placement/place/src/place.ts
+++ b/placement/place/src/place.ts
@@ -12,13 +12,13 @@
   RefusalReason,
 } from './placeTypes'
 
-/** How many engines of each pool are weighed as pairs; the rest are ruled out one by one first. */
+/** How many engines of each pool are compared in pairs; the others are ruled out by their own score first. */
 const SHORTLIST_SIZE = 4
-/** Pairs within this much of the best are as good; one of them is drawn, so that boxes do not herd. */
+/** Pairs within this share of the lowest cost count as equal; one is drawn, so that boxes do not herd. */
 const NEAR_EQUAL_SHARE = 0.08
 /** Part of the KV memory kept free for answers that grow beyond the forecast. */
 const MEMORY_HEADROOM_SHARE = 0.03
-/** The first token must be foreseen within this part of the target: reports lag, and other boxes send too. */
+/** The first token must be expected within this part of the target: reports lag, and other boxes send too. */
 const LATE_TOLERANCE = 0.85
 const MIN_RETRY_MS = 100
 
@@ -36,7 +36,7 @@
 
 /**
  * Chooses prefill engine, decode engine and link together, or refuses with the reason.
- * A pure function of its arguments; the figures of all weighed pairs come back as data.
+ * A pure function of its arguments; the result includes the figures of all pairs compared.
  */
 export function place(request: PlaceRequest, view: PlacementView, options: PlaceOptions): PlaceResult {
   const { policy, random } = options
@@ -58,7 +58,7 @@
   return endpoint.row.service === request.service && endpoint.row.models.includes(request.model)
 }
 
-/** KV memory for the prompt and the answer that is expected. */
+/** KV memory for the prompt and the expected answer, in tokens. */
 export function reserveTokens(request: PlaceRequest): number {
   return request.promptTokens + Math.ceil(request.expectedOutput)
 }
@@ -93,7 +93,7 @@
   }))
 }
 
-/** The best few by a score, found in one pass. */
+/** The endpoints with the lowest scores, at most {@link SHORTLIST_SIZE}, found in one pass. */
 function shortlist(endpoints: EndpointView[], score: (endpoint: EndpointView) => number): EndpointView[] {
   const best: { endpoint: EndpointView; score: number }[] = []
   for (const endpoint of endpoints) {
@@ -174,7 +174,7 @@
   withMemory: EndpointView[]
 }
 
-/** Says why there is nothing to place on, and whether waiting may change that. */
+/** Refuses a request that no engine can take now, with the reason and whether waiting may help. */
 function refuseNoEngine(
   request: PlaceRequest,
   engines: EndpointView[],
--- a/placement/place/src/placeTypes.ts
+++ b/placement/place/src/placeTypes.ts
@@ -6,7 +6,7 @@
   service: string
   model: string
   promptTokens: number
-  /** What the answer will probably need, learned for its class. */
+  /** The expected length of the answer in tokens, learned for its class. */
   expectedOutput: number
   kvBytesPerToken: number
   /** How long the caller has waited already. */
@@ -15,12 +15,12 @@
   avoid: EndpointName[]
 }
 
-/** One endpoint as this box knows it: reports joined with what was sent since. */
+/** One endpoint as this box knows it: its last report combined with what was sent since. */
 export interface EndpointView {
   row: EndpointRow
-  /** Why it takes no new work from this box now; absent where it does. */
+  /** Why the endpoint takes no new work from this box now; absent if it does. */
   closed?: ClosedReason
-  /** Prompt tokens that wait for prefill there. */
+  /** Prompt tokens that wait for prefill at the endpoint. */
   queuedPrefillTokens: number
   prefillTokensPerMs: number
   runningStreams: number
@@ -30,9 +30,9 @@
   stepMs: Millis
   /** Leading prompt tokens that its prefix cache holds, as far as known. */
   cachedTokens: number
-  /** Share of its pool's recent work over the share that its weight asks for; 1 is just right. */
+  /** Share of its pool's recent work over the share that its weight asks for; 1 if both are the same. */
   shareRatio: number
-  /** Requests of this box in flight there. */
+  /** Requests of this box in flight at the endpoint. */
   inFlight: number
 }
 
@@ -45,32 +45,32 @@
   queuedBytes: number
 }
 
-/** Everything a placement is decided from. */
+/** The endpoints and links that a placement is decided from. */
 export interface PlacementView {
   endpoints: EndpointView[]
-  /** Links by `from>to`; a missing one is taken as {@link PlacePolicy.defaultBytesPerMs}. */
+  /** Links by `from>to`; a missing one has the rate {@link PlacePolicy.defaultBytesPerMs}. */
   links: Map<string, LinkView>
 }
 
-/** The parts of the policy; each can be switched off, so that its worth can be measured. */
+/** The parts of the policy; each can be switched off to measure its effect. */
 export interface PolicyParts {
   /** Refuse what cannot meet its first-token target. */
   refuseLate: boolean
-  /** Weigh known prefixes. */
+  /** Account for known prefixes. */
   prefixCache: boolean
-  /** Weigh links and what is queued on them. */
+  /** Account for links and what is queued on them. */
   links: boolean
-  /** Weigh the decode batch and close engines that are too full for the token target. */
+  /** Account for the decode batch, and exclude engines too full for the target time between tokens. */
   decodeLoad: boolean
   /** Prefill on the decode engine where that is cheaper than a transfer. */
   localPrefill: boolean
   /** Follow the table's weights. */
   weights: boolean
-  /** Choose at random among near-equals. */
+  /** Choose at random among pairs of nearly equal cost. */
   spread: boolean
 }
 
-/** Every part switched on: the policy as it is meant. */
+/** The policy with every part switched on. */
 export const ALL_PARTS: PolicyParts = {
   refuseLate: true,
   prefixCache: true,
@@ -81,18 +81,18 @@
   spread: true,
 }
 
-/** What the operators weigh, and the targets. */
+/** The operators' cost weights, and the latency targets. */
 export interface PlacePolicy {
   goodputWeight: number
   wastedPrefillWeight: number
   ttftTarget: Millis
   tbtTarget: Millis
   defaultBytesPerMs: number
-  /** Bytes a token of KV cache are moved for. */
+  /** The parts that are switched on. */
   parts: PolicyParts
 }
 
-/** What one pair of engines would give, in milliseconds and costs. */
+/** The estimated latencies and cost of one pair of engines. */
 export interface CandidateFigures {
   prefill: EndpointName
   decode: EndpointName
@@ -104,21 +104,21 @@
   cost: number
 }
 
-/** A request is served by these two; the same endpoint twice means no transfer. */
+/** The two engines that serve a request; the same endpoint twice means no transfer. */
 export interface Placement {
   type: 'placed'
   prefill: EndpointName
   decode: EndpointName
   link: string
   linkBytesPerMs: number
-  /** KV memory to reserve at the decode engine. */
+  /** KV memory to reserve at the decode engine, in tokens. */
   reserveTokens: number
   kvBytes: number
   figures: CandidateFigures
   candidates: CandidateFigures[]
 }
 
-/** No placement now. `retryAfter` is when one may be had, as far as can be told. */
+/** No placement now. `retryAfter` estimates after how long one may be possible, in milliseconds. */
 export interface Refusal {
   type: 'refused'
   reason: RefusalReason
