--- a/placement/load/src/ejection.ts
+++ b/placement/load/src/ejection.ts
@@ -14,7 +14,7 @@
 
 export type EjectionChange = { type: 'ejected'; forMs: Millis } | { type: 'restored' } | undefined
 
-/** Takes an endpoint that fails out of the choice, and lets it back in by a single probe. Pure. */
+/** Excludes an endpoint that fails from placement, and readmits it after a single successful probe. Does no I/O. */
 export class Ejection {
   private failuresInRow = 0
   private ejections = 0
@@ -23,13 +23,13 @@
 
   constructor(private readonly options: EjectionOptions = DEFAULT_EJECTION) {}
 
-  /** Whether new work may go there: not ejected, or due for its one probe. */
+  /** Whether new work may be sent to the endpoint: it is not ejected, or is due for its one probe. */
   isOpen(now: Millis): boolean {
     if (this.ejections === 0) return true
     return now >= this.until && !this.probing
   }
 
-  /** Notes that a request was sent; after an ejection it is the probe. */
+  /** Records that a request was sent; after an ejection that request is the probe. */
   recordSent(now: Millis): void {
     if (this.ejections > 0 && now >= this.until) this.probing = true
   }
--- a/placement/load/src/endpointTracker.ts
+++ b/placement/load/src/endpointTracker.ts
@@ -15,11 +15,11 @@
   promptTokens: number
   /** Tokens still to be prefilled there; 0 for decode work. */
   prefillTokens: number
-  /** KV memory it takes there. */
+  /** KV memory that the work takes there, in tokens. */
   kvTokens: number
 }
 
-/** What an owner says of an endpoint, with this box's share of its limits. */
+/** An owner's update on an endpoint, with this box's share of the endpoint's limits. */
 export interface EndpointUpdate {
   /** Absent while the owner has no report. */
   report?: EngineReport
@@ -54,15 +54,15 @@
   logger: Logger
 }
 
-/** Before the first report an engine is taken for one of this speed. */
+/** The speed that is assumed for an engine before its first report. */
 const ASSUMED_TOKENS_PER_SECOND = 10_000
 const ASSUMED_STEP_MS = 20
-/** A link of 1 Mbit/s carries so many bytes a millisecond. */
+/** Bytes that a link of 1 Mbit/s carries in a millisecond. */
 const BYTES_PER_MS_PER_MEGABIT = 125
-/** Prompt budgets may save up this much. */
+/** A prompt budget accumulates over at most this time. */
 const PROMPT_BUDGET_SECONDS = 1
 
-/** All that this box knows about the endpoints it uses. */
+/** Tracks the endpoints that this box uses: their reports, its shares, its work in flight and their failures. */
 export class EndpointTracker {
   private readonly entries = new Map<EndpointName, Entry>()
   private readonly shares = new ShareCounter()
@@ -75,7 +75,7 @@
     this.availability = new AvailabilityTracker(options)
   }
 
-  /** Takes a new table. @returns whether it has endpoints that were not there before. */
+  /** Applies a new table. @returns whether it has endpoints or addresses that were not there before. */
   setTable(table: Table): boolean {
     let hasNew = false
     const names = new Set(table.endpoints.map((row) => row.endpoint))
@@ -97,12 +97,12 @@
     return hasNew
   }
 
-  /** Takes what the platform lists as leaving. */
+  /** Sets the endpoints that the platform lists as leaving. */
   setLeaving(names: string[]): void {
     this.leaving = new Set(names)
   }
 
-  /** Whether the owner of an endpoint of every pool that takes work has told this box its share, be it none. */
+  /** Whether this box knows its share, even if it is 0, of an endpoint of every pool that takes work. */
   get knowsShares(): boolean {
     const pools = new Map<string, boolean>()
     for (const entry of this.servingEntries()) {
@@ -112,7 +112,7 @@
     return pools.size > 0 && [...pools.values()].every((covered) => covered)
   }
 
-  /** Whether the owner of some endpoint that takes work has not told this box its share. */
+  /** Whether this box does not know its share of some endpoint that takes work. */
   get lacksShares(): boolean {
     return this.servingEntries().some((entry) => !this.knowsShare(entry))
   }
@@ -172,7 +172,7 @@
     this.shares.add(endpoint, 1, now)
   }
 
-  /** The prefill part of some work is done; its memory is still held. */
+  /** Records that the prefill of a request is done; its memory is still held. */
   recordPrefilled(endpoint: EndpointName, request: RequestId): void {
     const work = this.entries.get(endpoint)?.sent.get(request)
     if (work !== undefined) work.prefillTokens = 0
@@ -200,15 +200,15 @@
   }
 
   /**
-   * Takes a refusal, or a failure that says when to come back. One that does has said what it can do, which is no failure:
-   * it gets nothing until then, and is not put out.
+   * Records a refusal or a failure. One with a retry time does not count as a failure of the endpoint, which gets no
+   * work until then and is not ejected.
    */
   recordRefusal(endpoint: EndpointName, retryAfter: RetryAfter, request: RequestId, reason: string): void {
     if (retryAfter.type === 'rest') this.availability.recordRetryAfter(endpoint, retryAfter, request)
     else this.recordResult(endpoint, reason)
   }
 
-  /** Until some endpoints that all want nothing may be asked again, in milliseconds; undefined where one may be now. */
+  /** Milliseconds until the backoff of the first of some endpoints ends; undefined if one of them has none now. */
   backoffLeftMs(endpoints: EndpointName[]): Millis | undefined {
     const bound = this.availability.earliestAvailable(endpoints)
     return bound && bound.untilMs - this.options.clock.now()
@@ -223,18 +223,18 @@
     return (this.entries.get(endpoint)?.prefixes.match(blocks) ?? 0) * BLOCK_TOKENS
   }
 
-  /** Whether an endpoint can make an answer again from its seed, as far as its reports say. */
+  /** Whether an endpoint gives the same answer again for the same seed, by its last report. */
   isDeterministic(endpoint: EndpointName): boolean {
     return this.entries.get(endpoint)?.report?.deterministic ?? false
   }
 
-  /** Why an endpoint takes no new work from this box; undefined where it does. */
+  /** Why an endpoint takes no new work from this box; undefined if it does. */
   closedReason(endpoint: EndpointName): ClosedReason | undefined {
     const entry = this.entries.get(endpoint)
     return entry === undefined ? 'state' : this.closed(entry, this.options.clock.now())
   }
 
-  /** The view for one request with these prefix blocks. */
+  /** Returns the view that a request with these prefix blocks is placed by. */
   view(blocks: string[]): PlacementView {
     const now = this.options.clock.now()
     const ratios = this.poolRatios(now)
@@ -267,7 +267,7 @@
     }
   }
 
-  /** What this box has sent that the last report cannot show yet. */
+  /** What this box has sent that the last report does not include yet. */
   private sentSinceReport(entry: Entry) {
     const sums = { prefillTokens: 0, kvTokens: 0, streams: 0 }
     for (const work of entry.sent.values()) {
--- a/placement/load/src/index.ts
+++ b/placement/load/src/index.ts
@@ -1,4 +1,4 @@
-/** What a box knows of the endpoints it uses, and its share of their limits. */
+/** Tracks the endpoints that a box uses, and its shares of their limits. */
 export { EndpointTracker } from './endpointTracker'
 export type { EndpointTrackerOptions, EndpointUpdate, SentWork } from './endpointTracker'
 export { shareFor, targetShares } from './shareCredits'
--- a/placement/load/src/outputForecast.ts
+++ b/placement/load/src/outputForecast.ts
@@ -1,10 +1,10 @@
-/** How much one new answer changes the forecast. */
+/** How much one new answer changes the forecast, as a share of it. */
 const LEARNING_RATE = 0.05
 /** The quantile of answer lengths that memory is reserved for. */
 const QUANTILE = 0.9
 const INITIAL_FORECAST_TOKENS = 64
 
-/** Learns how long answers of a class get: follows a high quantile, one step an answer. */
+/** Learns the lengths of answers by class: tracks a high quantile, one step for each answer. */
 export class OutputForecast {
   private readonly forecasts = new Map<string, number>()
 
--- a/placement/load/src/prefixIndex.ts
+++ b/placement/load/src/prefixIndex.ts
@@ -1,13 +1,13 @@
 import type { CacheEvent } from '@forkstage/engine-client'
 
-/** Blocks remembered an endpoint; the oldest go first, as in the engine itself. */
+/** Blocks kept for each endpoint; the oldest are dropped first, as in the engine itself. */
 const MAX_BLOCKS = 2_048
 
-/** What an endpoint's prefix cache probably holds: late events joined with what was sent there. */
+/** What an endpoint's prefix cache probably holds: delayed events combined with what was sent there. */
 export class PrefixIndex {
   private readonly blocks = new Map<string, true>()
 
-  /** Notes blocks that this box has sent there. */
+  /** Adds blocks that this box has sent there. */
   recordSent(blocks: string[]): void {
     for (const block of blocks) this.add(block)
   }
@@ -19,13 +19,13 @@
     }
   }
 
-  /** How many of the leading blocks are held. */
+  /** The number of leading blocks that the prefix cache probably holds. */
   match(blocks: string[]): number {
     const firstMissing = blocks.findIndex((block) => !this.blocks.has(block))
     return firstMissing < 0 ? blocks.length : firstMissing
   }
 
-  /** Forgets everything, after the endpoint restarted. */
+  /** Removes all blocks, after the endpoint has restarted. */
   clear(): void {
     this.blocks.clear()
   }
--- a/placement/load/src/promptBlocks.ts
+++ b/placement/load/src/promptBlocks.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto'
 
-/** Characters of a prompt a token is taken for; the engines' tokenizers are not ours to run. */
+/** Characters that count as a token; the engines' tokenizers are not available here. */
 export const CHARS_PER_TOKEN = 4
-/** Tokens a block of the prefix cache holds. */
+/** The number of tokens in a block of the prefix cache. */
 export const BLOCK_TOKENS = 256
 const BLOCK_CHARS = BLOCK_TOKENS * CHARS_PER_TOKEN
 const HASH_CHARS = 16
--- a/placement/load/src/shareCounter.ts
+++ b/placement/load/src/shareCounter.ts
@@ -1,8 +1,8 @@
 import type { EndpointName, Millis } from '@forkstage/types'
 
-/** Work counts half after this long: weights are followed over about a minute. */
+/** Half-life of counted work, so that shares follow the weights over about a minute. */
 const HALF_LIFE_MS = 20_000
-/** Below this much work in a pool there is no share to speak of. */
+/** A pool with less work than this has no meaningful shares. */
 const MIN_WORK = 4
 
 interface Count {
@@ -10,7 +10,7 @@
   at: Millis
 }
 
-/** Counts the work each endpoint got lately, to compare it with its weight. */
+/** Counts the recent work of each endpoint, to compare it with the endpoint's weight. */
 export class ShareCounter {
   private readonly counts = new Map<EndpointName, Count>()
 
@@ -18,7 +18,7 @@
     this.counts.set(endpoint, { work: this.workOf(endpoint, now) + work, at: now })
   }
 
-  /** The share of each endpoint over the share that its weight asks for, within one pool. */
+  /** The share of each endpoint over the share that its weight asks for, within one pool; 1 without enough work. */
   ratios(pool: { endpoint: EndpointName; weight: number }[], now: Millis): Map<EndpointName, number> {
     const works = pool.map((each) => this.workOf(each.endpoint, now))
     const totalWork = works.reduce((sum, work) => sum + work, 0)
--- a/placement/load/src/shareCredits.ts
+++ b/placement/load/src/shareCredits.ts
@@ -17,7 +17,7 @@
 /**
  * The share of a limit for one box, given what all boxes ask for and what is granted already.
  * The sum of all unexpired grants never exceeds the limit: a box gets more only once others have
- * given some back at their own renewal.
+ * returned some at their own renewal.
  */
 export function shareFor(
   box: BoxId,
@@ -32,12 +32,12 @@
   return Math.max(0, Math.min(target, limit - others))
 }
 
-/** Part of what nobody needs that stays with the owner, for a box whose burst comes next. */
+/** The part of what no box needs that the owner keeps back for the next box with a burst. */
 const RESERVE_SHARE = 0.5
 
 /**
- * Divides a limit: to each what it needs as far as it goes, then part of what is left in equal parts.
- * The rest is granted to nobody: shares that lie idle at other boxes come back only at their renewal.
+ * Divides a limit: to each box what it needs, as far as possible, then part of what is left in equal parts.
+ * The rest is not granted, since unused shares of other boxes are only returned at their renewal.
  */
 export function targetShares(limit: number, demands: Map<BoxId, Demand>): Map<BoxId, number> {
   const boxes = [...demands.keys()].sort()
@@ -52,7 +52,7 @@
   return shares
 }
 
-/** Gives one each in turn until every need is met or nothing is left. */
+/** Gives equal parts to the boxes until every need is met or nothing is left. @returns what is left. */
 function fillNeeds(
   limit: number,
   boxes: BoxId[],
--- a/placement/load/test/endpointTracker.test.ts
+++ b/placement/load/test/endpointTracker.test.ts
@@ -47,7 +47,7 @@
   return { clock, tracker }
 }
 
-describe('endpointBook', () => {
+describe('EndpointTracker', () => {
   it('sends nothing without a share, beyond it, or after its lease', () => {
     const { clock, tracker } = createTracker()
     expect(tracker.closedReason('d')).toBe('no-credit')
@@ -71,7 +71,7 @@
     expect(tracker.closedReason('d')).toBe(reason)
   })
 
-  it('closes what leaves, by its own word or by the platform’s', () => {
+  it('closes an endpoint that is leaving by its own report or by the platform’s list', () => {
     const { tracker } = createTracker()
     tracker.applyUpdate('d', { ...update, report: { ...report, leaving: true } })
     expect(tracker.closedReason('d')).toBe('leaving')
@@ -80,7 +80,7 @@
     expect(tracker.closedReason('d')).toBe('leaving')
   })
 
-  it('joins a lagging report with what was sent since, and with what has drained', () => {
+  it('combines a lagging report with what was sent and prefilled since', () => {
     const { clock, tracker } = createTracker()
     tracker.applyUpdate('d', update)
     clock.advance(50)
@@ -95,7 +95,7 @@
     expect(tracker.view([]).endpoints[0]!.kvTokensUsed).toBe(500)
   })
 
-  it('believes the other boxes’ word on what they sent over an older report', () => {
+  it('prefers what the other boxes report as sent over an older report of the engine', () => {
     const { tracker } = createTracker()
     tracker.applyUpdate('d', { ...update, othersPrefillTokens: 5_000 })
     tracker.recordSent('d', 'r', { promptTokens: 300, prefillTokens: 300, kvTokens: 300 }, [])
@@ -104,7 +104,7 @@
     expect(tracker.prefillTokens('d')).toBe(0)
   })
 
-  it('holds to the row’s prompt tokens a second', () => {
+  it('enforces the prompt tokens a second of the row', () => {
     const { clock, tracker } = createTracker({ promptTokensPerSecond: 100 })
     tracker.applyUpdate('d', { ...update, promptTokensPerSecond: 100 })
     clock.advance(1_000)
@@ -121,7 +121,7 @@
   })
 })
 
-describe('ejection', () => {
+describe('Ejection', () => {
   it('ejects after failures in a row, lets one probe through, and doubles the next ejection', () => {
     const ejection = new Ejection({ failures: 2, firstMs: 100, longestMs: 1_000 })
     const random = () => 0.5
@@ -137,8 +137,8 @@
   })
 })
 
-describe('what is learned and saved up', () => {
-  it('lets retries through as a share of first tries', () => {
+describe('retry budget, output forecast and share counter', () => {
+  it('limits retries to a share of first tries', () => {
     const budget = new RetryBudget(0.1)
     while (budget.tryConsume());
     for (let n = 0; n < 100; n += 1) budget.recordFirstTry()
--- a/placement/load/test/shareCredits.test.ts
+++ b/placement/load/test/shareCredits.test.ts
@@ -19,7 +19,7 @@
     expect([...shares.values()].reduce((sum, each) => sum + each, 0)).toBeLessThan(48)
   })
 
-  it('divides what is too little evenly, down to one each', () => {
+  it('divides a limit that is too small evenly, down to one each', () => {
     const shares = targetShares(
       6,
       new Map([
@@ -33,7 +33,7 @@
 })
 
 describe('shareFor', () => {
-  it('never grants more than the limit over all unexpired grants, whoever asks when', () => {
+  it('never grants more than the limit over all unexpired grants, in any order of requests', () => {
     const ask = fc.tuple(fc.constantFrom('a', 'b', 'c', 'd'), fc.nat(30), fc.nat(10), fc.nat(900))
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 60 }), fc.array(ask, { maxLength: 80 }), (limit, asks) => {
