--- a/placement/owner/src/creditClient.ts
+++ b/placement/owner/src/creditClient.ts
@@ -15,18 +15,18 @@
   clock: Clock
   /** How often shares are renewed while this box has work. */
   renewEvery: Millis
-  /** How often while it has none; shorter than the lease of a share. */
+  /** How often shares are renewed while this box has no work; shorter than the lease of a share. */
   renewIdleEvery: Millis
   /** How many requests wait for an endpoint's pool. */
   waitingFor: (endpoint: EndpointName) => number
-  /** Called when new shares have come. */
+  /** Called when new shares have arrived. */
   onUpdate: () => void
 }
 
 const RENEWAL_DEADLINE_MS = 1_000
 const MIN_RENEWAL_INTERVAL_MS = 20
 
-/** Renews this box's shares of the endpoints it uses: one call an owner, for all its endpoints. */
+/** Renews this box's shares of the endpoints that it uses, with one call to each owner for all its endpoints. */
 export class CreditClient {
   private readonly epochs = new Map<EndpointName, [number, number]>()
   private readonly cacheSeqs = new Map<EndpointName, number>()
@@ -43,7 +43,7 @@
     this.cancel()
   }
 
-  /** Asks every owner at once, but not again and again: for when a request finds no share left. */
+  /** Renews all shares now, unless that was done a moment ago. For a request that finds no share left. */
   renewSoon(): void {
     const { clock } = this.options
     if (clock.now() - this.renewedAt >= MIN_RENEWAL_INTERVAL_MS) this.renew()
@@ -55,7 +55,7 @@
     if (tracker.hasWork || tracker.lacksShares || idleFor >= renewIdleEvery) this.renew()
   }
 
-  /** Asks every owner now. */
+  /** Renews all shares now. */
   renew(): void {
     this.renewedAt = this.options.clock.now()
     for (const [address, endpoints] of this.endpointsByOwner()) void this.renewAt(address, endpoints)
@@ -93,7 +93,7 @@
       )
       onUpdate()
     } catch {
-      // The owner is gone or has changed: the shares run out, and the next renewal asks whoever owns it then.
+      // The owner is gone or has changed: the shares expire, and the next renewal goes to the new owner.
     }
   }
 
--- a/placement/owner/src/judgeHold.ts
+++ b/placement/owner/src/judgeHold.ts
@@ -6,23 +6,23 @@
 /** What to do about one hold. */
 export type HoldVerdict =
   | { type: 'keep' }
-  /** Ask these boxes; release if none of them runs it. */
+  /** Ask these boxes; release the hold if none of them runs its request. */
   | { type: 'ask'; boxes: BoxInfo[] }
 
 /** Options of {@link judgeHold}. */
 export interface JudgeHoldOptions {
   members: Members
-  /** Younger holds may not be known everywhere yet: the grace exceeds the lag of reports. */
+  /** Younger holds are kept, since boxes may not know of them yet: the grace exceeds the lag of reports. */
   graceMs: Millis
-  /** The holds of a box that is not live are left alone this long: it may be cut off, with streams running. */
+  /** The holds of a box that is not live are kept this long, since it may be disconnected with streams running. */
   goneGraceMs: Millis
-  /** How long each box has not been in the list. */
+  /** How long an incarnation of a box has not been in the list of live boxes. */
   goneForMs: (box: string, incarnation: string) => Millis
 }
 
 /**
- * Decides about a hold that an engine reports. While its box is live, that box knows. Once the box is
- * gone, any live box may have taken the request over, so all of them are asked.
+ * Decides about a hold that an engine reports. While the box that made the request is live, that box is asked.
+ * Once it is gone, any live box may have taken the request over, so all of them are asked.
  */
 export function judgeHold(hold: EngineHold, options: JudgeHoldOptions): HoldVerdict {
   const origin = originOf(hold.request)
@@ -33,6 +33,6 @@
   if (originBox !== undefined) return { type: 'ask', boxes: [originBox] }
   const replaced = boxes.some((box) => box.box === origin.box)
   const longGone = options.goneForMs(origin.box, origin.incarnation) >= options.goneGraceMs
-  // A box that came back under a new incarnation runs nothing of its earlier life.
+  // A box with a new incarnation runs nothing of an earlier one.
   return replaced || longGone ? { type: 'ask', boxes } : { type: 'keep' }
 }
--- a/placement/owner/src/ownedEndpoint.ts
+++ b/placement/owner/src/ownedEndpoint.ts
@@ -7,17 +7,17 @@
 
 /** How long a share is leased. */
 export const CREDIT_LEASE_MS = 2_500
-/** Cache events kept for boxes that ask; they also learn from what they send. */
+/** Cache events kept for boxes that request them; boxes also know the blocks that they send themselves. */
 const MAX_CACHE_EVENTS = 1_024
-/** Events a single answer carries at most. */
+/** The most cache events in a single answer. */
 const EVENTS_PER_ANSWER = 128
 
-/** What a box asks for, with what it has sent that waits for prefill. */
+/** A box's demand, with the prompt tokens that it has sent and that are not prefilled yet. */
 export interface BoxDemand extends Demand {
   prefillTokens: number
 }
 
-/** What the owner of one endpoint knows and has leased out. Soft state. */
+/** The owner's state of one endpoint: its report, the boxes' demands and the leased shares. Not persisted. */
 export class OwnedEndpoint {
   report?: EngineReport
   private reportAt: Millis = 0
@@ -43,7 +43,7 @@
     this.events = [...this.events, ...events].slice(-MAX_CACHE_EVENTS)
   }
 
-  /** Leases a share to a box, for what it asks. */
+  /** Leases a share to a box by its demand. @param cacheAfter the last cache event that the box has. */
   grant(box: BoxId, demand: BoxDemand, cacheAfter: number): PackedCredit {
     const now = this.clock.now()
     this.recordDemand(box, demand, now)
@@ -57,7 +57,7 @@
     return credit
   }
 
-  /** Fresher than the engine's own report: the boxes say what they sent with every renewal. */
+  /** Fresher than the engine's own report, since boxes send their prompt tokens at every renewal. */
   private prefillTokensOfOthers(box: BoxId): number {
     let tokens = 0
     for (const [other, demand] of this.demands) if (other !== box) tokens += demand.prefillTokens
@@ -71,7 +71,7 @@
     }
   }
 
-  /** The limit on prompt tokens is shared out in the proportion of the requests. */
+  /** The box's part of the limit on prompt tokens a second, in proportion to its share; null without a limit. */
   private promptRate(share: number): number | null {
     const { promptTokensPerSecond, maxInFlight } = this.row
     return promptTokensPerSecond === 0 ? null : (promptTokensPerSecond * share) / Math.max(1, maxInFlight)
--- a/placement/owner/src/ownerService.ts
+++ b/placement/owner/src/ownerService.ts
@@ -15,7 +15,7 @@
   owners: OwnerMap
   members: () => Members
   rows: () => EndpointRow[]
-  /** Whether this box may act on its table at all. */
+  /** Whether this box holds the lease on its table; without it nothing is granted or released. */
   holdsLease: () => boolean
   engines: EngineClient
   peers: PeerCaller
@@ -29,7 +29,7 @@
 
 const ASK_DEADLINE_MS = 1_000
 
-/** Looks after the endpoints that this box owns. */
+/** Manages the endpoints that this box owns: reads their reports, grants shares and releases orphaned holds. */
 export class OwnerService {
   private readonly owned = new Map<EndpointName, OwnedEndpoint>()
   private readonly lastSeen = new Map<string, Millis>()
@@ -54,12 +54,12 @@
     this.timers.forEach((cancel) => cancel())
   }
 
-  /** The endpoints this box owns now. */
+  /** The endpoints that this box owns now. */
   get endpoints(): EndpointName[] {
     return [...this.owned.keys()]
   }
 
-  /** Takes note of a new table or a new list of boxes. */
+  /** Updates the owned endpoints after a new table or a new list of boxes. */
   refresh(): void {
     const { rows, owners, box, clock, logger } = this.options
     const mine = new Map<EndpointName, EndpointRow>()
@@ -94,7 +94,7 @@
       owned.setReport(await engines.report(owned.row))
       owned.addEvents(await engines.cacheEvents(owned.row, owned.cacheSeq))
     } catch {
-      // Reports get lost; placement works from the last one and from what was sent since.
+      // Reports may get lost; placement uses the last one and what was sent since.
     }
   }
 
@@ -109,7 +109,7 @@
       if (owned.row.pool !== 'plain') void this.sweepEndpoint(owned.row)
   }
 
-  /** Compares what an engine holds with what the boxes run, and releases what belongs to nobody. */
+  /** Compares what an engine holds with what the boxes run, and releases holds of requests that no box runs. */
   private async sweepEndpoint(row: EndpointRow): Promise<void> {
     if (this.sweeping.has(row.endpoint)) return
     this.sweeping.add(row.endpoint)
@@ -137,7 +137,7 @@
     logger.warn('owner.released', { endpoint: row.endpoint, request, kind, ageMs: Math.round(ageMs) })
   }
 
-  /** A box that does not answer may run it: the hold stays until the next sweep. */
+  /** Whether one of the boxes runs a hold's request. A box that does not answer may run it, so the hold is kept. */
   private async runsAnywhere(hold: EngineHold, boxes: BoxInfo[]): Promise<boolean> {
     const { peers } = this.options
     const asked = boxes.map((box) =>
@@ -155,13 +155,13 @@
   private goneForMs(boxAndIncarnation: string): Millis {
     const now = this.options.clock.now()
     const seen = this.lastSeen.get(boxAndIncarnation)
-    // A box that this process has never seen counts as gone from the first time it is asked about.
+    // A box that this process has never seen counts as gone from this call on.
     if (seen === undefined) this.lastSeen.set(boxAndIncarnation, now)
     return now - (seen ?? now)
   }
 }
 
-/** Whether an endpoint is an engine that is in use, and so has reports and holds to be read. */
+/** Whether an endpoint is an engine in use, which has reports to read. */
 function hasReports(row: EndpointRow): boolean {
   return row.pool !== 'plain' && row.state !== 'out'
 }
--- a/placement/owner/src/reportCodec.ts
+++ b/placement/owner/src/reportCodec.ts
@@ -1,9 +1,9 @@
 import type { EngineReport } from '@forkstage/engine-client'
 
 /**
- * An engine's report as it travels between boxes: figures by position, rounded, since every box gets
- * one for every endpoint it follows several times a second. Order: age, queued prefill tokens, prefill
- * tokens a second, running streams, KV tokens used, KV tokens in all, step in tenths of a millisecond, marks.
+ * An engine's report as boxes send it: a tuple of rounded figures, since every box gets one for every
+ * endpoint that it uses several times a second. Order: age, queued prefill tokens, prefill tokens a
+ * second, running streams, KV tokens used, KV tokens in all, step in tenths of a millisecond, flags.
  */
 export type PackedReport = [number, number, number, number, number, number, number, number]
 
--- a/placement/owner/test/judgeHold.test.ts
+++ b/placement/owner/test/judgeHold.test.ts
@@ -22,7 +22,7 @@
   judgeHold(hold(ageMs), { members: of, graceMs: 3_000, goneGraceMs: 8_000, goneForMs: () => goneMs })
 
 describe('judgeHold', () => {
-  it('leaves young holds, foreign holds, and all holds while no box is known', () => {
+  it('keeps young holds, holds of unknown requests, and all holds while no box is known', () => {
     expect(judge(members(box('a')), 2_999)).toEqual({ type: 'keep' })
     expect(judge(members())).toEqual({ type: 'keep' })
     const foreign = { ...hold(9_000), request: 'not ours' }
@@ -31,11 +31,11 @@
     ).toEqual({ type: 'keep' })
   })
 
-  it('asks the box that made the request while it lives', () => {
+  it('asks the box that made the request while that box is live', () => {
     expect(judge(members(box('a'), box('b')))).toEqual({ type: 'ask', boxes: [box('a')] })
   })
 
-  it('asks every box once the maker has restarted, or has been gone for long: another may have taken it over', () => {
+  it('asks every box once the one that made the request has restarted or has been gone for long', () => {
     const restarted = members(box('a', 'two'), box('b'))
     expect(judge(restarted)).toEqual({ type: 'ask', boxes: restarted.boxes })
     expect(judge(members(box('b')), 9_000, 7_999)).toEqual({ type: 'keep' })
