--- a/placement/queue/src/fairQueue.ts
+++ b/placement/queue/src/fairQueue.ts
@@ -1,25 +1,25 @@
-/** Something that waits, on behalf of a workspace. */
+/** A waiting item of a workspace. */
 export interface QueueItem {
   workspace: string
   /** Higher goes first within a workspace. */
   priority: number
-  /** What serving it costs, for example its prompt tokens. */
+  /** The cost of serving the item, for example its prompt tokens. */
   cost: number
 }
 
 interface WorkspaceQueue<Item> {
   items: Item[]
-  /** Cost served so far, on the scale of {@link FairQueue.floor}. */
+  /** Cost served so far, on the scale of {@link FairQueue.virtualTime}. */
   served: number
 }
 
 /**
- * Serves workspaces by the least cost served so far, so that one caller's flood does not starve the
- * rest. A workspace that comes back after a pause starts level with the others, not with credit.
+ * Serves the workspace with the least cost served so far, so that a burst of one does not starve the
+ * others. A workspace that returns after a pause starts level with the others, without credit for the pause.
  */
 export class FairQueue<Item extends QueueItem> {
   private readonly queues = new Map<string, WorkspaceQueue<Item>>()
-  /** The served cost of the workspace that was served last. */
+  /** The served cost of the workspace that was served last, with which a new workspace starts. */
   private virtualTime = 0
   private count = 0
 
@@ -27,11 +27,12 @@
     return this.count
   }
 
-  /** How many of a workspace wait. */
+  /** The number of waiting items of a workspace. */
   lengthOf(workspace: string): number {
     return this.queues.get(workspace)?.items.length ?? 0
   }
 
+  /** Adds an item after those of its workspace with the same or a higher priority. */
   push(item: Item): void {
     const queue = this.queues.get(item.workspace) ?? { items: [], served: this.virtualTime }
     this.queues.set(item.workspace, queue)
@@ -40,12 +41,12 @@
     this.count += 1
   }
 
-  /** The next to be served; stays in the queue. */
+  /** The next item to be served, which stays in the queue; undefined if the queue is empty. */
   peek(): Item | undefined {
     return this.nextQueue()?.items[0]
   }
 
-  /** Takes out one item: served ones count against their workspace, others do not. */
+  /** Removes an item. Its cost is charged to its workspace only if the item was served. */
   remove(item: Item, served: boolean): void {
     const queue = this.queues.get(item.workspace)
     const position = queue?.items.indexOf(item) ?? -1
--- a/placement/queue/src/index.ts
+++ b/placement/queue/src/index.ts
@@ -1,3 +1,3 @@
-/** The queue of requests that wait for room. */
+/** The queue of requests that wait for capacity. */
 export { FairQueue } from './fairQueue'
 export type { QueueItem } from './fairQueue'
--- a/placement/queue/test/fairQueue.test.ts
+++ b/placement/queue/test/fairQueue.test.ts
@@ -11,8 +11,8 @@
   }).join('')
 }
 
-describe('fairQueue', () => {
-  it('does not let a flood of one workspace starve the others', () => {
+describe('FairQueue', () => {
+  it('does not let a burst of one workspace starve the others', () => {
     const queue = new FairQueue<QueueItem>()
     for (let n = 0; n < 50; n += 1) queue.push(item('a'))
     for (let n = 0; n < 3; n += 1) queue.push(item('b'))
