--- a/request/crashes/test/manyPoisonRequests.test.ts
+++ b/request/crashes/test/manyPoisonRequests.test.ts
@@ -17,7 +17,7 @@
   return {
     late: total(({ late }) => late),
     refused: total(({ refusedHarmless: refusedInnocents }) => refusedInnocents.size),
-    innocents: total(({ harmlessCount }) => harmlessCount),
+    harmlessCount: total(({ harmlessCount }) => harmlessCount),
     servedShare: total(({ served }) => served) / total(({ harmlessCount }) => harmlessCount),
   }
 }
@@ -28,20 +28,20 @@
     ['ten kinds', { kinds: 10 }],
     ['twenty kinds', { kinds: 20 }],
     ['twenty kinds and a leader that is lost again and again', { kinds: 20, leaderLostEveryMs: 3_000 }],
-    ['twenty kinds, four times as often', { kinds: 20, deadlyPerSecond: 20 }],
+    ['twenty kinds, four times as often', { kinds: 20, poisonPerSecond: 20 }],
     ['ten kinds before three endpoints', { kinds: 10, endpoints: 3 }],
     // Many callers ask for the same: with one such content half of all calls were refused for as long as the run lasted.
-    ['ten kinds, all others ask for one thing', { kinds: 10, popular: 1, deadlyFromMs: 5_000 }],
-    ['ten kinds, all others ask for three things', { kinds: 10, popular: 3, deadlyFromMs: 5_000 }],
-    ['twenty kinds, all others ask for ten things', { kinds: 20, popular: 10, deadlyFromMs: 5_000 }],
+    ['ten kinds, all others ask for one thing', { kinds: 10, popular: 1, poisonFromMs: 5_000 }],
+    ['ten kinds, all others ask for three things', { kinds: 10, popular: 3, poisonFromMs: 5_000 }],
+    ['twenty kinds, all others ask for ten things', { kinds: 20, popular: 10, poisonFromMs: 5_000 }],
     [
       'twenty kinds, four times as often, all others ask for ten things',
-      { kinds: 20, deadlyPerSecond: 20, popular: 10, deadlyFromMs: 5_000 },
+      { kinds: 20, poisonPerSecond: 20, popular: 10, poisonFromMs: 5_000 },
     ],
   ])(
     'reach none later than a second after their third end, and nobody else is refused: %s',
     (_what, options) => {
-      const { late, refused, innocents: harmlessCount } = simulate(options)
+      const { late, refused, harmlessCount } = simulate(options)
       expect(late).toBe(0)
       expect(refused).toBe(0)
       expect(harmlessCount).toBeGreaterThan(9_000)
