--- a/request/crashes/src/crashDetector.ts
+++ b/request/crashes/src/crashDetector.ts
@@ -72,7 +72,7 @@
 
   /** Notes that an endpoint was left without a whole answer. */
   recordLoss({ request, content, endpoint, isBroken, afterMs }: LostAttempt): void {
-    if (endpoint.state !== 'ready' || !this.isRegistered(endpoint.id)) return
+    if (endpoint.state !== 'ready' || !this.isReadyOrEnded(endpoint.id)) return
     const suspect = this.suspects.get(endpoint.id) ?? {
       endpoint,
       lost: new Map<string, ContentAtCrash>(),
@@ -109,12 +109,12 @@
   checkSuspected(): void {
     const now = this.options.clock.now()
     for (const [id, suspect] of this.suspects) {
-      if (now - suspect.lastLossAt > LOSS_EXPIRY_MS || !this.isRegistered(id)) this.forget(suspect)
+      if (now - suspect.lastLossAt > LOSS_EXPIRY_MS || !this.isReadyOrEnded(id)) this.forget(suspect)
       else if (this.options.isReplaced(suspect.endpoint)) this.confirmCrash(suspect, 'replaced')
     }
   }
 
-  private isRegistered(id: InstanceId): boolean {
+  private isReadyOrEnded(id: InstanceId): boolean {
     const state = this.options.current(id)?.state
     return state === 'ready' || state === 'ended'
   }
@@ -133,7 +133,7 @@
     suspect.probesLeft -= 1
     const result = await this.options.probeAddress(suspect.endpoint.address)
     const isOpen = this.suspects.get(suspect.endpoint.id) === suspect
-    if (result === 'refused' && isOpen && this.isRegistered(suspect.endpoint.id))
+    if (result === 'refused' && isOpen && this.isReadyOrEnded(suspect.endpoint.id))
       return this.confirmCrash(suspect, 'refuses')
     resolveWaiters(suspect)
     suspect.isProbing = isOpen && suspect.probesLeft > 0
--- a/request/crashes/test/crashDetector.test.ts
+++ b/request/crashes/test/crashDetector.test.ts
@@ -16,7 +16,7 @@
 }
 
 /** A watch over one endpoint. */
-class DetectorFixture {
+class DetectorHarness {
   readonly clock = new ManualClock()
   readonly ended: [string, string[]][] = []
   probeResult: ProbeResult = 'listens'
@@ -55,71 +55,71 @@
 
 describe('CrashDetector', () => {
   it('names everything that was lost at an endpoint where nobody listens any more, once', async () => {
-    const fixture = new DetectorFixture()
-    fixture.probeResult = 'refused'
-    fixture.loseAnswer('r1', 'a')
-    fixture.loseAnswer('r2', 'b')
-    fixture.loseAnswer('r3', 'c', true, 1_200)
-    await fixture.advance(1_000)
-    expect(fixture.ended).toEqual([['i-1', ['a early', 'b early', 'c late']]])
-    expect(fixture.probes).toBe(1)
+    const harness = new DetectorHarness()
+    harness.probeResult = 'refused'
+    harness.loseAnswer('r1', 'a')
+    harness.loseAnswer('r2', 'b')
+    harness.loseAnswer('r3', 'c', true, 1_200)
+    await harness.advance(1_000)
+    expect(harness.ended).toEqual([['i-1', ['a early', 'b early', 'c late']]])
+    expect(harness.probes).toBe(1)
   })
 
   it('takes an answer that broke off at an endpoint that goes on listening for no end, after two looks', async () => {
-    const fixture = new DetectorFixture()
-    fixture.loseAnswer('r1', 'a')
-    await fixture.advance(5_000)
-    expect(fixture.ended).toEqual([])
-    expect(fixture.probes).toBe(2)
+    const harness = new DetectorHarness()
+    harness.loseAnswer('r1', 'a')
+    await harness.advance(5_000)
+    expect(harness.ended).toEqual([])
+    expect(harness.probes).toBe(2)
   })
 
   it('sees an endpoint that takes a moment to close its listener', async () => {
-    const fixture = new DetectorFixture()
-    fixture.loseAnswer('r1', 'a')
-    await fixture.advance(200)
-    fixture.probeResult = 'refused'
-    await fixture.advance(500)
-    expect(fixture.ended).toEqual([['i-1', ['a early']]])
+    const harness = new DetectorHarness()
+    harness.loseAnswer('r1', 'a')
+    await harness.advance(200)
+    harness.probeResult = 'refused'
+    await harness.advance(500)
+    expect(harness.ended).toEqual([['i-1', ['a early']]])
   })
 
   it.each([true, false])('sees that another has registered at its address (broken: %s)', async (isBroken) => {
-    const fixture = new DetectorFixture()
-    fixture.probeResult = 'silent'
-    fixture.loseAnswer('r1', 'a', isBroken)
-    await fixture.advance(3_000)
-    expect(fixture.ended).toEqual([])
-    fixture.isReplaced = true
-    fixture.detector.checkSuspected()
-    expect(fixture.ended).toEqual([['i-1', [isBroken ? 'a early' : 'a late']]])
+    const harness = new DetectorHarness()
+    harness.probeResult = 'silent'
+    harness.loseAnswer('r1', 'a', isBroken)
+    await harness.advance(3_000)
+    expect(harness.ended).toEqual([])
+    harness.isReplaced = true
+    harness.detector.checkSuspected()
+    expect(harness.ended).toEqual([['i-1', [isBroken ? 'a early' : 'a late']]])
   })
 
   it('opens no connection for what was given up here', async () => {
-    const fixture = new DetectorFixture()
-    fixture.loseAnswer('r1', 'a', false)
-    await fixture.advance(2_000)
-    expect(fixture.probes).toBe(0)
+    const harness = new DetectorHarness()
+    harness.loseAnswer('r1', 'a', false)
+    await harness.advance(2_000)
+    expect(harness.probes).toBe(0)
   })
 
   it('forgets a loss when it is long ago', async () => {
-    const fixture = new DetectorFixture()
-    fixture.loseAnswer('r1', 'a')
-    await fixture.advance(17_000)
-    fixture.isReplaced = true
-    fixture.detector.checkSuspected()
-    expect(fixture.ended).toEqual([])
+    const harness = new DetectorHarness()
+    harness.loseAnswer('r1', 'a')
+    await harness.advance(17_000)
+    harness.isReplaced = true
+    harness.detector.checkSuspected()
+    expect(harness.ended).toEqual([])
   })
 
   it.each([undefined, { ...ENDPOINT, state: 'draining' as const }])(
     'takes the end of one that has said that it leaves for none (%#)',
     async (known) => {
-      const fixture = new DetectorFixture()
-      fixture.probeResult = 'refused'
-      fixture.loseAnswer('r1', 'a')
-      fixture.known = known
-      await fixture.advance(1_000)
-      fixture.loseAnswer('r2', 'b')
-      await fixture.advance(1_000)
-      expect(fixture.ended).toEqual([])
+      const harness = new DetectorHarness()
+      harness.probeResult = 'refused'
+      harness.loseAnswer('r1', 'a')
+      harness.known = known
+      await harness.advance(1_000)
+      harness.loseAnswer('r2', 'b')
+      await harness.advance(1_000)
+      expect(harness.ended).toEqual([])
     },
   )
 
@@ -127,33 +127,33 @@
   it.each(['listens', 'refused', 'silent'] as const)(
     'says that a loss is decided once a try has shown that it %s',
     async (found) => {
-      const fixture = new DetectorFixture()
-      fixture.probeResult = found
-      expect(fixture.detector.isUnconfirmed('i-1')).toBe(false)
-      fixture.loseAnswer('r1', 'a')
+      const harness = new DetectorHarness()
+      harness.probeResult = found
+      expect(harness.detector.isUnconfirmed('i-1')).toBe(false)
+      harness.loseAnswer('r1', 'a')
       let isKnown = false
-      void fixture.detector.confirmed('i-1').then(() => (isKnown = true))
-      await fixture.advance(40)
-      expect([fixture.detector.isUnconfirmed('i-1'), isKnown]).toEqual([true, false])
-      await fixture.advance(20)
-      expect([fixture.detector.isUnconfirmed('i-1'), isKnown]).toEqual([false, true])
-      expect(fixture.ended.length).toBe(found === 'refused' ? 1 : 0)
+      void harness.detector.confirmed('i-1').then(() => (isKnown = true))
+      await harness.advance(40)
+      expect([harness.detector.isUnconfirmed('i-1'), isKnown]).toEqual([true, false])
+      await harness.advance(20)
+      expect([harness.detector.isUnconfirmed('i-1'), isKnown]).toEqual([false, true])
+      expect(harness.ended.length).toBe(found === 'refused' ? 1 : 0)
     },
   )
 
   it('lets those go on who wait for an endpoint that leaves or is replaced meanwhile', async () => {
-    for (const change of [(fixture: DetectorFixture) => (fixture.known = undefined), replace]) {
-      const fixture = new DetectorFixture()
-      fixture.loseAnswer('r1', 'a')
-      const known = fixture.detector.confirmed('i-1')
-      change(fixture)
-      fixture.detector.checkSuspected()
+    for (const change of [(harness: DetectorHarness) => (harness.known = undefined), replace]) {
+      const harness = new DetectorHarness()
+      harness.loseAnswer('r1', 'a')
+      const known = harness.detector.confirmed('i-1')
+      change(harness)
+      harness.detector.checkSuspected()
       await known
-      expect(fixture.detector.isUnconfirmed('i-1')).toBe(false)
+      expect(harness.detector.isUnconfirmed('i-1')).toBe(false)
     }
   })
 })
 
-function replace(fixture: DetectorFixture): void {
-  fixture.isReplaced = true
+function replace(harness: DetectorHarness): void {
+  harness.isReplaced = true
 }
--- a/request/crashes/test/crashReporter.test.ts
+++ b/request/crashes/test/crashReporter.test.ts
@@ -3,10 +3,10 @@
 import { CrashTracker, CrashReporter, type CrashRecord } from '../src'
 
 /** An entry before a leader that answers or does not. */
-class ReporterFixture {
+class ReporterHarness {
   readonly clock = new ManualClock()
   readonly tracker = new CrashTracker({ now: () => this.clock.now(), ends: 3, keepMs: 60_000 })
-  readonly heard: CrashRecord[] = []
+  readonly received: CrashRecord[] = []
   leader: string | undefined = 'c1'
   answers = true
   calls = 0
@@ -17,7 +17,7 @@
     report: (records) => {
       this.calls += 1
       if (!this.answers) return Promise.resolve(undefined)
-      this.heard.push(...records)
+      this.received.push(...records)
       return Promise.resolve(true as const)
     },
   })
@@ -37,49 +37,49 @@
 
 describe('CrashReporter', () => {
   it('tells the leader at once, and nothing twice', async () => {
-    const fixture = new ReporterFixture()
-    fixture.crash('l1', 'a')
-    await fixture.advance(3_000)
-    expect(fixture.heard).toMatchObject([{ content: 'a', ended: ['l1'] }])
-    expect(fixture.calls).toBe(1)
+    const harness = new ReporterHarness()
+    harness.crash('l1', 'a')
+    await harness.advance(3_000)
+    expect(harness.received).toMatchObject([{ content: 'a', ended: ['l1'] }])
+    expect(harness.calls).toBe(1)
   })
 
   it('tells until it is answered, with what has come meanwhile', async () => {
-    const fixture = new ReporterFixture()
-    fixture.answers = false
-    fixture.crash('l1', 'a')
-    await fixture.advance(1_000)
-    fixture.crash('l2', 'a')
-    fixture.crash('l2', 'b')
-    fixture.answers = true
-    await fixture.advance(1_000)
-    expect(fixture.heard.sort((one, other) => one.content.localeCompare(other.content))).toMatchObject([
+    const harness = new ReporterHarness()
+    harness.answers = false
+    harness.crash('l1', 'a')
+    await harness.advance(1_000)
+    harness.crash('l2', 'a')
+    harness.crash('l2', 'b')
+    harness.answers = true
+    await harness.advance(1_000)
+    expect(harness.received.sort((one, other) => one.content.localeCompare(other.content))).toMatchObject([
       { content: 'a', ended: ['l1', 'l2'] },
       { content: 'b', ended: ['l2'] },
     ])
   })
 
   it('tells each new leader once more what this entry has seen', async () => {
-    const fixture = new ReporterFixture()
-    fixture.crash('l1', 'a')
-    await fixture.advance(200)
-    fixture.leader = undefined
-    await fixture.advance(2_000)
-    expect(fixture.calls).toBe(1)
-    fixture.leader = 'c2'
-    await fixture.advance(3_000)
-    expect(fixture.heard.map(({ content }) => content)).toEqual(['a', 'a'])
+    const harness = new ReporterHarness()
+    harness.crash('l1', 'a')
+    await harness.advance(200)
+    harness.leader = undefined
+    await harness.advance(2_000)
+    expect(harness.calls).toBe(1)
+    harness.leader = 'c2'
+    await harness.advance(3_000)
+    expect(harness.received.map(({ content }) => content)).toEqual(['a', 'a'])
   })
 
   it('begins nothing more once it has stopped', async () => {
-    const fixture = new ReporterFixture()
-    fixture.answers = false
-    fixture.crash('l1', 'a')
-    await fixture.advance(100)
-    fixture.reporter.stop()
-    const { calls } = fixture
-    fixture.leader = 'c2'
-    await fixture.advance(3_000)
-    expect(fixture.calls - calls).toBeLessThanOrEqual(1)
+    const harness = new ReporterHarness()
+    harness.answers = false
+    harness.crash('l1', 'a')
+    await harness.advance(100)
+    harness.reporter.stop()
+    const { calls } = harness
+    harness.leader = 'c2'
+    await harness.advance(3_000)
+    expect(harness.calls - calls).toBeLessThanOrEqual(1)
   })
 })
--- a/request/crashes/test/crashSimulation.ts
+++ b/request/crashes/test/crashSimulation.ts
@@ -67,7 +67,7 @@
     this.reserved = this.trackers.map(() => new Set())
     every(this.clock, 100, () => this.scheduler.sweepExpired())
     for (let kind = 0; kind < kinds; kind += 1)
-      this.poisonContents.set(`deadly${kind}`, { endedAt: [], arrivedAt: [] })
+      this.poisonContents.set(`deadly${kind}`, { crashedAt: [], arrivedAt: [] })
   }
 
   run(forMs: number): void {
@@ -91,13 +91,13 @@
 
   /** The most ends that a deadly content had. */
   get mostCrashes(): number {
-    return Math.max(...[...this.poisonContents.values()].map(({ endedAt }) => endedAt.length))
+    return Math.max(...[...this.poisonContents.values()].map(({ crashedAt }) => crashedAt.length))
   }
 
   /** Deadly requests that reached an endpoint later than a second after their content's third end. */
   get late(): number {
-    const each = [...this.poisonContents.values()].map(({ endedAt, arrivedAt }) => {
-      const third = endedAt[ENDS - 1]
+    const each = [...this.poisonContents.values()].map(({ crashedAt, arrivedAt }) => {
+      const third = crashedAt[ENDS - 1]
       return third === undefined ? 0 : arrivedAt.filter((at) => at > third + LATE_MS).length
     })
     return each.reduce((sum, one) => sum + one, 0)
@@ -201,7 +201,7 @@
     const isThere = () => target.isUp && target.life === life && target.running.has(running)
     if (poison !== undefined)
       return void this.clock.after(this.between(CRASH_AFTER_MS), () => {
-        if (isThere()) this.end(target)
+        if (isThere()) this.crash(target)
       })
     this.clock.after(WORK_MS, () => {
       if (!isThere()) return
@@ -211,23 +211,23 @@
     })
   }
 
-  private end(endpoint: Endpoint): void {
+  private crash(endpoint: Endpoint): void {
     const incarnation = incarnationOf(endpoint)
     const lost = [...endpoint.running]
     endpoint.running.clear()
     endpoint.isUp = false
     for (const content of new Set(lost.map((one) => one.content)))
-      this.poisonContents.get(content)?.endedAt.push(this.clock.now())
+      this.poisonContents.get(content)?.crashedAt.push(this.clock.now())
     this.clock.after(DOWN_MS, () => {
       endpoint.life += 1
       endpoint.isUp = true
     })
     this.clock.after(CONFIRM_AFTER_MS, () => {
       for (const entry of new Set(lost.map((one) => one.entry))) {
-        const under = lost
+        const contents = lost
           .filter((one) => one.entry === entry)
           .map(({ content }) => ({ content, isEarly: true }))
-        this.report(entry, this.trackers[entry]!.recordCrash(incarnation, under))
+        this.report(entry, this.trackers[entry]!.recordCrash(incarnation, contents))
       }
     })
     lost.forEach((one) => one.lost())
--- a/request/crashes/test/manyPoisonRequestsLong.test.ts
+++ b/request/crashes/test/manyPoisonRequestsLong.test.ts
@@ -26,6 +26,6 @@
     ...simulate({ kinds: 20 }),
     ...simulate({ kinds: 20, poisonPerSecond: 20, leaderLostEveryMs: 3_000 }),
   ])
-    for (const { endedAt, arrivedAt } of simulation.poisonContents.values())
-      expect(arrivedAt.filter((at) => at > (endedAt[2] ?? Infinity) + 4_000).length).toBeLessThanOrEqual(3)
+    for (const { crashedAt, arrivedAt } of simulation.poisonContents.values())
+      expect(arrivedAt.filter((at) => at > (crashedAt[2] ?? Infinity) + 4_000).length).toBeLessThanOrEqual(3)
 })
--- a/request/crashes/test/simulationParts.ts
+++ b/request/crashes/test/simulationParts.ts
@@ -37,7 +37,7 @@
 /** What became of a deadly content. */
 export interface Poison {
   /** When endpoints ended under it. */
-  endedAt: number[]
+  crashedAt: number[]
   /** When it reached endpoints. */
   arrivedAt: number[]
 }
--- a/request/crashes/test/trialScheduler.test.ts
+++ b/request/crashes/test/trialScheduler.test.ts
@@ -17,12 +17,12 @@
     isSuspect: (content) => suspects.has(content),
     onChange: () => reserved.push(scheduler.endpoints),
   })
-  return { time, ended, suspects, kept: reserved, scheduler, registered }
+  return { time, ended, suspects, reserved, scheduler, registered }
 }
 
 describe('TrialScheduler', () => {
   it('keeps one endpoint free, and lets one content run there at a time once it is empty', () => {
-    const { scheduler, time, kept: reserved } = newScheduler()
+    const { scheduler, time, reserved } = newScheduler()
     expect(scheduler.ask(ASK)).toEqual({ type: 'later', retryAfterMs: 500 })
     expect(reserved).toEqual([['p1']])
     time.now = 499
@@ -48,7 +48,7 @@
   })
 
   it('takes another endpoint where that one has ended, and lets it go where nobody asks', () => {
-    const { scheduler, time, ended, kept: reserved } = newScheduler()
+    const { scheduler, time, ended, reserved } = newScheduler()
     scheduler.ask(ASK)
     ended.add('p1')
     expect(scheduler.ask(ASK)).toMatchObject({ type: 'later' })
@@ -73,7 +73,7 @@
   })
 
   it('lets all go when another machine leads', () => {
-    const { scheduler, kept: reserved } = newScheduler()
+    const { scheduler, reserved } = newScheduler()
     scheduler.ask(ASK)
     scheduler.clear()
     scheduler.clear()
