--- a/request/crashes/src/contentDigest.ts
+++ b/request/crashes/src/contentDigest.ts
@@ -1,25 +1,28 @@
 import { createHash } from 'node:crypto'
 
-/** Names what a request asks for, so that it is known again under another request id. Holds nothing of its text. */
+/**
+ * Identifies the content of a request, so that a repeat under another request id is recognized. Holds none of its text.
+ */
 export type ContentDigest = string
 
-/** What makes two requests the same. */
+/** The parts that make two requests the same. */
 export interface RequestContent {
-  /** The key that its caller shows; absent where it shows none. */
+  /** The API key of the caller; absent where the request has none. */
   key?: string
   method: string
   host: string
-  /** With query. */
+  /** Includes the query. */
   path: string
   body: Buffer
 }
 
-/** 96 bits: among millions of requests no two that differ are taken for one. */
+/** 96 bits: among millions of different requests no two share a digest. */
 const DIGEST_CHARS = 24
 
 /**
- * The digest of a request's content. Each part goes in with its length, so that none can run into the next. The address it
- * comes from does not go in: one caller comes from many, and what ends an endpoint is what the endpoint gets.
+ * Returns the digest of a request's content. Each part is hashed with its length, so that parts cannot run into each
+ * other. The caller's network address is left out: one caller sends from many addresses, and a crash depends on what
+ * the endpoint receives.
  */
 export function contentDigest({ key = '', method, host, path, body }: RequestContent): ContentDigest {
   const hash = createHash('sha256')
--- a/request/crashes/src/crashDetector.ts
+++ b/request/crashes/src/crashDetector.ts
@@ -5,17 +5,17 @@
 import type { ContentDigest } from './contentDigest'
 import type { ContentAtCrash, Incarnation } from './crashTypes'
 
-/** What a bare connection to an address shows. */
+/** The result of opening a bare TCP connection to an address. */
 export type ProbeResult = 'listens' | 'refused' | 'silent'
 
-/** A sending that ended without a whole answer. */
+/** A request that an endpoint did not answer completely. */
 export interface LostAttempt {
   request: string
   content: ContentDigest
   endpoint: RegisteredEndpoint
-  /** Whether its connection broke; otherwise it was given up here, after a time without a sign. */
+  /** Whether the connection broke; false where this machine gave up after a timeout. */
   isBroken: boolean
-  /** How long it had been there. */
+  /** Time from sending the request to the loss. */
   afterMs: Millis
 }
 
@@ -23,46 +23,49 @@
 export interface CrashDetectorOptions {
   clock: Clock
   logger: Logger
-  /** Tries whether a process listens at an address. Never rejects. */
+  /** Probes whether a process listens at an address. Never rejects. */
   probeAddress: (address: Address) => Promise<ProbeResult>
-  /** What is known of an instance now; absent where it has left. */
+  /** The current directory entry of an instance; undefined once it has left. */
   current: (id: InstanceId) => RegisteredEndpoint | undefined
-  /** Whether a later life has its name, or another process has registered at its address. */
+  /** Whether a later incarnation has the endpoint's name, or another process has registered at its address. */
   isReplaced: (endpoint: RegisteredEndpoint) => boolean
-  /** Called once for each instance that has ended, with what it had at work. */
+  /** Called once for each incarnation that has crashed, with the contents that were running there. */
   onCrash: (incarnation: Incarnation, contentsAtCrash: ContentAtCrash[], service: string) => void
 }
 
 interface SuspectedEndpoint {
   endpoint: RegisteredEndpoint
-  /** What was lost there, with the requests' ids: the last so many. */
+  /** Contents of the requests lost there, by request id; at most {@link MAX_LOST_REQUESTS}. */
   lost: Map<string, ContentAtCrash>
   lastLossAt: Millis
   probesLeft: number
   isProbing: boolean
-  /** Called once a try after the last loss has shown whether anybody listens; absent when that is known. */
+  /**
+   * Resolves callers of `confirmed` once a probe after the last loss has finished; absent while no loss is unconfirmed.
+   */
   onProbed?: (() => void)[]
 }
 
 /** Long enough for a dying process to have closed its listener. */
 const FIRST_PROBE_DELAY_MS: Millis = 50
-/** A second look, for one that took its time. */
+/** The second probe covers a process that took longer to close its listener. */
 const NEXT_PROBE_DELAY_MS: Millis = 400
 const PROBES_PER_LOSS = 2
-/** A process that crashes is back within seconds; what registers later says nothing of an answer lost long ago. */
+/** A crashed process is back within seconds; a later registration says nothing about an old loss. */
 const LOSS_EXPIRY_MS: Millis = 15_000
 const CHECK_EVERY_MS: Millis = 1_000
 /**
- * A request that ends its endpoint when it begins to run has been there for no longer, with what waits before it: 24 ends
- * seen came within 16 to 605 ms.
+ * A request that crashes its endpoint as soon as it runs has been there no longer than this, time in its queue
+ * included: 24 crashes came within 16 to 605 ms.
  */
 const EARLY_MS: Millis = 1_000
-/** An engine runs some tens of requests at once; one line and one report hold them all. */
+/** An engine runs some tens of requests at once; one log line and one report hold them all. */
 const MAX_LOST_REQUESTS = 128
 
 /**
- * Tells an endpoint that has ended from one that only lost an answer: after a loss nobody listens at its address any
- * more, or another process registers there. One that had said that it leaves has not crashed.
+ * Tells a crashed endpoint from one that only lost a response. After a loss, the endpoint has crashed if its address
+ * refuses connections or another process has registered there. An endpoint that had announced that it leaves has not
+ * crashed.
  */
 export class CrashDetector {
   private readonly suspects = new Map<InstanceId, SuspectedEndpoint>()
@@ -70,7 +73,7 @@
 
   constructor(private readonly options: CrashDetectorOptions) {}
 
-  /** Notes that an endpoint was left without a whole answer. */
+  /** Records that an endpoint left a request without a complete response. */
   recordLoss({ request, content, endpoint, isBroken, afterMs }: LostAttempt): void {
     if (endpoint.state !== 'ready' || !this.isReadyOrEnded(endpoint.id)) return
     const suspect = this.suspects.get(endpoint.id) ?? {
@@ -91,7 +94,7 @@
     this.scheduleCheck()
   }
 
-  /** Whether it is not known yet if an endpoint that was lost has ended. */
+  /** Whether an endpoint lost a request and no probe has shown yet whether it crashed. */
   isUnconfirmed(id: InstanceId): boolean {
     return this.suspects.get(id)?.onProbed !== undefined
   }
@@ -105,7 +108,9 @@
     })
   }
 
-  /** Looks whether others have taken the place of endpoints where something was lost. Called when endpoints register. */
+  /**
+   * Checks whether suspected endpoints have been replaced, and drops expired losses. Called when endpoints register.
+   */
   checkSuspected(): void {
     const now = this.options.clock.now()
     for (const [id, suspect] of this.suspects) {
@@ -160,7 +165,7 @@
     resolveWaiters(suspect)
   }
 
-  /** What is never found out lapses also where nothing registers. */
+  /** Checks periodically, so that unconfirmed losses expire even if no endpoint registers. */
   private scheduleCheck(): void {
     if (this.isChecking) return
     this.isChecking = true
@@ -172,7 +177,7 @@
   }
 }
 
-/** Those who wait go on in a later turn: an end is in the book by then. */
+/** Promise callbacks run as later microtasks, so a crash is recorded before the waiting requests continue. */
 function resolveWaiters(suspect: SuspectedEndpoint): void {
   const waiting = suspect.onProbed ?? []
   suspect.onProbed = undefined
--- a/request/crashes/src/crashReporter.ts
+++ b/request/crashes/src/crashReporter.ts
@@ -8,18 +8,20 @@
 export interface CrashReporterOptions {
   clock: Clock
   tracker: CrashTracker
-  /** Tells the leader; undefined where it does not answer in time. */
+  /** Sends records to the leader; resolves to undefined if the leader does not answer in time. */
   report: (records: CrashRecord[]) => Promise<true | undefined>
-  /** Who leads, as far as this entry hears. */
+  /** The address of the current leader, as far as this entry knows; undefined where none is known. */
   leader: () => Address | undefined
 }
 
 const REPORT_RETRY_MS: Millis = 400
 const LEADER_CHECK_MS: Millis = 1_000
-/** What an entry tells a new leader; the oldest are left out. */
+/** Contents kept for a new leader; the oldest are dropped first. */
 const MAX_OWN_CONTENTS = 256
 
-/** Tells the leader what ended here under which content, until it has answered, and each new leader once more. */
+/**
+ * Reports the crashes seen by this entry to the leader until it acknowledges them, and once more to each new leader.
+ */
 export class CrashReporter {
   private readonly ownContents = new Set<ContentDigest>()
   private readonly unreported = new Set<ContentDigest>()
@@ -30,7 +32,7 @@
 
   constructor(private readonly options: CrashReporterOptions) {}
 
-  /** Takes what this entry has seen itself. */
+  /** Queues records of crashes that this entry has seen itself. */
   enqueue(records: CrashRecord[]): void {
     for (const { content } of records) {
       this.ownContents.delete(content)
@@ -53,7 +55,7 @@
     this.unreported.clear()
   }
 
-  /** A new leader may have heard nothing: the machine that led may have ended before it passed on what it was told. */
+  /** Reports all own contents to a new leader: the previous leader may have failed before it forwarded them. */
   private checkLeader(): void {
     const leader = this.options.leader()
     if (leader === undefined || leader === this.reportedLeader) return
--- a/request/crashes/src/crashTracker.ts
+++ b/request/crashes/src/crashTracker.ts
@@ -5,11 +5,11 @@
 
 /** Options of {@link CrashTracker}. */
 export interface CrashTrackerOptions {
-  /** A steady clock. */
+  /** A monotonic clock. */
   now: () => Millis
-  /** A content that is blamed for so many lives is refused. */
+  /** A content blamed for this many crashes is refused. */
   ends: number
-  /** For how long after the last of them. */
+  /** How long a content stays refused after its last crash. */
   keepMs: Millis
 }
 
@@ -20,40 +20,41 @@
   early: Set<Incarnation>
   served: Set<Incarnation>
   wasServed: boolean
-  /** When the last life was noted, by this machine's clock. */
+  /** When the last crash was recorded, by this machine's clock. */
   at: Millis
-  /** This book's own count when the entry last changed. */
+  /** The tracker's `position` when the entry last changed. */
   changedAt: number
 }
 
 /**
- * Bounds the memory. An engine's end may name a hundred contents, so that this holds those of the last twenty ends; the
- * oldest that are not refused are forgotten first.
+ * Bounds memory. The crash of an engine may involve a hundred contents, so that this holds the last twenty crashes. The
+ * oldest contents that are not refused are evicted first.
  */
 const MAX_CONTENTS = 2_000
-/** For so long after its last end what is not proved is held back. */
+/** How long after its last crash a content is refused by crash count if it never ran alone at a crash. */
 const UNPROVED_REFUSAL_MS: Millis = 60_000
-/** So many crashes of a service within so long, each with requests at work, are hardly chance. */
+/** Two crashes of one service within the window, each with requests running, are unlikely to be chance. */
 const STORM_CRASHES = 2
 const STORM_WINDOW_MS: Millis = 10_000
 const MAX_RECENT_CRASHES = 64
-/** More prove no more. */
+/** Further crashes add no evidence. */
 const MAX_INCARNATIONS = 16
 
 /**
- * Which contents were at work at endpoints that ended, from all that any machine has seen, and which of them is to
- * blame. Records are sets that only grow, so that machines need not agree on who heard what first.
+ * Records which contents were running at endpoints when they crashed, as seen by any machine, and decides which of them
+ * are to blame. Records are grow-only sets, so machines converge whatever the order in which they receive them.
  *
- * With a request that ends its endpoint everything else there is lost too, and may be sent anew to the next that it ends.
- * So a content is refused for ends that no other refused content explains that was at more of them. Where several such
- * contents come at once, two of them may be at work at one endpoint: a content that lacks one end to be refused runs only
- * where nothing else does ({@link isSuspect}), so that its last end has no other explanation, and a good answer clears it.
+ * A request that crashes its endpoint takes every other request there down with it, and those may be sent again to the
+ * next endpoint that it crashes. So a content is refused only for crashes that no other refused content with more
+ * crashes explains. If several such contents arrive at once, two of them may run at one endpoint. A content that is one
+ * crash short of refusal therefore runs only in isolation ({@link isSuspect}): its last crash then has no other
+ * explanation, and a complete response clears it.
  */
 export class CrashTracker {
   private readonly entries = new Map<ContentDigest, Entry>()
   private readonly byIncarnation = new Map<Incarnation, Set<ContentDigest>>()
   private readonly served: RecentlyServed
-  /** When each life ended, the newest last. */
+  /** When each incarnation crashed; the newest last. */
   private readonly recentCrashes = new Map<Incarnation, { at: Millis; service?: string }>()
   private changeCount = 0
   private blameCache: { at: number; counts: Map<ContentDigest, number> } = { at: -1, counts: new Map() }
@@ -62,7 +63,7 @@
     this.served = new RecentlyServed(options.now)
   }
 
-  /** Counts the changes of this book; rises with each. */
+  /** The number of changes so far; only rises. */
   get position(): number {
     return this.changeCount
   }
@@ -71,7 +72,7 @@
     return this.entries.size
   }
 
-  /** Notes what was at work when a life of a service's endpoint ended; gives the records that changed. */
+  /** Records the contents that were running when an incarnation crashed. Returns the records that changed. */
   recordCrash(incarnation: Incarnation, contents: ContentAtCrash[], service?: string): CrashRecord[] {
     const records = contents.map(({ content, isEarly }) => ({
       content,
@@ -85,7 +86,7 @@
     return this.merge(records)
   }
 
-  /** Notes that a content got a whole answer: what ended before did not end for it. */
+  /** Records a complete response, which clears a content of its crashes so far. Returns the records that changed. */
   recordServed(content: ContentDigest): CrashRecord[] {
     this.served.record(content)
     const entry = this.entries.get(content)
@@ -94,14 +95,14 @@
     return this.merge([{ ...record, served: [...entry.ended], wasServed: true }])
   }
 
-  /** Takes what another machine knows; gives what was new. */
+  /** Merges records of another machine. Returns those that were new here. */
   merge(records: CrashRecord[]): CrashRecord[] {
     const changed = records.filter((record) => this.apply(record))
     if (changed.length > 0) this.evictOldest()
     return changed
   }
 
-  /** What changed after a position, oldest first. */
+  /** Returns the records that changed after a position, oldest change first. */
   changesSince(position: number): CrashRecord[] {
     if (position === this.changeCount) return []
     const now = this.options.now()
@@ -110,14 +111,14 @@
     return changed.map((entry) => toRecord(entry, now))
   }
 
-  /** What is known of these contents. */
+  /** Returns the records of those of the contents that are known here. */
   recordsOf(contents: Iterable<ContentDigest>): CrashRecord[] {
     const now = this.options.now()
     const known = [...contents].map((content) => this.entries.get(content))
     return known.filter((entry) => entry !== undefined).map((entry) => toRecord(entry, now))
   }
 
-  /** Why a content is refused; undefined where it may be sent. */
+  /** Returns why a content is refused for the crashes that it is to blame for; undefined if it may be sent. */
   refusalByBlame(content: ContentDigest): ContentRefusal | undefined {
     const entry = this.entries.get(content)
     if (entry === undefined || !this.isRefused(entry)) return undefined
@@ -125,11 +126,16 @@
   }
 
   /**
-   * The same for a content that is sent only where nothing else is at work once it lacks one end: its ends count whoever else
-   * was there. One of several guilty ones can come to all of them before the first is known, each beside another, and would be
-   * sent once more to find out. One that many callers send can come to them as well, and has been served: what gets good
-   * answers does not end each endpoint that runs it, so that only ends count at which it was alone. Where it was alone at none,
-   * it is held back for a minute only, and then runs alone: an innocent one that nobody was served before would have no way back.
+   * Returns why a content is refused by its number of crashes; undefined if it may be sent. Applies to services that
+   * can run a content in isolation.
+   *
+   * Crashes count whatever else was running, because one of several guilty contents can reach the limit beside the
+   * others before its first crash is confirmed, and would otherwise be sent once more to find out. A popular content
+   * can reach the limit too, but it also gets complete responses, so it does not crash every endpoint that runs it: for
+   * such a content only crashes count at which it ran alone.
+   *
+   * A content that ran alone at no crash is refused for a minute only and then runs in isolation: otherwise a harmless
+   * content that had never been served could not be cleared.
    */
   refusalByCrashCount(content: ContentDigest): ContentRefusal | undefined {
     const entry = this.entries.get(content)
@@ -149,14 +155,14 @@
     return unclearedIncarnations(entry).some((incarnation) => this.wasAlone(entry, incarnation))
   }
 
-  /** Whether it is known of an endpoint's life that it has ended. */
+  /** Whether an incarnation is known to have crashed. */
   hasCrashed(incarnation: Incarnation): boolean {
     return this.byIncarnation.has(incarnation)
   }
 
   /**
-   * Whether a content may be sent only where nothing else is at work, so that one more end would prove it.
-   * @param unconfirmed losses of a request that count as ends until they are confirmed or refuted.
+   * Whether a content may be sent only in isolation, so that one more crash would prove that it is to blame.
+   * @param unconfirmed losses of a request that count as crashes until they are confirmed or refuted.
    */
   isSuspect(content: ContentDigest, unconfirmed = 0): boolean {
     const entry = this.entries.get(content)
@@ -166,30 +172,32 @@
     return open + unconfirmed >= this.options.ends - 1 && this.refusalByCrashCount(content) === undefined
   }
 
-  /** Lives that ended under a content, and that no good answer has cleared it of. */
+  /** Returns the number of crashes under a content that no complete response has cleared it of. */
   countUnclearedCrashes(content: ContentDigest): number {
     const entry = this.entries.get(content)
     return entry === undefined || this.leftMs(entry) <= 0 ? 0 : unclearedIncarnations(entry).length
   }
 
-  /** Whether a content got a good answer lately, as far as is known here. */
+  /** Whether a content is known to have got a complete response recently. */
   wasServed(content: ContentDigest): boolean {
     return this.entries.get(content)?.wasServed === true || this.served.has(content)
   }
 
-  /** Whether so many endpoints of a service crashed lately that contents nobody was served may be at work in several places. */
+  /**
+   * Whether so many endpoints of a service crashed recently that unserved contents may be running at several of them.
+   */
   isCrashStorm(service: string): boolean {
     const since = this.options.now() - STORM_WINDOW_MS
     const recent = [...this.recentCrashes.values()].filter((one) => one.at >= since)
     return recent.filter((one) => (one.service ?? service) === service).length >= STORM_CRASHES
   }
 
-  /** How many contents are refused now. */
+  /** Returns the number of contents that are refused now. */
   countRefused(): number {
     return [...this.entries.values()].filter((entry) => this.isRefused(entry)).length
   }
 
-  /** How many contents may be sent only where nothing else is at work. */
+  /** Returns the number of contents that may be sent only in isolation. */
   countSuspects(): number {
     return [...this.entries.keys()].filter((content) => this.isSuspect(content)).length
   }
@@ -202,7 +210,7 @@
     return at + this.options.keepMs - this.options.now()
   }
 
-  /** Ends that a content is to blame for. Worked out once for each state of the book: asked for each request. */
+  /** Returns the number of crashes that a content is to blame for. Cached until the next change: called per request. */
   private countBlamedCrashes(entry: Entry): number {
     if (this.blameCache.at !== this.changeCount) this.blameCache = { at: this.changeCount, counts: new Map() }
     const known = this.blameCache.counts.get(entry.content)
@@ -217,7 +225,7 @@
     return count
   }
 
-  /** Whether nothing else was at work there that has not got a good answer since. */
+  /** Whether every other content that was running there has got a complete response since. */
   private wasAlone(entry: Entry, incarnation: Incarnation): boolean {
     const contents = [...(this.byIncarnation.get(incarnation) ?? [])].map((content) =>
       this.entries.get(content)!,
@@ -226,8 +234,8 @@
   }
 
   /**
-   * A refused content that was at more ends is to blame for those that others were at too; among equals whatever had only
-   * just begun. Asks of contents with more ends only, so that it comes to an end.
+   * Whether another content explains a crash: a refused content with more crashes, or, with equally many, one that had
+   * only just begun to run. Recurses only into contents with more crashes, so that it terminates.
    */
   private isExplained(entry: Entry, incarnation: Incarnation): boolean {
     const own = unclearedIncarnations(entry).length
@@ -257,7 +265,7 @@
     this.changeCount += 1
     entry.changedAt = this.changeCount
     entry.at = Math.max(entry.at, this.options.now() - ageMs)
-    // Set anew, so that the map stays in order of change.
+    // Deleted and inserted again, so that the map stays in order of change.
     this.entries.delete(content)
     this.entries.set(content, entry)
     entry.service ??= record.service
@@ -309,12 +317,12 @@
   }
 }
 
-/** Lives that still say something against a content. */
+/** Returns the crashed incarnations that still count against a content. */
 function unclearedIncarnations({ ended, served }: Entry): Incarnation[] {
   return [...ended].filter((incarnation) => !served.has(incarnation))
 }
 
-/** Adds what is not there yet, as far as there is room; says whether anything was. */
+/** Adds values up to {@link MAX_INCARNATIONS}. Returns whether the set grew. */
 function addAll(set: Set<Incarnation>, incarnations: Incarnation[]): boolean {
   const before = set.size
   for (const incarnation of incarnations) if (set.size < MAX_INCARNATIONS) set.add(incarnation)
--- a/request/crashes/src/crashTypes.ts
+++ b/request/crashes/src/crashTypes.ts
@@ -1,40 +1,43 @@
 import type { Millis } from '@forkstage/types'
 import type { ContentDigest } from './contentDigest'
 
-/** One start of an endpoint's process. */
+/** Identifies one start of an endpoint's process. */
 export type Incarnation = string
 
-/** What is known of one content: what it was at work at when that ended. Merged in any order it gives the same. */
+/** The crashes known of one content. Merging is commutative and idempotent. */
 export interface CrashRecord {
   content: ContentDigest
-  /** The service that its requests go to; absent where whoever says so does not name it. */
+  /** The service that the requests go to; absent where the reporter does not name it. */
   service?: string
-  /** Lives that ended under it. */
+  /** Incarnations that crashed while the content was running there. */
   ended: Incarnation[]
-  /** Those of them where it had only just begun. */
+  /** Those of `ended` where the content had only just begun to run. */
   early: Incarnation[]
-  /** Those of them before it last got a whole answer: they say nothing against it any more. */
+  /** Those of `ended` that crashed before the content last got a complete response; they no longer count against it. */
   served: Incarnation[]
-  /** Whether it got a whole answer since an end, or within a minute before one; absent where none is known. */
+  /**
+   * Whether the content got a complete response after a crash, or within a minute before one; absent where none is
+   * known.
+   */
   wasServed?: boolean
-  /** Since the last of them was noted, by the clock of whoever says so: clocks need not agree. */
+  /** Time since the last crash was recorded. An age, so that the clocks of machines need not agree. */
   ageMs: Millis
 }
 
-/** Why a content is sent to no endpoint any more. */
+/** Why a content is refused. */
 export interface ContentRefusal {
-  /** How many lives it is blamed for. */
+  /** The number of crashes that the content is blamed for. */
   ends: number
-  /** For how much longer. */
+  /** How much longer it is refused. */
   leftMs: Millis
 }
 
-/** What an entry found out at one endpoint that has ended. */
+/** A content that was running at an endpoint when it crashed. */
 export interface ContentAtCrash {
   content: ContentDigest
-  /** Whether it had only just begun there. */
+  /** Whether the content had only just begun to run there. */
   isEarly: boolean
 }
 
-/** The method by which an entry tells the leader what ended under which content. */
+/** RPC method by which an entry reports crashes to the leader. */
 export const CRASH_REPORT = 'crashes.report'
--- a/request/crashes/src/decideSending.ts
+++ b/request/crashes/src/decideSending.ts
@@ -2,42 +2,48 @@
 import type { CrashTracker } from './crashTracker'
 import type { ContentRefusal } from './crashTypes'
 
-/** What {@link decideSending} goes by. */
+/** The input of {@link decideSending}. */
 export interface SendingState {
   tracker: CrashTracker
   content: ContentDigest
   service: string
-  /** Whether the service has endpoints enough that one may be reserved for isolated trials; asked only where it matters. */
+  /**
+   * Whether the service has enough endpoints to reserve one for isolated trials. Called only where the answer matters.
+   */
   hasTrials: () => boolean
-  /** Endpoints that were lost under this very request and of which this machine has yet to learn whether they crashed. */
+  /** Number of endpoints that lost this request and of which it is not yet known whether they crashed. */
   unconfirmed: number
 }
 
-/** What must happen before a request may leave for an endpoint. */
+/** What must happen before a request may be sent to an endpoint. */
 export type SendingDecision =
   | { type: 'send' }
   | { type: 'refuse'; refusal: ContentRefusal }
-  /** Its own losses would decide, and are confirmed or refuted within some tens of milliseconds. */
+  /** The request's own losses decide; they are confirmed or refuted within some tens of milliseconds. */
   | { type: 'await-confirmation' }
-  /** It may run where nothing else does, if the leader has an endpoint for that. */
+  /** The request may run only at an endpoint that the leader reserves for it. */
   | { type: 'isolate' }
-  /** It may run beside others, but not beside another run of the same content, as far as the leader knows. */
+  /** The request may run beside others, but not beside another run of its content; the leader grants turns. */
   | { type: 'serialize' }
 
-/** Decides right before each sending whether it may leave. Relays of entries and the model of them in tests call it. */
+/**
+ * Decides whether a request may be sent, right before each attempt. Called by the relays of entries and by the
+ * simulation in the tests.
+ */
 export function decideSending(state: SendingState): SendingDecision {
   const { tracker, content, service, unconfirmed } = state
   const refusal = refusalOf(state)
   if (refusal !== undefined) return { type: 'refuse', refusal }
-  // A repeat that does not wait takes one more endpoint down, beside others, so that its crash proves nothing.
+  // A retry that did not wait could crash one more endpoint beside other requests, which would prove nothing.
   if (unconfirmed > 0 && tracker.isSuspect(content, unconfirmed)) return { type: 'await-confirmation' }
   if (tracker.isSuspect(content)) return { type: 'isolate' }
-  // Runs side by side would come to three crashes before the first is confirmed. What was served lately is no such content.
+  // Parallel runs would reach three crashes before the first is confirmed. A content that was served recently is not
+  // such a content.
   const isDoubtful = tracker.countUnclearedCrashes(content) + unconfirmed > 0 || tracker.isCrashStorm(service)
   return isDoubtful && !tracker.wasServed(content) ? { type: 'serialize' } : { type: 'send' }
 }
 
-/** Why a content must reach no endpoint of its service; undefined where it may. */
+/** Returns why a content must not be sent to any endpoint of its service; undefined if it may be sent. */
 export function refusalOf({
   tracker,
   content,
--- a/request/crashes/src/hasIsolatedTrials.ts
+++ b/request/crashes/src/hasIsolatedTrials.ts
@@ -1,7 +1,10 @@
-/** Others must have this many besides: with fewer, keeping one free would cost more callers than a trial saves. */
+/**
+ * Endpoints that must remain for other requests. With fewer, reserving one would cost callers more than an isolated
+ * trial saves.
+ */
 export const MIN_OTHER_ENDPOINTS = 2
 
-/** Whether one of so many plain endpoints of a service may be kept free for what must run alone. */
+/** Whether a service with this many plain endpoints may reserve one for isolated trials. */
 export function hasIsolatedTrials(endpoints: number): boolean {
   return endpoints > MIN_OTHER_ENDPOINTS
 }
--- a/request/crashes/src/index.ts
+++ b/request/crashes/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests that end the endpoints that run them. */
+/** Detects requests that crash the endpoints that run them. */
 export { contentDigest } from './contentDigest'
 export type { ContentDigest, RequestContent } from './contentDigest'
 export { CrashTracker } from './crashTracker'
--- a/request/crashes/src/probeAddress.ts
+++ b/request/crashes/src/probeAddress.ts
@@ -6,7 +6,7 @@
 const REFUSED = 'ECONNREFUSED'
 const PROBE_TIMEOUT_MS: Millis = 400
 
-/** Opens a bare connection to an address and closes it at once. Never rejects. */
+/** Opens a bare TCP connection to an address and closes it at once. Never rejects. */
 export function probeAddress(address: Address, clock: Clock): Promise<ProbeResult> {
   const colon = address.lastIndexOf(':')
   const socket = connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)) })
--- a/request/crashes/src/readCrashRecords.ts
+++ b/request/crashes/src/readCrashRecords.ts
@@ -14,7 +14,7 @@
   ageMs: z.number().min(0),
 })
 
-/** The records that another machine sent or a file holds; what is none is left out. */
+/** Returns the valid crash records of a message or a file; skips invalid ones. */
 export function readCrashRecords(raw: unknown): CrashRecord[] {
   if (!Array.isArray(raw)) return []
   return raw.slice(0, MAX_RECORDS).flatMap((one) => {
--- a/request/crashes/src/readTrial.ts
+++ b/request/crashes/src/readTrial.ts
@@ -10,12 +10,12 @@
 })
 const trialEnd = trialRequest.extend({ endpoint: name.optional() })
 
-/** What an entry asks; undefined where it is no such question. */
+/** Parses an entry's request for a trial; undefined where it is malformed. */
 export function readTrialRequest(raw: unknown): TrialRequest | undefined {
   return trialRequest.safeParse(raw).data
 }
 
-/** What an entry tells of a run's end; undefined where it is no such word. */
+/** Parses an entry's report of the end of a run; undefined where it is malformed. */
 export function readTrialEnd(raw: unknown): TrialEnd | undefined {
   return trialEnd.safeParse(raw).data
 }
--- a/request/crashes/src/recentlyServed.ts
+++ b/request/crashes/src/recentlyServed.ts
@@ -1,17 +1,17 @@
 import type { Millis } from '@forkstage/types'
 import type { ContentDigest } from './contentDigest'
 
-/** A good answer says something of a content for so long: a release, or new weights, may change what it does. */
+/** How long a complete response is evidence: a release or new weights may change what a content does. */
 const RETENTION_MS: Millis = 60_000
-/** What many callers send comes again long before so many others have come. */
+/** A popular content is served again long before this many others have been. */
 const MAX_CONTENTS = 5_000
 
-/** Contents that got a whole answer lately, at this machine. */
+/** The contents that recently got a complete response at this machine. */
 export class RecentlyServed {
-  /** When each was served last, the longest ago first. */
+  /** When each content was last served; the oldest first. */
   private readonly at = new Map<ContentDigest, Millis>()
 
-  /** @param now a steady clock. */
+  /** @param now a monotonic clock. */
   constructor(private readonly now: () => Millis) {}
 
   record(content: ContentDigest): void {
--- a/request/crashes/src/trialScheduler.ts
+++ b/request/crashes/src/trialScheduler.ts
@@ -7,51 +7,51 @@
 
 /** Options of {@link TrialScheduler}. */
 export interface TrialSchedulerOptions {
-  /** A steady clock. */
+  /** A monotonic clock. */
   now: () => Millis
   random: Random
-  /** Plain endpoints of a service that are there to take work, and those of them that have not ended, as far as is known. */
+  /** The plain endpoints of a service that accept requests. */
   registered: (service: string) => InstanceId[]
   hasCrashed: (endpoint: InstanceId) => boolean
-  /** Whether a content must run isolated, by what this machine knows. */
+  /** Whether this machine knows that a content must run in isolation. */
   isSuspect: (content: ContentDigest) => boolean
-  /** Called when other endpoints are reservations free than before. */
+  /** Called when the set of reserved endpoints changes. */
   onChange: () => void
 }
 
-/** An endpoint that is reservations free of everything else. */
+/** An endpoint reserved for isolated trials. */
 interface Reservation {
   endpoint: InstanceId
-  /** From when nothing else should be at work there. */
+  /** When requests sent there before the reservation have completed. */
   freeAt: Millis
   askedAt: Millis
   running?: { content: ContentDigest; untilMs: Millis }
 }
 
-/** A run of a content beside which no other run of it may begin. */
+/** A run of a content during which no other run of that content may begin. */
 interface Turn {
   request: string
   untilMs: Millis
 }
 
 /**
- * Entries hear of it within some milliseconds, and what had been sent there before has ended: 98 in 100 plain answers of
- * the deployments played take less.
+ * Entries learn of a reservation within some milliseconds, and requests sent before it complete within this time: 98 in
+ * 100 plain responses take less.
  */
 const DRAIN_MS: Millis = 500
-/** An entry that has not told of an end by then may have ended itself. */
+/** An entry that has not reported the end of a run by then may have crashed itself. */
 const RUN_TIMEOUT_MS: Millis = 2_000
-/** Where nobody has asked for so long, the endpoint serves all again. */
+/** A reservation that nobody has asked for during this time is released. */
 const IDLE_RELEASE_MS: Millis = 1_500
-/** A poison request has crashed its endpoint by then, and that is confirmed. */
+/** Within this time a poison request has crashed its endpoint, and the crash is confirmed. */
 const TURN_TIMEOUT_MS: Millis = 1_000
 const TURN_RETRY_MS: Millis = 50
-/** While too few endpoints stand. */
+/** Retry delay while too few endpoints are alive. */
 const TOO_FEW_RETRY_MS: Millis = 1_000
 
 /**
- * Keeps one endpoint of a service free at a time, at the machine that leads, so that contents that may end their endpoints
- * run alone there, one after the other; and lets contents that may turn out to be such run once at a time.
+ * Runs at the leader. Reserves at most one endpoint for each service, where contents that may crash their endpoints run
+ * in isolation, one after the other. Also serializes the runs of a content that may turn out to be one of those.
  */
 export class TrialScheduler {
   private readonly reservations = new Map<string, Reservation>()
@@ -59,12 +59,12 @@
 
   constructor(private readonly options: TrialSchedulerOptions) {}
 
-  /** Endpoints that must get nothing else. */
+  /** Reserved endpoints, sorted; nothing else may be sent there. */
   get endpoints(): InstanceId[] {
     return [...this.reservations.values()].map(({ endpoint }) => endpoint).sort()
   }
 
-  /** Where a content may run now, or when to ask again. */
+  /** Returns where a content may run now, or when to ask again. */
   ask({ service, content, turnOf }: TrialRequest): TrialAnswer {
     const now = this.options.now()
     const turn = this.turns.get(content)
@@ -84,7 +84,7 @@
     return { type: 'granted', endpoint: known.endpoint, forMs: RUN_TIMEOUT_MS }
   }
 
-  /** A content's run has ended. */
+  /** Records that the run of a content has ended. */
   end({ service, content, endpoint, turnOf }: TrialEnd): void {
     if (turnOf !== undefined && this.turns.get(content)?.request === turnOf) this.turns.delete(content)
     const known = this.reservations.get(service)
@@ -92,7 +92,9 @@
     if (known.running?.content === content) known.running = undefined
   }
 
-  /** Lets go of endpoints that have ended or that nobody has asked for. Called again and again. */
+  /**
+   * Releases reservations that are idle or whose endpoint has crashed, and drops expired turns. Called periodically.
+   */
   sweepExpired(): void {
     const now = this.options.now()
     for (const [content, { untilMs }] of this.turns) if (now >= untilMs) this.turns.delete(content)
@@ -102,7 +104,7 @@
     }
   }
 
-  /** Another machine leads. */
+  /** Drops all state once another machine leads. */
   clear(): void {
     this.turns.clear()
     if (this.reservations.size === 0) return
@@ -110,7 +112,7 @@
     this.options.onChange()
   }
 
-  /** The endpoint that is reservations free for a service, if it still stands. */
+  /** Returns a service's reservation; releases it and returns undefined if its endpoint is gone or has crashed. */
   private reservation(service: string): Reservation | undefined {
     const known = this.reservations.get(service)
     if (known === undefined) return undefined
--- a/request/crashes/src/trialTypes.ts
+++ b/request/crashes/src/trialTypes.ts
@@ -2,35 +2,35 @@
 import type { Millis } from '@forkstage/types'
 import type { ContentDigest } from './contentDigest'
 
-/** The method by which an entry asks the leader for an endpoint where a content runs alone. */
+/** RPC method by which an entry asks the leader for an endpoint where a content runs in isolation. */
 export const TRIAL_REQUEST = 'crashes.trial'
-/** The method by which it tells that the run has ended there, however. */
+/** RPC method by which an entry reports that such a run has ended, whatever its outcome. */
 export const TRIAL_END = 'crashes.trial-end'
 
-/** What an entry asks. */
+/** An entry's request to run a content. */
 export interface TrialRequest {
   service: string
   content: ContentDigest
   /**
-   * The request that asks only for the next turn of its content, which then runs anywhere, and may run again in its turn;
-   * absent where it must run isolated.
+   * Id of a request that asks only for the next turn of its content: it may then run at any endpoint, and run again
+   * during its turn. Absent where the content must run in isolation.
    */
   turnOf?: string
-  /** What the entry knows of the content: a new leader may know less. */
+  /** The crash records that the entry has of the content; a new leader may have fewer. */
   records?: unknown
 }
 
-/** Where a content may run alone, or when to ask again. */
+/** The leader's answer to a {@link TrialRequest}. */
 export type TrialAnswer =
   | { type: 'granted'; endpoint: InstanceId; forMs: Millis }
   | { type: 'later'; retryAfterMs: Millis }
-  /** It is its turn, or the service has too few endpoints to keep one free. */
+  /** The turn is granted, or the service has too few endpoints to reserve one. */
   | { type: 'anywhere' }
-  /** It asked for a turn, and must run isolated by what the leader knows. */
+  /** A turn was requested, but the leader knows that the content must run in isolation. */
   | { type: 'isolate' }
 
-/** What an entry tells once its run has ended. */
+/** An entry's report that a run has ended. */
 export interface TrialEnd extends TrialRequest {
-  /** Where it ran isolated; absent at the end of a turn. */
+  /** Where the content ran in isolation; absent at the end of a turn. */
   endpoint?: InstanceId
 }
--- a/request/crashes/test/contentDigest.test.ts
+++ b/request/crashes/test/contentDigest.test.ts
@@ -10,7 +10,7 @@
   body: Buffer.from('a prompt'),
 }
 
-it('is the same for the same content, and differs where any part does', () => {
+it('is equal for equal content and differs if any part differs', () => {
   const others: Partial<RequestContent>[] = [
     { key: 'k2' },
     { key: undefined },
@@ -23,7 +23,7 @@
   for (const other of others) expect(contentDigest({ ...BASE, ...other })).not.toBe(contentDigest(BASE))
 })
 
-it('lets no part run into the next', () => {
+it('distinguishes contents whose parts only concatenate to the same text', () => {
   const text = fc.string({ maxLength: 6 })
   fc.assert(
     fc.property(text, text, text, text, (key, method, host, path) => {
--- a/request/crashes/test/crashDetector.test.ts
+++ b/request/crashes/test/crashDetector.test.ts
@@ -15,7 +15,7 @@
   sequence: 1,
 }
 
-/** A watch over one endpoint. */
+/** A detector that watches one endpoint. */
 class DetectorHarness {
   readonly clock = new ManualClock()
   readonly ended: [string, string[]][] = []
@@ -43,7 +43,7 @@
     this.detector.recordLoss({ request, content, endpoint: ENDPOINT, isBroken, afterMs })
   }
 
-  /** Lets time pass in small steps, so that what a try finds is taken in between. */
+  /** Advances time in small steps, so that probe results are processed in between. */
   async advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 10) {
       this.clock.advance(10)
@@ -54,7 +54,7 @@
 }
 
 describe('CrashDetector', () => {
-  it('names everything that was lost at an endpoint where nobody listens any more, once', async () => {
+  it('reports all requests lost at an endpoint that refuses connections, once', async () => {
     const harness = new DetectorHarness()
     harness.probeResult = 'refused'
     harness.loseAnswer('r1', 'a')
@@ -65,7 +65,7 @@
     expect(harness.probes).toBe(1)
   })
 
-  it('takes an answer that broke off at an endpoint that goes on listening for no end, after two looks', async () => {
+  it('reports no crash if the endpoint still listens at both probes', async () => {
     const harness = new DetectorHarness()
     harness.loseAnswer('r1', 'a')
     await harness.advance(5_000)
@@ -73,7 +73,7 @@
     expect(harness.probes).toBe(2)
   })
 
-  it('sees an endpoint that takes a moment to close its listener', async () => {
+  it('detects a crash at the second probe if the listener closes late', async () => {
     const harness = new DetectorHarness()
     harness.loseAnswer('r1', 'a')
     await harness.advance(200)
@@ -82,25 +82,28 @@
     expect(harness.ended).toEqual([['i-1', ['a early']]])
   })
 
-  it.each([true, false])('sees that another has registered at its address (broken: %s)', async (isBroken) => {
-    const harness = new DetectorHarness()
-    harness.probeResult = 'silent'
-    harness.loseAnswer('r1', 'a', isBroken)
-    await harness.advance(3_000)
-    expect(harness.ended).toEqual([])
-    harness.isReplaced = true
-    harness.detector.checkSuspected()
-    expect(harness.ended).toEqual([['i-1', [isBroken ? 'a early' : 'a late']]])
-  })
+  it.each([true, false])(
+    'detects a crash when another process registers at the address (broken: %s)',
+    async (isBroken) => {
+      const harness = new DetectorHarness()
+      harness.probeResult = 'silent'
+      harness.loseAnswer('r1', 'a', isBroken)
+      await harness.advance(3_000)
+      expect(harness.ended).toEqual([])
+      harness.isReplaced = true
+      harness.detector.checkSuspected()
+      expect(harness.ended).toEqual([['i-1', [isBroken ? 'a early' : 'a late']]])
+    },
+  )
 
-  it('opens no connection for what was given up here', async () => {
+  it('does not probe after a timeout on this machine', async () => {
     const harness = new DetectorHarness()
     harness.loseAnswer('r1', 'a', false)
     await harness.advance(2_000)
     expect(harness.probes).toBe(0)
   })
 
-  it('forgets a loss when it is long ago', async () => {
+  it('drops a loss after its expiry', async () => {
     const harness = new DetectorHarness()
     harness.loseAnswer('r1', 'a')
     await harness.advance(17_000)
@@ -110,7 +113,7 @@
   })
 
   it.each([undefined, { ...ENDPOINT, state: 'draining' as const }])(
-    'takes the end of one that has said that it leaves for none (%#)',
+    'reports no crash of an endpoint that has left or is draining (%#)',
     async (known) => {
       const harness = new DetectorHarness()
       harness.probeResult = 'refused'
@@ -123,9 +126,9 @@
     },
   )
 
-  // Guards against repeats that never leave, or leave before the first try.
+  // Guards against retries that wait forever or leave before the first probe.
   it.each(['listens', 'refused', 'silent'] as const)(
-    'says that a loss is decided once a try has shown that it %s',
+    'confirms or refutes a loss once a probe has shown that the address is: %s',
     async (found) => {
       const harness = new DetectorHarness()
       harness.probeResult = found
@@ -141,7 +144,7 @@
     },
   )
 
-  it('lets those go on who wait for an endpoint that leaves or is replaced meanwhile', async () => {
+  it('resolves waiting requests when the endpoint leaves or is replaced', async () => {
     for (const change of [(harness: DetectorHarness) => (harness.known = undefined), replace]) {
       const harness = new DetectorHarness()
       harness.loseAnswer('r1', 'a')
--- a/request/crashes/test/crashReporter.test.ts
+++ b/request/crashes/test/crashReporter.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@forkstage/clock'
 import { CrashTracker, CrashReporter, type CrashRecord } from '../src'
 
-/** An entry before a leader that answers or does not. */
+/** A reporter with a leader that can be made not to answer. */
 class ReporterHarness {
   readonly clock = new ManualClock()
   readonly tracker = new CrashTracker({ now: () => this.clock.now(), ends: 3, keepMs: 60_000 })
@@ -36,7 +36,7 @@
 }
 
 describe('CrashReporter', () => {
-  it('tells the leader at once, and nothing twice', async () => {
+  it('reports a crash to the leader at once and only once', async () => {
     const harness = new ReporterHarness()
     harness.crash('l1', 'a')
     await harness.advance(3_000)
@@ -44,7 +44,7 @@
     expect(harness.calls).toBe(1)
   })
 
-  it('tells until it is answered, with what has come meanwhile', async () => {
+  it('retries until the leader answers, and adds records that arrived meanwhile', async () => {
     const harness = new ReporterHarness()
     harness.answers = false
     harness.crash('l1', 'a')
@@ -59,7 +59,7 @@
     ])
   })
 
-  it('tells each new leader once more what this entry has seen', async () => {
+  it('reports the crashes seen by this entry again to each new leader', async () => {
     const harness = new ReporterHarness()
     harness.crash('l1', 'a')
     await harness.advance(200)
@@ -71,7 +71,7 @@
     expect(harness.received.map(({ content }) => content)).toEqual(['a', 'a'])
   })
 
-  it('begins nothing more once it has stopped', async () => {
+  it('sends no more reports once stopped', async () => {
     const harness = new ReporterHarness()
     harness.answers = false
     harness.crash('l1', 'a')
--- a/request/crashes/test/crashSimulation.ts
+++ b/request/crashes/test/crashSimulation.ts
@@ -14,40 +14,40 @@
 const ENDS = 3
 const KEEP_MS = 3_600_000
 const WORK_MS = 60
-/** How long an endpoint is down after its end. */
+/** How long an endpoint is down after a crash. */
 const DOWN_MS = 1_500
-/** From the beginning of a deadly request to the end of its endpoint. */
+/** From the start of a poison request to the crash of its endpoint. */
 const CRASH_AFTER_MS = [20, 120] as const
-/** From the end of an endpoint to an entry's proof of it. */
+/** From a crash to its confirmation at an entry. */
 const CONFIRM_AFTER_MS = 60
-/** From an entry to the leader, and from there to the entries. */
+/** One-way delay between an entry and the leader. */
 const DELAY_MS = [2, 12] as const
-/** How long an entry waits for a standing endpoint. */
+/** How long an entry waits for an endpoint that is up. */
 const WAIT_MS = 150
-/** How often what waits looks again. */
+/** Poll interval of waiting requests. */
 const POLL_MS = 10
 const CALLER_RETRY_MS = 400
 const ATTEMPTS = 2
-/** The longest that an entry waits for an endpoint to be kept free. */
+/** The longest that an entry waits for an isolated trial or a turn. */
 const MAX_WAIT_MS = 1_000
-/** A deadly content that reaches an endpoint so long after its third end is a broken promise. */
+/** A poison request must not reach an endpoint later than this after its content's third crash. */
 const LATE_MS = 1_000
 
-/** Entries, a leader and plain endpoints on one clock; some contents end each endpoint that begins to run them. */
+/** Simulates entries, a leader and plain endpoints on one clock. Poison contents crash each endpoint that runs them. */
 export class CrashSimulation {
   readonly clock = new ManualClock()
   readonly poisonContents = new Map<string, Poison>()
   readonly refusedHarmless = new Set<string>()
   served = 0
   harmlessCount = 0
-  /** How often innocent callers were refused. */
+  /** How often harmless requests were refused. */
   refusedTimes = 0
   private readonly random
   private readonly endpoints: Endpoint[]
   private readonly trackers: CrashTracker[]
   private leader: CrashTracker
   private scheduler: TrialScheduler
-  /** Endpoints that each entry knows to be kept free. */
+  /** The reserved endpoints known to each entry. */
   private readonly reserved: Set<string>[]
   private count = 0
   private requests = 0
@@ -67,7 +67,7 @@
     this.reserved = this.trackers.map(() => new Set())
     every(this.clock, 100, () => this.scheduler.sweepExpired())
     for (let kind = 0; kind < kinds; kind += 1)
-      this.poisonContents.set(`deadly${kind}`, { crashedAt: [], arrivedAt: [] })
+      this.poisonContents.set(`poison${kind}`, { crashedAt: [], arrivedAt: [] })
   }
 
   run(forMs: number): void {
@@ -84,17 +84,17 @@
     const { poisonFromMs } = this.options
     repeat(poisonPerSecond, () => this.call(names[Math.floor(this.random() * names.length)]!), poisonFromMs)
     const { popular = Infinity } = this.options
-    repeat(harmlessPerSecond, () => this.call(`innocent${(this.count += 1) % popular}`))
+    repeat(harmlessPerSecond, () => this.call(`harmless${(this.count += 1) % popular}`))
     if (leaderLostEveryMs < Infinity) repeat(1_000 / leaderLostEveryMs, () => this.loseLeader())
     this.clock.advance(forMs + 10_000)
   }
 
-  /** The most ends that a deadly content had. */
+  /** The most crashes of any poison content. */
   get mostCrashes(): number {
     return Math.max(...[...this.poisonContents.values()].map(({ crashedAt }) => crashedAt.length))
   }
 
-  /** Deadly requests that reached an endpoint later than a second after their content's third end. */
+  /** Poison requests that reached an endpoint more than {@link LATE_MS} after their content's third crash. */
   get late(): number {
     const each = [...this.poisonContents.values()].map(({ crashedAt, arrivedAt }) => {
       const third = crashedAt[ENDS - 1]
@@ -237,24 +237,24 @@
     if (records.length === 0) return
     const { leader } = this
     this.clock.after(this.between(DELAY_MS), () => {
-      // Told again to the next leader.
+      // Reported again to the next leader.
       if (leader !== this.leader) return this.report(entry, records)
       leader.merge(records)
       for (const one of this.trackers) this.clock.after(this.between(DELAY_MS), () => void one.merge(records))
     })
   }
 
-  /** Asks the leader where it may run alone, and waits a while for that, as entries do. */
+  /** Asks the leader for an isolated trial and waits for it up to a limit, as entries do. */
   private runIsolated(request: RelayedRequest): void {
     this.ask(request, undefined, (answer, scheduler) => {
       if (answer.type === 'granted') return this.runAt(request, answer.endpoint, scheduler)
-      if (answer.type !== 'later') throw new Error('the world has enough endpoints')
+      if (answer.type !== 'later') throw new Error('the simulation has enough endpoints')
       if (request.waitedMs + answer.retryAfterMs > MAX_WAIT_MS) return request.done('no room')
       this.relayLater(request, answer.retryAfterMs)
     })
   }
 
-  /** Waits for the turn of its content, and then runs all the same. */
+  /** Waits for the turn of the request's content up to a limit, and then runs without one. */
   private awaitTurn(request: RelayedRequest, waitedMs = 0): void {
     this.ask(request, request.id, (answer, scheduler) => {
       request.turn = scheduler
@@ -303,7 +303,7 @@
     })
   }
 
-  /** The next turn knows of what was lost in this one. */
+  /** Reports the losses of this turn before it ends, so that the next turn sees them. */
   private endTurn({ entry, id, content, turn, lost }: RelayedRequest): void {
     if (turn === undefined) return
     const tracker = this.trackers[entry]!
@@ -330,7 +330,7 @@
   }
 
   private propagateReserved(scheduler: TrialScheduler): void {
-    // Watch answers tell what is so when they are made, each after the one before it.
+    // Carries the state at delivery, as watch answers do, so that a late one cannot bring an older state.
     this.trackers.forEach((_, entry) =>
       this.clock.after(this.between(DELAY_MS), () => {
         if (scheduler === this.scheduler) this.reserved[entry] = new Set(scheduler.endpoints)
--- a/request/crashes/test/crashTracker.test.ts
+++ b/request/crashes/test/crashTracker.test.ts
@@ -13,7 +13,7 @@
 const late = (...contents: string[]) => contents.map((content) => ({ content, isEarly: false }))
 
 describe('CrashTracker', () => {
-  it('refuses a content that was at work at three lives that ended, not at two', () => {
+  it('refuses a content after crashes of three incarnations, not of two', () => {
     const { tracker } = newTracker()
     tracker.recordCrash('l1', early('bad'))
     tracker.recordCrash('l2', early('bad'))
@@ -24,16 +24,16 @@
     expect(tracker.countRefused()).toBe(1)
   })
 
-  it('puts an end down to whatever was at most ends of all that were there', () => {
+  it('blames a crash on the content with the most crashes of those that were running', () => {
     const { tracker } = newTracker()
     tracker.recordCrash('l0', early('bad'))
-    // Sent anew after each end, and each time to where the bad one came next.
+    // Retried after each crash, each time at the endpoint that the bad content reaches next.
     for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad', 'unlucky'))
     expect(tracker.refusalByBlame('bad')).toBeDefined()
     expect(tracker.refusalByBlame('unlucky')).toBeUndefined()
   })
 
-  it('counts the ends of what was to run alone whoever else was there, until it is served or they lapse', () => {
+  it('counts crashes beside other contents in refusalByCrashCount, until the content is served or they expire', () => {
     const { tracker, time } = newTracker()
     tracker.recordCrash('l0', early('bad'))
     for (const incarnation of ['l1', 'l2']) tracker.recordCrash(incarnation, early('bad', 'other'))
@@ -49,7 +49,7 @@
     expect(tracker.refusalByCrashCount('other')).toBeUndefined()
   })
 
-  it('holds back what was alone at no end for a minute, then has it run alone, which proves it or clears it', () => {
+  it('refuses a content that never ran alone for a minute, then isolates it, which proves or clears it', () => {
     const time = { now: 0 }
     const tracker = new CrashTracker({ now: () => time.now, ends: 3, keepMs: 3_600_000 })
     for (const incarnation of ['l1', 'l2', 'l3'])
@@ -66,7 +66,7 @@
     expect(tracker.refusalByCrashCount('two')).toBeUndefined()
   })
 
-  it('counts only ends at which it was alone of what gets good answers, before or after, here or elsewhere', () => {
+  it('counts only crashes at which it ran alone for a content that is served, before or after, at any machine', () => {
     const { tracker, time } = newTracker()
     tracker.recordServed('liked')
     time.now = 60_000
@@ -82,7 +82,7 @@
     expect(tracker.refusalByCrashCount('liked')).toMatchObject({ ends: 3 })
   })
 
-  it('does not go by answers of more than a minute ago', () => {
+  it('ignores responses that are more than a minute old', () => {
     const { tracker, time } = newTracker()
     tracker.recordServed('liked')
     time.now = 60_001
@@ -94,7 +94,7 @@
     expect(elsewhere.refusalByCrashCount('liked')).toBeUndefined()
   })
 
-  it('remembers a bounded number of what was served', () => {
+  it('remembers a bounded number of served contents', () => {
     const { tracker } = newTracker()
     tracker.recordServed('first')
     for (let count = 0; count < 5_000; count += 1) tracker.recordServed(`other ${count}`)
@@ -104,7 +104,7 @@
     expect(tracker.refusalByCrashCount('other 4999')).toBeUndefined()
   })
 
-  it('puts an end down to what had just begun, among equals', () => {
+  it('blames the content that had just begun, if all have equally many crashes', () => {
     const { tracker } = newTracker()
     for (const incarnation of ['l1', 'l2', 'l3'])
       tracker.recordCrash(incarnation, [...early('bad'), ...late('running'), ...late('other')])
@@ -112,7 +112,7 @@
     expect(tracker.refusalByBlame('running')).toBeUndefined()
   })
 
-  it('blames one that ends its endpoints only after a while too, once it was at more ends than any other', () => {
+  it('blames a content that crashes its endpoints late, once it has the most crashes', () => {
     const { tracker } = newTracker()
     for (const number of [1, 2, 3])
       tracker.recordCrash(`l${number}`, [...late('slow'), ...early(`new${number}`)])
@@ -120,7 +120,7 @@
     expect(tracker.countRefused()).toBe(1)
   })
 
-  it('holds nothing against a content from before a whole answer, and others are blamed for what is left', () => {
+  it('clears a content of its crashes before a complete response, and blames others for them', () => {
     const { tracker } = newTracker()
     for (const incarnation of ['l1', 'l2']) tracker.recordCrash(incarnation, early('good', 'bad'))
     expect(tracker.recordServed('good')).toHaveLength(1)
@@ -131,7 +131,7 @@
     expect(tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
   })
 
-  it('lets a refused content through again when the last end is long enough ago, by the clock of who says so', () => {
+  it('stops refusing a content after keepMs since the last crash, by the age that the reporter gives', () => {
     const { tracker, time } = newTracker()
     for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad'))
     time.now += KEEP_MS / 2
@@ -142,7 +142,7 @@
     expect(other.tracker.refusalByBlame('bad')).toBeUndefined()
   })
 
-  it('passes on what changed after a position, and nothing twice', () => {
+  it('returns the changes since a position, each once', () => {
     const { tracker } = newTracker()
     tracker.recordCrash('l1', early('a', 'b'))
     const { position } = tracker
@@ -153,7 +153,7 @@
     expect(tracker.merge(tracker.changesSince(0))).toEqual([])
   })
 
-  it('stays bounded, and keeps what it refuses', () => {
+  it('stays bounded and keeps refused contents', () => {
     const { tracker } = newTracker()
     for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad'))
     for (let number = 0; number < 2_500; number += 1) tracker.recordCrash(`x${number}`, early(`c${number}`))
@@ -161,7 +161,7 @@
     expect(tracker.refusalByBlame('bad')).toBeDefined()
   })
 
-  it('comes to the same whatever the order in which machines hear, and however often', () => {
+  it('converges whatever the order and number of merges', () => {
     const name = fc.constantFrom('a', 'b', 'c')
     const incarnation = fc.constantFrom('l1', 'l2', 'l3', 'l4')
     const record = fc.record({
@@ -185,7 +185,7 @@
 })
 
 describe('readCrashRecords', () => {
-  it('takes what is a record and leaves out everything else, whatever it is', () => {
+  it('returns valid records and skips everything else', () => {
     const good: CrashRecord = { content: 'a', ended: ['l'], early: [], served: [], ageMs: 1 }
     expect(readCrashRecords([good, { ...good, ageMs: '1' }, null, { content: 'a' }])).toEqual([good])
     fc.assert(
--- a/request/crashes/test/decideSending.test.ts
+++ b/request/crashes/test/decideSending.test.ts
@@ -5,7 +5,7 @@
   return new CrashTracker({ now: () => 0, ends: 3, keepMs: 60_000 })
 }
 
-/** Notes that a content was at work at so many endpoints that crashed, each beside another. */
+/** Records this many crashes of a content, each with one other content running. */
 function crash(tracker: CrashTracker, content: string, times: number): void {
   for (let time = 1; time <= times; time += 1)
     tracker.recordCrash(
@@ -19,7 +19,7 @@
 }
 
 describe('decideSending', () => {
-  it('isolates what lacks one crash to be refused, and refuses it after that', () => {
+  it('isolates a content that is one crash short of refusal, and refuses it after that crash', () => {
     const tracker = newTracker()
     expect(decide(tracker)).toBe('send')
     crash(tracker, 'a', 1)
@@ -30,8 +30,9 @@
     expect(decide(tracker)).toBe('refuse')
   })
 
-  // Guards against a third crash beside others, which proves nothing, by the repeat of a request whose second is not confirmed yet.
-  it('waits for a loss to be confirmed where it would decide, and only there', () => {
+  // Guards against a third crash beside other requests, which proves nothing, by the retry of a request whose second
+  // crash is not confirmed yet.
+  it('awaits the confirmation of a loss only if it would decide', () => {
     const tracker = newTracker()
     expect(decide(tracker, 1)).toBe('serialize')
     expect(decide(tracker, 2)).toBe('await-confirmation')
@@ -43,15 +44,15 @@
     expect(decide(tracker, 1)).toBe('refuse')
   })
 
-  it('waits for no loss of a request whose content was served since', () => {
+  it('does not await a loss if the content was served after its crashes', () => {
     const tracker = newTracker()
     crash(tracker, 'a', 2)
     tracker.recordServed('a')
     expect(decide(tracker, 1)).toBe('send')
   })
 
-  // Guards against runs of one content side by side that come to three crashes before the first is confirmed.
-  it('lets contents that nobody was served lately run once at a time while endpoints of their service crash', () => {
+  // Guards against parallel runs of one content that reach three crashes before the first is confirmed.
+  it('serializes contents that were not served recently while endpoints of their service crash', () => {
     const time = { now: 0 }
     const tracker = new CrashTracker({ now: () => time.now, ends: 3, keepMs: 60_000 })
     const crashOne = (incarnation: string, service: string) =>
--- a/request/crashes/test/manyPoisonRequestsLong.test.ts
+++ b/request/crashes/test/manyPoisonRequestsLong.test.ts
@@ -1,5 +1,6 @@
-// Story: as in manyDeadly.test.ts, over minutes. What has three ends, each beside another that explains it, is held back for a minute and
-// then runs alone: a guilty one comes to one end more, an innocent one that nobody had been served before has its way back.
+// As manyPoisonRequests.test.ts, but over minutes. A content with three crashes that other contents explain is refused
+// for a minute and then runs in isolation. A poison content gets one more crash there; a harmless one that was never
+// served before is cleared.
 import { expect, it } from 'vitest'
 import { CrashSimulation, type SimulationOptions } from './crashSimulation'
 
@@ -11,17 +12,17 @@
   return simulations
 }
 
-it('over minutes, contents that end their endpoints reach none later than a second after their third end', () => {
+it('over minutes, poison contents reach no endpoint later than a second after their third crash', () => {
   const simulations = simulate({ kinds: 20 })
   expect(simulations.reduce((sum, { late }) => sum + late, 0)).toBe(0)
 })
 
-it('over minutes, what many callers ask for is refused to nobody, also where nobody was served before', () => {
+it('over minutes, popular contents are never refused, even if they were not served before', () => {
   const simulations = simulate({ kinds: 20, popular: 10 })
   expect(simulations.reduce((sum, { refusedTimes }) => sum + refusedTimes, 0)).toBe(0)
 })
 
-it('over minutes, no content that ends its endpoints reaches more than three after a few seconds from its third end', () => {
+it('over minutes, no poison content reaches more than three endpoints from 4 s after its third crash', () => {
   for (const simulation of [
     ...simulate({ kinds: 20 }),
     ...simulate({ kinds: 20, poisonPerSecond: 20, leaderLostEveryMs: 3_000 }),
--- a/request/crashes/test/simulationParts.ts
+++ b/request/crashes/test/simulationParts.ts
@@ -2,21 +2,21 @@
 
 export type Outcome = 'served' | 'refused' | 'lost' | 'no room'
 
-/** A request on its way through an entry. */
+/** A request that an entry relays. */
 export interface RelayedRequest {
   id: string
   entry: number
   content: string
-  /** Names of endpoints that it was sent to. */
+  /** Names of the endpoints that it was sent to. */
   tried: Set<string>
-  /** Sendings that are left. */
+  /** Attempts left. */
   attempts: number
   waitedMs: number
-  /** Lives of endpoints that it was lost with. */
+  /** Incarnations that lost the request. */
   lost: string[]
-  /** Whom it asked for the turn of its content; absent where it has not. */
+  /** The scheduler that was asked for the turn of its content; absent before that. */
   turn?: TrialScheduler
-  /** Whether it may use that for its next sending. */
+  /** Whether its next attempt may use the turn. */
   hasTurn: boolean
   done: (outcome: Outcome) => void
 }
@@ -34,11 +34,11 @@
   running: Set<Running>
 }
 
-/** What became of a deadly content. */
+/** A content that crashes the endpoints that run it. */
 export interface Poison {
-  /** When endpoints ended under it. */
+  /** When endpoints crashed under it. */
   crashedAt: number[]
-  /** When it reached endpoints. */
+  /** When its requests reached endpoints. */
   arrivedAt: number[]
 }
 
@@ -47,15 +47,15 @@
   kinds: number
   endpoints?: number
   entries?: number
-  /** Sendings of deadly contents a second, of all kinds together. */
+  /** Requests per second with poison contents, all kinds together. */
   poisonPerSecond?: number
   harmlessPerSecond?: number
-  /** How often the leader is lost, with what it had not passed on. */
+  /** Mean time between losses of the leader, which lose what it has not forwarded. */
   leaderLostEveryMs?: number
-  /** When the first deadly contents are sent. */
+  /** When the first poison request is sent. */
   poisonFromMs?: number
-  /** How many contents the innocent callers share; each has its own where left out. */
+  /** Number of contents that harmless callers share; each request has its own where absent. */
   popular?: number
-  /** The share of callers that come again at once, and twice as often. */
+  /** Share of callers that retry at once, and twice as often. */
   impatientShare?: number
 }
--- a/request/crashes/test/trialScheduler.test.ts
+++ b/request/crashes/test/trialScheduler.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('TrialScheduler', () => {
-  it('keeps one endpoint free, and lets one content run there at a time once it is empty', () => {
+  it('reserves one endpoint and runs one content at a time there once it has drained', () => {
     const { scheduler, time, reserved } = newScheduler()
     expect(scheduler.ask(ASK)).toEqual({ type: 'later', retryAfterMs: 500 })
     expect(reserved).toEqual([['p1']])
@@ -36,7 +36,7 @@
     expect(scheduler.ask(OTHER)).toMatchObject({ type: 'granted' })
   })
 
-  it('takes a run for over that nobody has told of for two seconds', () => {
+  it('ends a run without a report after two seconds', () => {
     const { scheduler, time } = newScheduler()
     scheduler.ask(ASK)
     time.now = 500
@@ -47,7 +47,7 @@
     expect(scheduler.ask(OTHER)).toMatchObject({ type: 'granted' })
   })
 
-  it('takes another endpoint where that one has ended, and lets it go where nobody asks', () => {
+  it('reserves another endpoint after a crash, and releases it once idle', () => {
     const { scheduler, time, ended, reserved } = newScheduler()
     scheduler.ask(ASK)
     ended.add('p1')
@@ -61,18 +61,18 @@
     expect(reserved.at(-1)).toEqual([])
   })
 
-  it('keeps none free while two others would not stand beside it', () => {
+  it('reserves none while fewer than two other endpoints are alive', () => {
     const { scheduler, ended } = newScheduler()
     ended.add('p1').add('p2')
     expect(scheduler.ask(ASK)).toEqual({ type: 'later', retryAfterMs: 1_000 })
     expect(scheduler.endpoints).toEqual([])
   })
 
-  it('lets a content run anywhere whose service has too few endpoints for that', () => {
+  it('lets a content run anywhere if its service has too few endpoints', () => {
     expect(newScheduler(['p1', 'p2']).scheduler.ask(ASK)).toEqual({ type: 'anywhere' })
   })
 
-  it('lets all go when another machine leads', () => {
+  it('releases all reservations when another machine leads', () => {
     const { scheduler, reserved } = newScheduler()
     scheduler.ask(ASK)
     scheduler.clear()
@@ -80,8 +80,8 @@
     expect(reserved).toEqual([['p1'], []])
   })
 
-  // Guards against runs of one content side by side that come to three crashes before the first is confirmed.
-  it('gives one request at a time the turn of a content, until that ends or takes too long', () => {
+  // Guards against parallel runs of one content that reach three crashes before the first is confirmed.
+  it('grants the turn of a content to one request at a time, until it ends or times out', () => {
     const { scheduler, time } = newScheduler()
     const [first, second] = [
       { ...ASK, turnOf: 'r1' },
@@ -102,7 +102,7 @@
     expect(scheduler.endpoints).toEqual([])
   })
 
-  it('reserves no endpoint for a content while another run of it is under way, and gives no turn to what must be isolated', () => {
+  it('reserves no endpoint for a content during its turn, and grants no turn to a content that must be isolated', () => {
     const { scheduler, suspects } = newScheduler()
     scheduler.ask({ ...ASK, turnOf: 'r1' })
     expect(scheduler.ask(ASK)).toEqual({ type: 'later', retryAfterMs: 50 })
