--- a/request/limits/src/index.ts
+++ b/request/limits/src/index.ts
@@ -1,4 +1,4 @@
-/** Holds all entries together to the rates that endpoints name. */
+/** Enforces the rate limits that endpoints advertise across all entries. */
 export { leaderlessShare } from './leaderlessShare'
 export type { LimitTolerance } from './leaderlessShare'
 export { PermitClient } from './permitClient'
--- a/request/limits/src/leaderlessShare.ts
+++ b/request/limits/src/leaderlessShare.ts
@@ -2,20 +2,21 @@
 import { PLACED_SEND_LIMIT_MS } from './limitTypes'
 import { bucketCapacity } from './tokenBucket'
 
-/** How far all entries together may exceed a named rate, since they do not know of each other at once. */
+/** How far all entries together may exceed an advertised rate, because they learn of each other with a delay. */
 export interface LimitTolerance {
   windowMs: Millis
-  /** As a share of what the rate allows in a window. */
+  /** As a share of the requests that the rate allows in a window. */
   over: number
-  /** Requests beside that. */
+  /** Requests on top of that share. */
   slack: number
 }
 
 const SECOND_MS = 1_000
 
 /**
- * Requests that all entries without a leader's word may send together to an endpoint in any window: what the tolerance
- * leaves beside all that leaders may have permitted others, some of it a while before it leaves.
+ * Returns how many requests all entries that cannot reach the leader may together send to an endpoint in any window:
+ * what is tolerated minus what the leader may have granted to others. A request that the leader placed counts at its
+ * placement and may be sent up to `PLACED_SEND_LIMIT_MS` later.
  */
 export function leaderlessShare(perSecond: number, { windowMs, over, slack }: LimitTolerance): number {
   const most = (perSecond * windowMs * (1 + over)) / SECOND_MS + slack
--- a/request/limits/src/permitAllocator.ts
+++ b/request/limits/src/permitAllocator.ts
@@ -8,15 +8,18 @@
 /** Options of {@link PermitAllocator}. */
 export interface PermitAllocatorOptions {
   clock: Clock
-  /** The rates as this machine believes them; reports add to it. */
+  /** The rates known to this machine; reports are merged into it. */
   rates: RateTable
-  /** Which term this machine leads in: a new one begins with empty buckets, beside what the leader before let go. */
+  /**
+   * The term in which this machine leads. A new term starts with empty buckets, because the previous leader may have
+   * granted everything.
+   */
   term: () => number
 }
 
 /**
- * Divides named rates between entries, at the machine that leads: a request counts when it is permitted, so that whatever
- * becomes of an entry or a message no more can leave.
+ * Divides advertised rates between entries. Runs at the leader. A request counts when it is permitted, so that the loss
+ * of an entry or a message cannot lead to more requests.
  */
 export class PermitAllocator {
   private term = -1
@@ -24,7 +27,7 @@
 
   constructor(private readonly options: PermitAllocatorOptions) {}
 
-  /** Takes what an entry has heard and could send, and answers what it may. */
+  /** Merges the rates that an entry reports. Returns the permits granted to it. */
   allocate({ endpoints }: LimitReport): LimitAnswer {
     const { rates } = this.options
     const reports = Object.entries(endpoints)
@@ -36,25 +39,25 @@
     return { grants: Object.fromEntries(grants) }
   }
 
-  /** Whether an endpoint names a rate. */
+  /** Whether an endpoint advertises a rate. */
   isLimited(id: InstanceId): boolean {
     return this.options.rates.rateOf(id) !== undefined
   }
 
-  /** Whether a request that is placed here may go to an endpoint now. */
+  /** Whether a request placed by this machine may be sent to an endpoint now. */
   mayTake(id: InstanceId): boolean {
     const perSecond = this.options.rates.rateOf(id)
     return perSecond === undefined || this.bucketOf(id).available(perSecond, this.options.clock.now()) >= 1
   }
 
-  /** Counts a request that is placed here; says whether its endpoint names a rate. */
+  /** Counts a request placed by this machine. Returns whether its endpoint advertises a rate. */
   spend(id: InstanceId): boolean {
     if (!this.isLimited(id)) return false
     this.bucketOf(id).take(1)
     return true
   }
 
-  /** Forgets endpoints that name no rate any more, or are not registered. Called again and again. */
+  /** Drops endpoints that no longer advertise a rate or are not registered. Called periodically. */
   sweep(isRegistered: (id: InstanceId) => boolean): void {
     this.options.rates.sweep(isRegistered)
     for (const id of this.buckets.keys()) if (!this.isLimited(id)) this.buckets.delete(id)
--- a/request/limits/src/permitClient.ts
+++ b/request/limits/src/permitClient.ts
@@ -10,34 +10,37 @@
   entry: string
   clock: Clock
   rates: RateTable
-  /** Tells the leader; undefined where it did not answer in time. */
+  /** Sends a report to the leader; resolves to undefined if the leader does not answer in time. */
   report: (report: LimitReport) => Promise<LimitAnswer | undefined>
-  /** The machine that leads, as far as it is known. */
+  /** The current leader, as far as it is known. */
   leader: () => string | undefined
   reportEveryMs: Millis
 }
 
 const REPORT_CHECK_MS: Millis = 50
 /**
- * A request without a permit has the leader asked at once. Where it had fewer than were wanted, another report is as likely
- * to bring one as any other entry's: it is asked again after this time.
+ * A request without a permit triggers a report at once. If the leader granted fewer permits than were wanted, any
+ * entry's next report may get the next one, so this entry waits this long before it reports again.
  */
 const SHORTAGE_RETRY_MS: Millis = 250
-/** A leader that has not answered for so long, two reports, counts as out of reach. */
+/** The leader counts as unreachable after this time without an answer: two reports. */
 const LEADER_TIMEOUT_MS: Millis = 1_000
 
-/** Keeps an entry in permits for endpoints that name rates: tells the leader what it hears, and what it could send. */
+/**
+ * Obtains permits for endpoints that advertise rates: reports the advertised rates and the entry's demand to the
+ * leader, and holds the permits that it grants.
+ */
 export class PermitClient {
   private readonly pool = new PermitPool()
-  /** Requests since the last report that could have gone to an endpoint. */
+  /** Requests since the last report that could have been sent to each endpoint. */
   private wanted = new Map<InstanceId, number>()
   private poolFilledAt: Millis = -Infinity
   private reportedAt: Millis = -Infinity
   private contactAt: Millis = -Infinity
-  /** What the book had counted as news at the last report. */
+  /** The rate table's change count at the last report. */
   private reportedChangeCount = 0
   private isReporting = false
-  /** Whether the leader had fewer permits than were wanted. */
+  /** Whether the leader last granted fewer permits than were wanted. */
   private hasShortage = false
   private cancelReportCheck: CancelTimer = () => undefined
 
@@ -51,18 +54,18 @@
     this.cancelReportCheck()
   }
 
-  /** When the leader was asked whose word came last; -Infinity where none came. */
+  /** When the last report that the leader answered was sent; -Infinity if none was. */
   get leaderContactAt(): Millis {
     return this.contactAt
   }
 
-  /** Whether the leader's permits are what counts; otherwise this entry is alone. */
+  /** Whether the leader has answered recently, so that only its permits count. */
   isLeaderReachable(): boolean {
     const { clock } = this.options
     return clock.now() - this.contactAt < LEADER_TIMEOUT_MS && this.contactAt >= clock.suspendedAt()
   }
 
-  /** A request could go to an endpoint that names a rate. */
+  /** Records that a request could be sent to an endpoint that advertises a rate. */
   recordDemand(id: InstanceId): void {
     this.wanted.set(id, (this.wanted.get(id) ?? 0) + 1)
     if (!this.hasPermit(id)) this.reportSoon()
@@ -72,7 +75,7 @@
     return this.currentPool().count(id, this.options.clock.now()) > 0
   }
 
-  /** Uses a permit; says whether there was one. */
+  /** Uses a permit. Returns whether there was one. */
   usePermit(id: InstanceId): boolean {
     return this.currentPool().use(id, this.options.clock.now())
   }
@@ -94,14 +97,14 @@
 
   private reportIfDue(): void {
     const { clock, rates, reportEveryMs } = this.options
-    // Whoever places model requests counts none of them until it has heard.
+    // The leader does not count the model requests that it places there until it knows the rate.
     const isDue =
       rates.changeCount !== this.reportedChangeCount || clock.now() - this.reportedAt >= reportEveryMs
     if (isDue) void this.report()
     else if (this.hasUnmetDemand()) this.reportSoon()
   }
 
-  /** Tells the leader of all endpoints that have spoken of a rate lately. Never rejects. */
+  /** Reports all endpoints that advertise a rate, or did so recently, to the leader. Never rejects. */
   private async report(): Promise<void> {
     const { clock, rates, leader, entry, report } = this.options
     if (this.isReporting || leader() === undefined) return
@@ -125,7 +128,10 @@
     if (this.hasUnmetDemand()) this.reportSoon()
   }
 
-  /** What was asked for lately will be so until the next report; what is there already is not needed again. */
+  /**
+   * Returns the permits to ask for and those to return. Demand since the last report predicts the demand until the next
+   * one; permits already held are subtracted.
+   */
   private demandOf(id: InstanceId, now: Millis): { wanted: number; returned: number } {
     const returned = this.currentPool().takeExpired(id, now)
     const wanted = (this.wanted.get(id) ?? 0) - this.currentPool().count(id, now)
@@ -135,7 +141,7 @@
   private applyGrants(grants: NonNullable<LimitAnswer['grants']>, askedAt: Millis): void {
     const { clock, rates } = this.options
     for (const [id, { word }] of Object.entries(grants)) rates.merge(id, word)
-    // What was promised before a suspension may have run out meanwhile.
+    // Permits granted before a suspension may have expired during it.
     if (askedAt < clock.suspendedAt()) return
     this.contactAt = askedAt
     const pool = this.currentPool()
--- a/request/limits/src/permitPool.ts
+++ b/request/limits/src/permitPool.ts
@@ -1,15 +1,15 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
 
-/** Permits that an entry has for one endpoint. */
+/** The permits that an entry holds for one endpoint. */
 interface EndpointPermits {
-  /** Until when each may be used, the first to run out first. */
+  /** When each permit expires, in ascending order. */
   untilMs: Millis[]
-  /** Those that ran out unused and have not been given back yet. */
+  /** Permits that expired unused and have not been returned yet. */
   expired: number
 }
 
-/** What an entry may send to endpoints that name rates, by the leader's word; each permit is for one request. */
+/** The permits that the leader granted an entry for endpoints that advertise rates. Each permit covers one request. */
 export class PermitPool {
   private readonly permits = new Map<InstanceId, EndpointPermits>()
 
@@ -20,7 +20,7 @@
     this.permits.set(id, entry)
   }
 
-  /** How many may be used now. */
+  /** Returns how many permits can be used now. */
   count(id: InstanceId, now: Millis): number {
     const entry = this.permits.get(id)
     if (entry === undefined) return 0
@@ -28,14 +28,14 @@
     return entry.untilMs.length
   }
 
-  /** Uses one; says whether there was one. */
+  /** Uses one permit. Returns whether there was one. */
   use(id: InstanceId, now: Millis): boolean {
     if (this.count(id, now) === 0) return false
     this.permits.get(id)!.untilMs.shift()
     return true
   }
 
-  /** How many have run out unused since this was asked. */
+  /** Returns how many permits have expired unused since the last call. */
   takeExpired(id: InstanceId, now: Millis): number {
     this.count(id, now)
     const entry = this.permits.get(id)
@@ -46,7 +46,10 @@
     return expired
   }
 
-  /** What was promised before a suspension of this machine is not used any more, nor given back: time is not known. */
+  /**
+   * Drops all permits without returning them. After a suspension of this machine it is unknown how much time has
+   * passed.
+   */
   clear(): void {
     this.permits.clear()
   }
--- a/request/limits/src/rateTable.ts
+++ b/request/limits/src/rateTable.ts
@@ -3,9 +3,9 @@
 import type { Logger } from '@forkstage/logger'
 import type { Millis } from '@forkstage/types'
 
-/** What an endpoint said last of the rate that it takes, with its age, so that no clocks are compared. */
+/** The rate that an endpoint last advertised, with its age instead of a time, so that clocks are not compared. */
 export interface AdvertisedRate {
-  /** Requests a second from all machines together; null where it names none any more. */
+  /** Requests per second from all machines together; null once it advertises none. */
   perSecond: number | null
   ageMs: Millis
 }
@@ -17,38 +17,44 @@
 }
 
 /**
- * One that takes nothing cannot say that it is well again. Where nobody has heard it for so long, it gets one request in the
- * same time from all machines together; whoever hears the answer tells the others within a second.
+ * An endpoint with a rate of 0 gets no request in whose response it could raise the rate. After this time without news
+ * it gets one request per interval from all machines together; the machine that receives the response reports it within
+ * a second.
  */
 const PROBE_INTERVAL_MS: Millis = 30_000
 const SECOND_MS = 1_000
-/** For so long it is passed on that a rate was taken back. */
+/** How long the withdrawal of a rate is still reported to other machines. */
 const WITHDRAWN_RETENTION_MS: Millis = 30_000
-/** Rates that move by less are no news in the log. */
+/** Smaller relative changes of a rate are neither logged nor counted as changes. */
 const MIN_CHANGE_SHARE = 0.1
 
-/** What was said, by this machine's clock. */
+/** An advertised rate with its time by this machine's clock. */
 interface StoredRate {
   perSecond: number | null
   at: Millis
 }
 
-/** The rates that endpoints name, as this machine believes them: the newest word counts, whoever heard it. */
+/**
+ * The rates that endpoints advertise, as known to this machine. The newest value wins, whichever machine received it.
+ */
 export class RateTable {
   private readonly rates = new Map<InstanceId, StoredRate>()
-  /** Counts what is news: a rate that is named, moves by more than a little or is taken back. */
+  /** Counts rates that are first advertised, change by more than {@link MIN_CHANGE_SHARE} or are withdrawn. */
   changeCount = 0
 
   constructor(private readonly options: RateTableOptions) {}
 
-  /** Takes what an answer that has just come says; undefined where it names no rate. */
+  /**
+   * Records the rate in a response that has just arrived.
+   * @param perSecond undefined where the response advertises none.
+   */
   recordAnswer(id: InstanceId, perSecond: number | undefined): void {
-    // Nothing is kept of endpoints that never named one.
+    // No entry is created for endpoints that never advertised a rate.
     if (perSecond === undefined && !this.rates.has(id)) return
     this.store(id, { perSecond: perSecond ?? null, at: this.options.clock.now() }, 'answer')
   }
 
-  /** Takes another machine's word, where it is the newer one. */
+  /** Merges a rate that another machine reports, if it is newer. */
   merge(id: InstanceId, { perSecond, ageMs }: AdvertisedRate): void {
     const at = this.options.clock.now() - ageMs
     const known = this.rates.get(id)
@@ -57,7 +63,7 @@
     this.store(id, { perSecond, at }, 'machine')
   }
 
-  /** Requests a second that an endpoint takes from all machines; undefined where it names no rate. */
+  /** Returns the requests per second that an endpoint accepts from all machines; undefined if it advertises no rate. */
   rateOf(id: InstanceId): number | undefined {
     const stored = this.rates.get(id)
     if (stored === undefined || stored.perSecond === null) return undefined
@@ -65,23 +71,23 @@
     return isOld ? Math.max(stored.perSecond, SECOND_MS / PROBE_INTERVAL_MS) : stored.perSecond
   }
 
-  /** The newest word of an endpoint that has spoken of a rate, also of one that has taken it back lately. */
+  /** Returns the newest value for an endpoint, including a recent withdrawal; undefined if there is none. */
   advertisedRateOf(id: InstanceId): AdvertisedRate | undefined {
     const stored = this.rates.get(id)
     return stored && { perSecond: stored.perSecond, ageMs: this.options.clock.now() - stored.at }
   }
 
-  /** The endpoints of which there is such a word. */
+  /** The endpoints for which {@link advertisedRateOf} returns a value. */
   get knownEndpoints(): InstanceId[] {
     return [...this.rates.keys()]
   }
 
-  /** How many endpoints name a rate. */
+  /** The number of endpoints that advertise a rate. */
   get count(): number {
     return [...this.rates.keys()].filter((id) => this.rateOf(id) !== undefined).length
   }
 
-  /** Forgets endpoints that are not registered any more, and what was taken back long ago. Called again and again. */
+  /** Drops endpoints that are no longer registered, and old withdrawals. Called periodically. */
   sweep(isRegistered: (id: InstanceId) => boolean): void {
     const since = this.options.clock.now() - WITHDRAWN_RETENTION_MS
     for (const [id, { perSecond, at }] of this.rates)
--- a/request/limits/src/readLimitReport.ts
+++ b/request/limits/src/readLimitReport.ts
@@ -14,7 +14,9 @@
   endpoints: z.record(z.string().min(1).max(400), z.unknown()),
 })
 
-/** What an entry says of named rates; endpoints of which it says nothing that can be read are left out. */
+/**
+ * Parses an entry's report of advertised rates; undefined where it is malformed. Skips endpoints whose data is invalid.
+ */
 export function readLimitReport(raw: unknown): LimitReport | undefined {
   const read = report.safeParse(raw)
   if (!read.success) return undefined
--- a/request/limits/test/permitAllocator.test.ts
+++ b/request/limits/test/permitAllocator.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('PermitAllocator', () => {
-  it('permits what the rate has filled since it was named, whole requests only', () => {
+  it('grants what the rate has filled since it was advertised, in whole requests', () => {
     const { clock, ask } = newAllocator()
     expect(ask(9)).toBe(0)
     clock.advance(249)
@@ -27,7 +27,7 @@
     expect(ask(9)).toBe(1)
   })
 
-  it('keeps no more than three quarters of a second fill, and one at least', () => {
+  it('caps a bucket at 0.75 s of its rate, and at no less than one request', () => {
     const { clock, ask } = newAllocator()
     ask(0)
     clock.advance(60_000)
@@ -37,18 +37,18 @@
     expect(ask(99, 0, 0.01)).toBe(1)
   })
 
-  it('has those again that an entry gives back unused', () => {
+  it('can grant returned permits again', () => {
     const { clock, ask } = newAllocator()
     ask(0)
     clock.advance(500)
     expect(ask(2)).toBe(2)
     expect(ask(2)).toBe(0)
     expect(ask(2, 1)).toBe(1)
-    // One that gives back more than there can be gains nothing by it.
+    // Returning more permits than were granted gains nothing.
     expect(ask(99, 50)).toBe(3)
   })
 
-  it('counts requests that are placed here beside those that entries send', () => {
+  it('counts requests placed by this machine as well as those sent by entries', () => {
     const { clock, allocator, ask } = newAllocator()
     expect(allocator.mayTake('a')).toBe(true)
     expect(allocator.spend('a')).toBe(false)
@@ -61,7 +61,7 @@
     expect(allocator.mayTake('a')).toBe(false)
   })
 
-  it('begins a term with nothing to permit: the leader before it may have permitted all', () => {
+  it('starts a term with empty buckets: the previous leader may have granted everything', () => {
     const { clock, term, ask } = newAllocator()
     ask(0)
     clock.advance(60_000)
@@ -69,7 +69,7 @@
     expect(ask(9)).toBe(0)
   })
 
-  it('permits nothing where none is taken, and passes on that a rate was taken back', () => {
+  it('grants nothing at a rate of 0, and applies the withdrawal of a rate', () => {
     const { clock, allocator, ask } = newAllocator()
     ask(0)
     clock.advance(1_000)
--- a/request/limits/test/permitClient.test.ts
+++ b/request/limits/test/permitClient.test.ts
@@ -3,7 +3,7 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { PermitClient, RateTable, type LimitAnswer, type LimitReport } from '../src'
 
-/** A keeper that knows a rate of `a`, and what it has told the leader; the leader answers when it is told to. */
+/** A client that knows a rate of `a`, and the reports that it sent; the leader answers when `answer` is called. */
 function newClient() {
   const clock = new ManualClock(10_000)
   const rates = new RateTable({ clock, logger: createSilentLogger() })
@@ -31,7 +31,7 @@
 }
 
 describe('PermitClient', () => {
-  it('asks at once for a request without a permit, and uses each permit once', async () => {
+  it('reports at once for a request without a permit, and uses each permit once', async () => {
     const { client, reports, answer } = newClient()
     client.recordDemand('a')
     expect(reports).toHaveLength(1)
@@ -43,7 +43,7 @@
     expect(client.usePermit('a')).toBe(false)
   })
 
-  it('gives back what ran out unused, counted from when it asked and not from when the answer came', async () => {
+  it('returns permits that expired unused, counted from the report and not from its answer', async () => {
     const { clock, client, reports, answer } = newClient()
     client.recordDemand('a')
     clock.advance(400)
@@ -57,7 +57,7 @@
     expect(reports.at(-1)!.endpoints['a']).toMatchObject({ wanted: 0, returned: 1 })
   })
 
-  it('asks again only after a while where the leader had too few', async () => {
+  it('delays the next report if the leader granted too few permits', async () => {
     const { clock, client, reports, answer } = newClient()
     client.recordDemand('a')
     await answer(0)
@@ -67,8 +67,8 @@
     expect(reports).toHaveLength(2)
   })
 
-  // The leader places model requests, and goes on counting none of them until it has heard of the rate.
-  it('tells the leader at once of a rate that is new, though nothing wants a permit, and of one that was taken back', async () => {
+  // The leader places model requests and does not count them until it knows the rate.
+  it('reports a new rate at once even without demand, and also its withdrawal', async () => {
     const { clock, rates, reports, answer } = newClient()
     clock.advance(50)
     expect(reports).toHaveLength(1)
@@ -86,7 +86,7 @@
     expect(reports[2]!.endpoints['b']!.word.perSecond).toBeNull()
   })
 
-  it('is alone once the leader has been silent for two reports', async () => {
+  it('treats the leader as unreachable after two reports without an answer', async () => {
     const { clock, client, answer } = newClient()
     client.recordDemand('a')
     await answer(1)
@@ -97,7 +97,7 @@
     expect(client.isLeaderReachable()).toBe(false)
   })
 
-  it('takes nothing for permitted that was promised before a suspension', async () => {
+  it('drops permits that were granted before a suspension', async () => {
     const { clock, client, answer } = newClient()
     client.recordDemand('a')
     await answer(2)
--- a/request/limits/test/rateTable.test.ts
+++ b/request/limits/test/rateTable.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('RateTable', () => {
-  it('believes what an endpoint named last, until an answer names none', () => {
+  it('keeps the last advertised rate until a response advertises none', () => {
     const { table, outcomes } = newTable()
     table.recordAnswer('a', undefined)
     expect(table.knownEndpoints).toEqual([])
@@ -31,13 +31,13 @@
     expect(outcomes()).toEqual(['named', 'changed', 'withdrawn'])
   })
 
-  it('takes a rate of 0 for one', () => {
+  it('accepts a rate of 0', () => {
     const { table } = newTable()
     table.recordAnswer('a', 0)
     expect(table.rateOf('a')).toBe(0)
   })
 
-  it('takes the newer of two words, whoever heard it', () => {
+  it('keeps the newer of two values, whichever machine received it', () => {
     const { table, clock } = newTable()
     table.recordAnswer('a', 4)
     clock.advance(500)
@@ -47,13 +47,13 @@
     expect(table.rateOf('a')).toBe(9)
     table.merge('a', { perSecond: null, ageMs: 0 })
     expect(table.rateOf('a')).toBeUndefined()
-    // That it was taken back is passed on, with its age.
+    // The withdrawal is still reported, with its age.
     clock.advance(200)
     expect(table.knownEndpoints).toEqual(['a'])
     expect(table.advertisedRateOf('a')).toEqual({ perSecond: null, ageMs: 200 })
   })
 
-  it('keeps what an endpoint named for as long as it is registered, and tries one that takes nothing now and then', () => {
+  it('keeps a rate while the endpoint is registered, and probes an endpoint with a rate of 0 periodically', () => {
     const { table, clock } = newTable()
     table.recordAnswer('a', 0)
     table.recordAnswer('b', 4)
@@ -63,7 +63,7 @@
     clock.advance(29_000)
     expect(table.rateOf('a')).toBe(0)
     clock.advance(1_000)
-    // One request in 30 s, and nothing more for one that takes some.
+    // One request in 30 s; an endpoint with a rate above 0 gets no more than its rate.
     expect(table.rateOf('a')).toBeCloseTo(1 / 30)
     expect(table.rateOf('b')).toBe(4)
     clock.advance(3_600_000)
@@ -71,7 +71,7 @@
     expect(table.knownEndpoints).toEqual(['b'])
   })
 
-  it('passes on for a while that a rate was taken back, and then forgets it', () => {
+  it('keeps a withdrawal for 30 s, then drops it', () => {
     const { table, clock } = newTable()
     table.recordAnswer('a', 4)
     table.recordAnswer('a', undefined)
--- a/request/limits/test/readLimitReport.test.ts
+++ b/request/limits/test/readLimitReport.test.ts
@@ -5,7 +5,7 @@
 const row = { word: { perSecond: 3.5, ageMs: 12.5 }, wanted: 2, returned: 0 }
 
 describe('readLimitReport', () => {
-  it('reads what entries say, also that a rate was taken back', () => {
+  it('reads the reports of entries, including withdrawn rates', () => {
     const endpoints = { a: row, b: { ...row, word: { perSecond: null, ageMs: 0 } } }
     expect(readLimitReport({ entry: 'e', endpoints })).toEqual({ entry: 'e', endpoints })
   })
@@ -20,11 +20,11 @@
     { ...row, word: {} },
     {},
     null,
-  ])('leaves out an endpoint of which it says nothing that can be read: %j', (bad) => {
+  ])('skips an endpoint with invalid data: %j', (bad) => {
     expect(readLimitReport({ entry: 'e', endpoints: { a: row, b: bad } })?.endpoints).toEqual({ a: row })
   })
 
-  it('never throws, and takes no count or rate below 0', () => {
+  it('never throws, and returns no negative count, rate or age', () => {
     fc.assert(
       fc.property(fc.anything(), fc.anything(), (one, other) => {
         for (const raw of [
