--- a/request/statements/src/availabilityTracker.ts
+++ b/request/statements/src/availabilityTracker.ts
@@ -7,58 +7,63 @@
 /** Options of {@link AvailabilityTracker}. */
 export interface AvailabilityTrackerOptions {
   clock: Clock
-  /** Draws how long after a rest this machine comes back; at once where left out. */
+  /** Draws the jitter after a backoff; without it there is none. */
   random?: Random
   logger: Logger
 }
 
-/** An endpoint must get nothing from here until a time, by this machine's clock, and why. */
+/** Until when, by this machine's clock, an endpoint gets no requests from here, and why. */
 export interface Unavailability {
   untilMs: Millis
   reason: string
 }
 
-/** What an endpoint said of rest. */
+/** A period without requests that an endpoint asked for. */
 interface Backoff {
   startedAt: Millis
   untilMs: Millis
-  /** Until when it gets nothing but, after its rest, one request at a time that finds out whether it is well. */
+  /**
+   * Until when no request may be sent: the end of the backoff with jitter, then the end of the wait for each probe
+   * request.
+   */
   closedUntilMs: Millis
   isEndLogged: boolean
 }
 
-/** Why nothing is sent to an endpoint that wants nothing for a while. */
+/** Reason while an endpoint has asked for no requests. */
 export const RETRY_AFTER_REASON = 'the endpoint asked for rest'
-/** Why nothing is sent to an endpoint that has said that it leaves. */
+/** Reason once an endpoint has announced that it leaves. */
 export const LEAVING_REASON = 'the endpoint has said that it leaves'
 
-/** What was placed or copied to an endpoint before it said that it leaves may still go there for so long. */
+/** Requests placed or copied to an endpoint before it announced that it leaves may still be sent for this long. */
 export const LEAVING_GRACE_MS: Millis = 500
 
-/** No word binds for longer: an endpoint that still means it says so again to the one request that asks. */
+/** Longer backoffs are cut to this; an endpoint that still needs one repeats it in the response to the next request. */
 const MAX_BACKOFF_MS: Millis = 600_000
-/** Machines that were told to come back at one time come back spread over this part of the rest, and no more than this. */
+/**
+ * Machines that were told to come back at the same time are spread over this share of the backoff, up to the maximum.
+ */
 const JITTER_SHARE = 0.1
 const MAX_JITTER_MS: Millis = 500
-/** After a rest the next request leaves once one has brought an answer, or after this time. */
+/** After a backoff the next request waits for the response to the previous one, or for this time. */
 const PROBE_INTERVAL_MS: Millis = 1_000
-/** Ends that differ by less are no news in the log: an endpoint says its rest to each request that it turns away. */
+/** Smaller extensions of a backoff are not logged: an endpoint repeats its backoff in every refusal. */
 const MIN_LOGGED_EXTENSION_MS: Millis = 1_000
 const MAX_LOGGED_CHARACTERS = 40
 
 /**
- * What endpoints have said to this machine in their answers, by the life that said it, and until when each must therefore
- * get nothing from here. Only the machine that was told is bound: another may be welcome there.
+ * Tracks until when each endpoint must get no requests from this machine, according to its own responses. Kept by
+ * incarnation. Other machines are not affected; the endpoint may accept requests from them.
  */
 export class AvailabilityTracker {
   private readonly backoffs = new Map<InstanceId, Backoff>()
   private readonly leavingTimes = new Map<InstanceId, Millis>()
-  /** Endpoints whose time to come back could not be read, so that each leaves one line. */
+  /** Endpoints whose Retry-After could not be parsed; each is logged once. */
   private readonly unreadable = new Set<InstanceId>()
 
   constructor(private readonly options: AvailabilityTrackerOptions) {}
 
-  /** Takes what an answer that has just come says of when to come back. */
+  /** Records the Retry-After of a response that has just arrived. */
   recordRetryAfter(id: InstanceId, retryAfter: RetryAfter, request: string): void {
     if (retryAfter.type === 'rest')
       this.extendBackoff(id, Math.min(retryAfter.forMs, MAX_BACKOFF_MS), request)
@@ -68,14 +73,17 @@
     this.options.logger.info('endpoint.rest', { endpoint: id, outcome: 'unreadable', request, value })
   }
 
-  /** An answer that has just come says that its endpoint leaves; nothing takes that back in one life. */
+  /** Records that a response announced that its endpoint leaves. An incarnation cannot take that back. */
   recordLeaving(id: InstanceId, request: string): void {
     if (this.leavingTimes.has(id)) return
     this.leavingTimes.set(id, this.options.clock.now())
     this.options.logger.info('endpoint.leaving', { endpoint: id, request })
   }
 
-  /** An endpoint has done some work for this machine; what it was sent before its rest does not end that. */
+  /**
+   * Records that an endpoint completed some work. A success during the backoff does not end it: the request was sent
+   * before.
+   */
   recordSuccess(id: InstanceId): void {
     const known = this.backoffs.get(id)
     if (known === undefined || known.untilMs > this.options.clock.now()) return
@@ -83,20 +91,23 @@
     this.backoffs.delete(id)
   }
 
-  /** A request leaves for an endpoint: after a rest the next one waits for its answer. */
+  /** Records that a request is sent to an endpoint. After a backoff the next request waits for its response. */
   recordSent(id: InstanceId): void {
     const known = this.backoffs.get(id)
     if (known !== undefined) known.closedUntilMs = this.options.clock.now() + PROBE_INTERVAL_MS
   }
 
-  /** Until when an endpoint must get nothing from here, and why; undefined where it may get a request now. */
+  /** Returns until when an endpoint must get no requests, and why; undefined if it may get one now. */
   unavailability(id: InstanceId): Unavailability | undefined {
     if (this.leavingTimes.has(id)) return { untilMs: Infinity, reason: LEAVING_REASON }
     const untilMs = this.backoffs.get(id)?.closedUntilMs ?? -Infinity
     return untilMs > this.options.clock.now() ? { untilMs, reason: RETRY_AFTER_REASON } : undefined
   }
 
-  /** Of endpoints that must all get nothing from here, the one that may first; undefined where one may now. */
+  /**
+   * Returns the {@link Unavailability} that ends first if all the endpoints are unavailable; undefined if one may get a
+   * request now, or if there are none.
+   */
   earliestAvailable(ids: InstanceId[]): Unavailability | undefined {
     const bounds = ids.map((id) => this.unavailability(id))
     if (bounds.includes(undefined)) return undefined
@@ -106,34 +117,37 @@
     )
   }
 
-  /** Whether no endpoint has said anything that may bind now: asked for each request, before endpoints are looked through. */
+  /**
+   * Whether no endpoint is recorded as backing off or leaving. Lets callers skip the search through the endpoints for
+   * each request.
+   */
   get isEmpty(): boolean {
     return this.backoffs.size === 0 && this.leavingTimes.size === 0
   }
 
-  /** When an endpoint first said here that it leaves; undefined where it has not. */
+  /** Returns when an endpoint first announced that it leaves; undefined if it has not. */
   leavingSince(id: InstanceId): Millis | undefined {
     return this.leavingTimes.get(id)
   }
 
-  /** Endpoints that must get nothing from here now. */
+  /** The endpoints that must get no requests now. */
   get closed(): InstanceId[] {
     const ids = new Set([...this.leavingTimes.keys(), ...this.backoffs.keys()])
     return [...ids].filter((id) => this.unavailability(id) !== undefined)
   }
 
-  /** How many endpoints want nothing from here now. */
+  /** The number of endpoints with a backoff that has not ended. */
   get backoffCount(): number {
     const now = this.options.clock.now()
     return [...this.backoffs.values()].filter(({ untilMs }) => untilMs > now).length
   }
 
-  /** How many registered endpoints have said here that they leave. */
+  /** The number of registered endpoints that have announced that they leave. */
   get leavingCount(): number {
     return this.leavingTimes.size
   }
 
-  /** Forgets lives that are not registered any more. Called again and again. */
+  /** Logs backoffs that have ended and drops incarnations that are no longer registered. Called periodically. */
   sweep(isRegistered: (id: InstanceId) => boolean): void {
     const now = this.options.clock.now()
     for (const [id, backoff] of this.backoffs) {
@@ -144,7 +158,7 @@
     for (const id of this.unreadable) if (!isRegistered(id)) this.unreadable.delete(id)
   }
 
-  /** Of rests that overlap the one that ends last counts. */
+  /** Of overlapping backoffs the one that ends last applies. */
   private extendBackoff(id: InstanceId, forMs: Millis, request: string): void {
     const now = this.options.clock.now()
     const untilMs = now + forMs
--- a/request/statements/src/flattenHeaders.ts
+++ b/request/statements/src/flattenHeaders.ts
@@ -1,4 +1,4 @@
-/** Fields of an HTTP client that groups them by name, as names and values by turns. */
+/** Converts headers grouped by name, as HTTP clients return them, to a flat list of alternating names and values. */
 export function flattenHeaders(headers: Record<string, string | string[] | undefined>): string[] {
   return Object.entries(headers).flatMap(([name, values]) =>
     [values ?? []].flat().flatMap((value) => [name, value]),
--- a/request/statements/src/index.ts
+++ b/request/statements/src/index.ts
@@ -1,4 +1,4 @@
-/** What endpoints say in their answers of what they want from this machine. */
+/** Reads and tracks what endpoints announce in their responses: Retry-After and that they leave. */
 export { flattenHeaders } from './flattenHeaders'
 export { readRetryAfter } from './readRetryAfter'
 export type { AnswerFields, RetryAfter } from './readRetryAfter'
--- a/request/statements/src/readRetryAfter.ts
+++ b/request/statements/src/readRetryAfter.ts
@@ -1,29 +1,32 @@
 import type { Millis } from '@forkstage/types'
 
-/** What is read of an answer's head. */
+/** The parts of a response head that are read here. */
 export interface AnswerFields {
   status: number
-  /** Names and values by turns, as they came: a name may come twice. */
+  /** Alternating names and values as received; a name may occur more than once. */
   rawHeaders: string[]
 }
 
-/** What an answer says of when to come back. */
+/** The parsed Retry-After of a response. */
 export type RetryAfter =
   { type: 'none' } | { type: 'rest'; forMs: Millis } | { type: 'unreadable'; value: string }
 
-/** Statuses that say "not now" (RFC 9110, 10.2.3, and RFC 6585, 4); elsewhere the field means something else. */
+/**
+ * Statuses whose Retry-After asks to send later (RFC 9110, 10.2.3, and RFC 6585, 4); elsewhere the field has another
+ * meaning.
+ */
 const RETRY_AFTER_STATUSES = new Set([429, 503])
 const RETRY_AFTER = 'retry-after'
 const DATE = 'date'
 const SECOND_MS = 1_000
-/** HTTP has whole seconds; fractions are taken as well. */
+/** HTTP allows whole seconds only; fractions are accepted as well. */
 const SECONDS = /^\d{1,12}(\.\d{1,20})?$/
-/** A date of HTTP begins with the day of the week. */
+/** An HTTP date begins with the day of the week. */
 const HTTP_DATE = /^[A-Z][a-z]{2,8},? /
 
 /**
- * How long an endpoint wants nothing from here. Of several values the longest that can be read counts. A date counts from
- * the answer's own `Date`, so that no clocks are compared.
+ * Parses how long an endpoint asks for no requests. Of several values the longest valid one applies. A date is relative
+ * to the response's own `Date`, so that clocks are not compared.
  */
 export function readRetryAfter({ status, rawHeaders }: AnswerFields): RetryAfter {
   if (!RETRY_AFTER_STATUSES.has(status)) return { type: 'none' }
--- a/request/statements/test/availabilityTracker.test.ts
+++ b/request/statements/test/availabilityTracker.test.ts
@@ -15,8 +15,8 @@
   return { clock, lines, tracker, rest }
 }
 
-describe('what endpoints want from a machine', () => {
-  it('is nothing until the rest that ends last is over, whatever was said since', () => {
+describe('AvailabilityTracker', () => {
+  it('keeps an endpoint unavailable until the end of its last-ending backoff, despite shorter ones since', () => {
     const { clock, tracker, rest } = start()
     rest(3_000)
     clock.advance(1_000)
@@ -31,14 +31,14 @@
     expect(tracker.unavailability('i-2')).toBeUndefined()
   })
 
-  it('is never refused for ever', () => {
+  it('caps a backoff at ten minutes', () => {
     const { clock, tracker, rest } = start()
     rest(1e12)
     clock.advance(600_000)
     expect(tracker.closed).toEqual([])
   })
 
-  it('stands in the log when it begins, becomes longer by more than a little, and is over', () => {
+  it('logs the start, a significant extension and the end of a backoff', () => {
     const { clock, lines, tracker, rest } = start()
     rest(3_000)
     clock.advance(200)
@@ -54,7 +54,7 @@
     ])
   })
 
-  it('leaves one line an endpoint where it cannot be read', () => {
+  it('logs an unreadable Retry-After once per endpoint', () => {
     const { lines, tracker } = start()
     const said = { type: 'unreadable', value: 'x'.repeat(100) } as const
     tracker.recordRetryAfter('i-1', said, 'r1')
@@ -71,7 +71,7 @@
     expect(tracker.closed).toEqual([])
   })
 
-  it('ends with the life that said it', () => {
+  it('drops backoffs and leaving of incarnations that are no longer registered', () => {
     const { tracker, rest, lines } = start()
     rest(60_000)
     rest(60_000, 'i-2')
@@ -84,7 +84,7 @@
     expect(tracker.leavingCount).toBe(0)
   })
 
-  it('is one request at a time after a rest, until one has brought an answer', () => {
+  it('sends one request at a time after a backoff until one succeeds', () => {
     const { clock, tracker, rest } = start()
     rest(3_000)
     clock.advance(3_000)
@@ -100,7 +100,7 @@
     expect(tracker.unavailability('i-1')).toBeUndefined()
   })
 
-  it('does not end by the answer to what was sent before', () => {
+  it('does not end a backoff on a success during it', () => {
     const { clock, tracker, rest } = start()
     rest(3_000)
     clock.advance(100)
@@ -108,7 +108,7 @@
     expect(tracker.unavailability('i-1')?.untilMs).toBe(4_000)
   })
 
-  it('is asked of several at once: the one that may get a request first', () => {
+  it('returns the endpoint that becomes available first', () => {
     const { tracker, rest } = start()
     rest(3_000)
     rest(2_000, 'i-2')
--- a/request/statements/test/readRetryAfter.test.ts
+++ b/request/statements/test/readRetryAfter.test.ts
@@ -4,8 +4,8 @@
 const read = (status: number, ...rawHeaders: string[]) => readRetryAfter({ status, rawHeaders })
 const seconds = (value: string) => read(503, 'Retry-After', value)
 
-describe('when an endpoint wants to be asked again', () => {
-  it('is read as seconds, whole or not, in refusals only', () => {
+describe('readRetryAfter', () => {
+  it('reads whole and fractional seconds, in 429 and 503 responses only', () => {
     expect(seconds('3')).toEqual({ type: 'rest', forMs: 3_000 })
     expect(seconds(' 0.2 ')).toEqual({ type: 'rest', forMs: 200 })
     expect(seconds('0')).toEqual({ type: 'rest', forMs: 0 })
@@ -15,7 +15,7 @@
     expect(read(503, 'X-Other', '3')).toEqual({ type: 'none' })
   })
 
-  it('is read as a date beside the date of the answer, whose clocks are one', () => {
+  it('reads a date relative to the Date of the same response', () => {
     const until = ['Retry-After', 'Thu, 03 Dec 2026 07:00:05 GMT']
     expect(read(503, 'Date', 'Thu, 03 Dec 2026 07:00:01 GMT', ...until)).toEqual({
       type: 'rest',
@@ -25,14 +25,14 @@
     expect(read(503, ...until).type).toBe('unreadable')
   })
 
-  it('is the longest of several that can be read', () => {
+  it('returns the longest of several valid values', () => {
     expect(read(503, 'Retry-After', '1', 'Retry-After', 'soon', 'retry-after', '4')).toEqual({
       type: 'rest',
       forMs: 4_000,
     })
   })
 
-  it('is none where no value can be read', () => {
+  it('reports a value that is neither seconds nor a date as unreadable', () => {
     for (const value of [
       '',
       '-3',
