--- a/request/crashes/src/crashDetector.ts
+++ b/request/crashes/src/crashDetector.ts
@@ -40,9 +40,7 @@
   lastLossAt: Millis
   probesLeft: number
   isProbing: boolean
-  /**
-   * Resolves callers of `confirmed` once a probe after the last loss has finished; absent while no loss is unconfirmed.
-   */
+  /** Resolves callers of `confirmed` once a probe has finished; absent while no loss is unconfirmed. */
   onProbed?: (() => void)[]
 }
 
--- a/request/crashes/src/crashTracker.ts
+++ b/request/crashes/src/crashTracker.ts
@@ -54,7 +54,7 @@
   private readonly entries = new Map<ContentDigest, Entry>()
   private readonly byIncarnation = new Map<Incarnation, Set<ContentDigest>>()
   private readonly served: RecentlyServed
-  /** When each incarnation crashed; the newest last. */
+  /** When each incarnation crashed, in the order in which the crashes became known. */
   private readonly recentCrashes = new Map<Incarnation, { at: Millis; service?: string }>()
   private changeCount = 0
   private blameCache: { at: number; counts: Map<ContentDigest, number> } = { at: -1, counts: new Map() }
