--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -13,7 +13,7 @@
   LeaderClient,
   LocalPlacer,
   RemotePlacer,
-  RetryBudget,
+  GatewayRetryBudget,
   WorkspaceAdmission,
   type GatewayWire,
 } from '@forkstage/gateway'
@@ -131,7 +131,7 @@
       isKnown: (raw) => this.directory.isKnown(raw),
     })
     const entries = () => this.follower.entries() || ENTRIES_UNTIL_KNOWN
-    const allowance = new RetryBudget({
+    const allowance = new GatewayRetryBudget({
       clock,
       share: settings.retry.share,
       slack: settings.retry.slack,
--- a/request/gateway/src/retryBudget.ts
+++ b/request/gateway/src/gatewayRetryBudget.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@forkstage/clock'
 import type { Millis } from '@forkstage/types'
 
-/** Options of {@link RetryBudget}. */
-export interface RetryBudgetOptions {
+/** Options of {@link GatewayRetryBudget}. */
+export interface GatewayRetryBudgetOptions {
   clock: Clock
   /** Second sendings for each request, over all entries. */
   share: number
@@ -22,12 +22,12 @@
 }
 
 /** This entry's part of each service's allowance of second sendings, over a sliding window. */
-export class RetryBudget {
+export class GatewayRetryBudget {
   private readonly services = new Map<string, SendTimes>()
   /** Second sendings that were made, and those for which nothing was left. */
   readonly counts = { taken: 0, denied: 0 }
 
-  constructor(private readonly options: RetryBudgetOptions) {}
+  constructor(private readonly options: GatewayRetryBudgetOptions) {}
 
   /** Counts a caller's request for a service. */
   recordRequest(service: string): void {
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -55,14 +55,14 @@
   /** Endpoints that may have run the request. */
   private possibleRuns = 0
   private readonly sendCounter: SendCounter
-  private readonly permits: CrashGuard
+  private readonly crashGuard: CrashGuard
 
   constructor(
     private readonly parts: RelayParts,
     private readonly job: RelayJob,
   ) {
     this.sendCounter = new SendCounter(parts.retryBudget, job.service.name)
-    this.permits = new CrashGuard(parts, job, () => this.isOver)
+    this.crashGuard = new CrashGuard(parts, job, () => this.isOver)
   }
 
   async relay(): Promise<RelayResult> {
@@ -74,7 +74,7 @@
     })
     const result = await this.tryEndpoints()
     cancelLimit()
-    void this.permits.end()
+    void this.crashGuard.end()
     return { ...result, sends: this.sends }
   }
 
@@ -83,17 +83,17 @@
       return answerRefusal(this.job.request.response, OUTSIDE_REGIONS, OUTSIDE_REGIONS_RETRY_MS)
     let failed: SendingResult | undefined
     for (let refusals = 0; ;) {
-      const decision = await this.permits.decide()
+      const decision = await this.crashGuard.decide()
       if (decision.type === 'refuse')
         return this.endWithoutAnswer(failed, ENDS_ENDPOINTS, decision.refusal.leftMs)
-      const permit = await this.permits.acquire(decision)
+      const permit = await this.crashGuard.acquire(decision)
       if (permit.type === 'later' && !this.isOver)
         return this.endWithoutAnswer(failed, MUST_BE_ISOLATED, permit.retryAfterMs)
       const to = permit.type === 'place' ? permit.at : await this.chooseEndpoint()
       if (this.isOver) return this.overResult()
       if (to === undefined) return this.endWithoutAnswer(failed, this.whyNone())
       // Others that waited may have taken the room, and endpoints may have crashed under the same request meanwhile.
-      if (permit.type !== 'place' && (!this.hasRoom(to) || this.permits.isOutdated(decision))) continue
+      if (permit.type !== 'place' && (!this.hasRoom(to) || this.crashGuard.isOutdated(decision))) continue
       const sending = await this.sendTo(to, permit)
       if (sending === undefined) return this.endWithoutAnswer(failed, 'no repeated sending is left')
       if (this.isOver) return this.overResult()
@@ -180,7 +180,7 @@
     this.job.isolatedId = to.endpoint.id
     const sending = await this.send(to)
     this.job.isolatedId = undefined
-    void this.permits.endTrial(permit, to.endpoint.id)
+    void this.crashGuard.endTrial(permit, to.endpoint.id)
     return sending
   }
 
@@ -214,7 +214,7 @@
     const tookMs = parts.clock.now() - startedAt
     if (outcome.type === 'failed' && outcome.sent) {
       reportLostSending(parts, job, to, tookMs, this.isOver ? tookMs : undefined)
-      this.permits.recordLost(to.endpoint.id)
+      this.crashGuard.recordLost(to.endpoint.id)
     }
     // What a cold endpoint takes says nothing of what it bears later.
     const isCold = parts.cold?.isCold(to.endpoint.id) === true
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -19,7 +19,7 @@
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 import type { EndpointRateLimiter } from './endpointRateLimiter'
 import type { ModelPlacer } from './modelPlacer'
-import type { RetryBudget } from './retryBudget'
+import type { GatewayRetryBudget } from './gatewayRetryBudget'
 import type { SendRule } from './sendRules'
 
 /** What relays work with. */
@@ -27,7 +27,7 @@
   wire: GatewayWire
   pool: EndpointPool
   placer: ModelPlacer
-  retryBudget: RetryBudget
+  retryBudget: GatewayRetryBudget
   /** How many entries share what an endpoint takes; that is not looked at where left out. */
   entries?: () => number
   /** What each sending must obey, asked right before it leaves; nothing where left out. */
@@ -43,14 +43,14 @@
   /** How long an endpoint goes on serving once it has said that it leaves; not counted on where left out. */
   leavingServesMs?: Millis
   /** Knows which requests end the endpoints that run them; nothing is known where left out. */
-  crashes?: CrashTracker
+  crashes?: CrashCoordinator
   clock: Clock
   random: Random
   logger: Logger
 }
 
 /** What is known of requests that end the endpoints that run them. */
-export interface CrashTracker {
+export interface CrashCoordinator {
   recordLoss(sending: LostAttempt): void
   /** A request got a whole answer. `content` is asked for only where anything is known. */
   recordServed(content: () => ContentDigest): void
--- a/request/gateway/src/sendCounter.ts
+++ b/request/gateway/src/sendCounter.ts
@@ -1,4 +1,4 @@
-import type { RetryBudget } from './retryBudget'
+import type { GatewayRetryBudget } from './gatewayRetryBudget'
 
 /** What a request asks of an endpoint. */
 export type SendStep = 'plain' | 'prefill' | 'decode'
@@ -26,7 +26,7 @@
   private hasFreePrefill = false
 
   constructor(
-    private readonly retryBudget: RetryBudget,
+    private readonly retryBudget: GatewayRetryBudget,
     private readonly service: string,
   ) {}
 
--- a/request/gateway/src/stepGrants.ts
+++ b/request/gateway/src/stepGrants.ts
@@ -4,7 +4,7 @@
 import type { SendStep } from './sendCounter'
 
 /** What the leader counted for one step of a placed request. */
-export interface StepGrant {
+export interface RecordedGrant {
   endpoint: InstanceId
   /** When it was asked for. */
   requestedAt: Millis
@@ -18,17 +18,17 @@
 
 /** What the leader has counted for places given to this entry, each step for one use. */
 export class StepGrants {
-  private readonly grants = new Map<string, StepGrant>()
+  private readonly grants = new Map<string, RecordedGrant>()
 
   constructor(private readonly clock: Clock) {}
 
-  add(request: string, step: SendStep, counted: StepGrant): void {
+  add(request: string, step: SendStep, counted: RecordedGrant): void {
     this.dropExpired()
     this.grants.set(`${step} ${request}`, counted)
   }
 
   /** Uses what was counted for a step at an endpoint; undefined where nothing was, or it is too late. */
-  use(request: string, step: SendStep, endpoint: InstanceId): StepGrant | undefined {
+  use(request: string, step: SendStep, endpoint: InstanceId): RecordedGrant | undefined {
     const key = `${step} ${request}`
     const counted = this.grants.get(key)
     if (counted?.endpoint !== endpoint) return undefined
--- a/request/gateway/test/restingEndpoints.test.ts
+++ b/request/gateway/test/backoffEndpoints.test.ts
@@ -6,36 +6,36 @@
 // all eight entries, through five seconds; no source read the name.
 import { afterEach, describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { RestHarness } from './restHarness'
+import { BackoffHarness } from './backoffHarness'
 
-const open: RestHarness[] = []
+const open: BackoffHarness[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((world) => world.stop()))))
 
-async function start(entries: number, workers?: number): Promise<RestHarness> {
-  const world = await RestHarness.start(entries, workers)
+async function start(entries: number, workers?: number): Promise<BackoffHarness> {
+  const world = await BackoffHarness.start(entries, workers)
   open.push(world)
   return world
 }
 
 /** More than two requests in one rest break the word. */
-const MOST_IN_REST = 2
+const MAX_IN_BACKOFF = 2
 
 describe('endpoints that ask for rest', () => {
   it('get two more requests at most from each entry in that time, and its callers are served elsewhere', async () => {
     const world = await start(8)
     await world.runLoad(30, 3_000)
     const since = world.clock.now()
-    world.turnAway(2, 9_000, () => '3')
+    world.startRejecting(2, 9_000, () => '3')
     await world.runLoad(30, 9_000)
     await world.drain()
-    expect(world.workers[2]!.maxInRest()).toBeLessThanOrEqual(MOST_IN_REST)
+    expect(world.workers[2]!.maxInBackoff()).toBeLessThanOrEqual(MAX_IN_BACKOFF)
     expect(world.servedInTime(since)).toBeGreaterThan(0.97)
   })
 
   it('turn away no more than a request of each entry and rest, beside those that were on their way', async () => {
     const world = await start(8)
     await world.runLoad(30, 3_000)
-    world.turnAway(2, 9_000, () => '3')
+    world.startRejecting(2, 9_000, () => '3')
     const from = world.clock.now()
     await world.runLoad(30, 9_000)
     // Eight entries, three rests each.
@@ -46,7 +46,7 @@
     const world = await start(8)
     await world.runLoad(30, 5_000)
     const before = world.workers[2]!.rateWithin(world.clock.now() - 4_000, world.clock.now())
-    world.turnAway(2, 6_000, (leftMs) => String(Math.max(0.1, leftMs / 1_000)))
+    world.startRejecting(2, 6_000, (leftMs) => String(Math.max(0.1, leftMs / 1_000)))
     await world.runLoad(30, 8_000)
     const from = world.clock.now()
     await world.runLoad(30, 6_000)
@@ -56,8 +56,8 @@
   it('are beyond reach where all rest: callers hear at once that nothing ran, and to come back when one is well', async () => {
     const world = await start(4, 2)
     await world.runLoad(20, 1_000)
-    world.turnAway(0, 4_000, (leftMs) => String(leftMs / 1_000))
-    world.turnAway(1, 6_000, (leftMs) => String(leftMs / 1_000))
+    world.startRejecting(0, 4_000, (leftMs) => String(leftMs / 1_000))
+    world.startRejecting(1, 6_000, (leftMs) => String(leftMs / 1_000))
     const wellAt = world.clock.now() + 4_000
     await world.runLoad(20, 1_000)
     const since = world.clock.now()
@@ -89,10 +89,10 @@
     ]
     for (let second = 0; second < 20; second += 1) {
       const word = words[Math.floor(random() * words.length)]!
-      if (random() < 0.5) world.turnAway(Math.floor(random() * 4), random() * 6_000, word)
+      if (random() < 0.5) world.startRejecting(Math.floor(random() * 4), random() * 6_000, word)
       await world.runLoad(60, 1_000)
     }
-    expect(world.workers.map((one) => Math.max(0, one.maxInRest() - MOST_IN_REST))).toEqual([0, 0, 0, 0])
+    expect(world.workers.map((one) => Math.max(0, one.maxInBackoff() - MAX_IN_BACKOFF))).toEqual([0, 0, 0, 0])
   })
 })
 
--- a/request/gateway/test/restingEngines.test.ts
+++ b/request/gateway/test/backoffEngines.test.ts
@@ -7,7 +7,7 @@
 const MODEL = { headers: { 'x-tokens': '10,10' }, body: 'x' }
 
 /** Turns a request away and wants nothing for a while. */
-const rests = (request: SeenRequest) =>
+const asksForBackoff = (request: SeenRequest) =>
   void request.socket.end('HTTP/1.1 503 No\r\nx-not-run: 1\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n')
 
 /** Answers with a stream whose head says that its engine leaves; its last event comes when it is let go. */
@@ -20,7 +20,7 @@
 describe('engines that ask for rest', () => {
   it('get no stream while they rest', async () => {
     const { world, seen } = await startRelay([
-      ['decode', rests],
+      ['decode', asksForBackoff],
       ['decode', streams],
     ])
     for (let sent = 0; sent < 4; sent += 1) expect((await world.send('/p/', MODEL)).status).toBe(200)
@@ -30,7 +30,7 @@
   it('get no prompt while they rest', async () => {
     const { world, seen } = await startRelay([
       ['decode', streams],
-      ['prefill', rests],
+      ['prefill', asksForBackoff],
       ['prefill', reads],
     ])
     for (let sent = 0; sent < 4; sent += 1) expect((await world.send('/p/', MODEL)).status).toBe(200)
@@ -49,8 +49,8 @@
 
   it('are beyond reach where all rest: callers hear that nothing ran, and to come back when one is well', async () => {
     const { world, seen } = await startRelay([
-      ['decode', rests],
-      ['decode', rests],
+      ['decode', asksForBackoff],
+      ['decode', asksForBackoff],
     ])
     await world.send('/p/', MODEL)
     const before = seen()
--- a/request/gateway/test/restHarness.ts
+++ b/request/gateway/test/backoffHarness.ts
@@ -7,7 +7,7 @@
 
 const WORK_MS = 60
 /** An endpoint that turns away needs no place for that. */
-const TURN_AWAY_MS = 2
+const REJECT_MS = 2
 const SECOND_MS = 1_000
 /** What was on its way when the word came may still arrive for so long. */
 const GRACE_MS = 500
@@ -23,20 +23,20 @@
 }
 
 /** An endpoint that turns requests away, and says for how long it wants none; that leaves, and says so. */
-export class RestingWorker {
+export class BackoffWorker {
   /** Turns requests away until then. */
-  awayUntilMs = -Infinity
+  rejectsUntilMs = -Infinity
   /** The value of its time to come back, by the time it has left; none where left out. */
-  says: ((leftMs: number) => string | undefined) | undefined
+  retryAfter: ((leftMs: number) => string | undefined) | undefined
   leaves = false
   readonly arrivals: Arrival[] = []
-  readonly rests: Notice[] = []
+  readonly backoffs: Notice[] = []
   /** When each entry first got an answer that says that it leaves. */
   readonly toldLeaving = new Map<number, number>()
 
   /** The most requests that reached it from one entry within one rest, once what was on its way had arrived. */
-  maxInRest(): number {
-    const counts = this.rests.map(
+  maxInBackoff(): number {
+    const counts = this.backoffs.map(
       ({ at: from, untilMs, entry }) =>
         this.arrivals.filter(
           (one) => one.entry === entry && one.at > from + GRACE_MS && one.at < from + untilMs,
@@ -58,21 +58,21 @@
 }
 
 /** Entries on one clock before plain endpoints that ask for rest, or leave. */
-export class RestHarness extends PlainHarness {
-  readonly workers: RestingWorker[] = []
+export class BackoffHarness extends PlainHarness {
+  readonly workers: BackoffWorker[] = []
 
-  static async start(entryCount: number, workerCount = 3): Promise<RestHarness> {
-    const world = new RestHarness(entryCount)
-    for (let index = 0; index < workerCount; index += 1) world.workers.push(new RestingWorker())
+  static async start(entryCount: number, workerCount = 3): Promise<BackoffHarness> {
+    const world = new BackoffHarness(entryCount)
+    for (let index = 0; index < workerCount; index += 1) world.workers.push(new BackoffWorker())
     await world.open(workerCount)
     return world
   }
 
   /** An endpoint turns all away for a time, and says each time that it wants nothing for `restMs`. */
-  turnAway(index: number, forMs: number, says: RestingWorker['says'] = () => undefined): void {
+  startRejecting(index: number, forMs: number, says: BackoffWorker['retryAfter'] = () => undefined): void {
     const one = this.workers[index]!
-    one.awayUntilMs = this.clock.now() + forMs
-    one.says = says
+    one.rejectsUntilMs = this.clock.now() + forMs
+    one.retryAfter = says
   }
 
   protected override partsOf(): Partial<RelayParts> {
@@ -86,21 +86,21 @@
     const { clock } = this
     const one = this.workers[index]!
     one.arrivals.push({ at: clock.now(), entry })
-    const isAway = clock.now() < one.awayUntilMs
-    const answer = () => (isAway ? this.turnedAway(one, entry) : this.served(one, request, entry))
-    return { inMs: isAway ? TURN_AWAY_MS : WORK_MS, answer }
+    const isAway = clock.now() < one.rejectsUntilMs
+    const answer = () => (isAway ? this.rejected(one, entry) : this.served(one, request, entry))
+    return { inMs: isAway ? REJECT_MS : WORK_MS, answer }
   }
 
-  private turnedAway(one: RestingWorker, entry: number): string {
+  private rejected(one: BackoffWorker, entry: number): string {
     const at = this.clock.now()
-    const says = one.says?.(one.awayUntilMs - at)
+    const says = one.retryAfter?.(one.rejectsUntilMs - at)
     const untilMs = says === undefined ? 0 : Number(says) * SECOND_MS
-    if (untilMs > 0) one.rests.push({ at, entry, untilMs })
+    if (untilMs > 0) one.backoffs.push({ at, entry, untilMs })
     const rows = says === undefined ? [] : [`Retry-After: ${says}`]
     return ['HTTP/1.1 503 No', 'x-not-run: 1', ...rows, 'Content-Length: 0', '', ''].join('\r\n')
   }
 
-  private served(one: RestingWorker, request: SeenRequest, entry: number): string {
+  private served(one: BackoffWorker, request: SeenRequest, entry: number): string {
     if (!one.leaves) return goodAnswer(request, 'hello')
     if (!one.toldLeaving.has(entry)) one.toldLeaving.set(entry, this.clock.now())
     return goodAnswer(request, 'hello', ['x-leaves: yes'])
--- a/request/gateway/test/gatewayHarness.ts
+++ b/request/gateway/test/gatewayHarness.ts
@@ -16,7 +16,7 @@
   Ingress,
   KEPT_FREE,
   LocalPlacer,
-  RetryBudget,
+  GatewayRetryBudget,
   WorkspaceAdmission,
   type ModelPlace,
   type RequestReport,
@@ -120,7 +120,7 @@
     /** Failure domains that get nothing. */
     readonly evacuated: Set<string>,
     /** The entry's part of second sendings. */
-    readonly allowance: RetryBudget,
+    readonly allowance: GatewayRetryBudget,
     /** What endpoints have said in their answers of what they want from the entry. */
     readonly statements: AvailabilityTracker,
   ) {}
@@ -201,7 +201,7 @@
     })
     later = RUN_FOR_MS
     const local = new LocalPlacer({ pool, kvTokens: () => 100_000, entries: () => 1, cold })
-    const allowance = new RetryBudget({
+    const allowance = new GatewayRetryBudget({
       clock,
       share: 0.2,
       slack: 20,
--- a/request/gateway/test/parts.test.ts
+++ b/request/gateway/test/parts.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '@forkstage/clock'
 import { Topology } from '@forkstage/topology'
 import { createSilentLogger } from '@forkstage/logger'
-import { EndpointPool, EventSplitter, judgeAnswer, RetryBudget } from '../src'
+import { EndpointPool, EventSplitter, judgeAnswer, GatewayRetryBudget } from '../src'
 import { TEST_WIRE } from './testWire'
 
 describe('EventSplitter', () => {
@@ -54,7 +54,7 @@
 describe('RetryAllowance', () => {
   it('counts what it gave and what it did not', () => {
     const clock = new ManualClock()
-    const budget = new RetryBudget({ clock, share: 0, slack: 4, windowMs: 10_000, entries: () => 1 })
+    const budget = new GatewayRetryBudget({ clock, share: 0, slack: 4, windowMs: 10_000, entries: () => 1 })
     for (let count = 0; count < 5; count += 1) budget.take('s')
     expect(budget.counts).toEqual({ taken: 2, denied: 3 })
   })
@@ -65,7 +65,7 @@
       fc.property(gaps, (steps) => {
         const clock = new ManualClock()
         const options = { clock, share: 0.2, slack: 20, windowMs: 10_000, entries: () => 4 }
-        const entries = Array.from({ length: 4 }, () => new RetryBudget(options))
+        const entries = Array.from({ length: 4 }, () => new GatewayRetryBudget(options))
         const requests: number[] = []
         const extras: number[] = []
         steps.forEach((gap, index) => {
@@ -87,7 +87,7 @@
 
   it('gives a new entry no more than its part of the slack', () => {
     const clock = new ManualClock()
-    const budget = new RetryBudget({
+    const budget = new GatewayRetryBudget({
       clock,
       share: 0.2,
       slack: 40,
--- a/request/gateway/test/plainHarness.ts
+++ b/request/gateway/test/plainHarness.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom, ManualClock } from '@forkstage/clock'
 import type { RegisteredEndpoint } from '@forkstage/directory'
 import { createSilentLogger } from '@forkstage/logger'
-import { EndpointPool, RetryBudget, type RelayParts } from '../src'
+import { EndpointPool, GatewayRetryBudget, type RelayParts } from '../src'
 import { relayPlain } from '../src/plainRelay'
 import type { RelayJob } from '../src/relayParts'
 import { FakeWorker, type SeenRequest } from './fakeWorker'
@@ -114,7 +114,7 @@
     const parts = this.partsOf(index)
     const pool = new EndpointPool({ zone: 'z', statements: parts.statements, clock, random, logger })
     pool.update(this.endpoints())
-    const retryBudget = new RetryBudget({
+    const retryBudget = new GatewayRetryBudget({
       clock,
       share: 0.2,
       slack: 50,
--- a/request/gateway/test/sendCounter.test.ts
+++ b/request/gateway/test/sendCounter.test.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
-import { RetryBudget } from '../src'
+import { GatewayRetryBudget } from '../src'
 import { SendCounter, type Arrival, type SendStep } from '../src/sendCounter'
 
 /** An allowance of so many repeated sendings, whatever the number of requests. */
-function budgetOf(repeats: number): RetryBudget {
+function budgetOf(repeats: number): GatewayRetryBudget {
   const clock = new ManualClock()
   // Half of the slack is planned with.
-  return new RetryBudget({ clock, share: 0, slack: repeats * 2, windowMs: 10_000, entries: () => 1 })
+  return new GatewayRetryBudget({ clock, share: 0, slack: repeats * 2, windowMs: 10_000, entries: () => 1 })
 }
 
 function send(count: SendCounter, step: SendStep, arrival: Arrival): boolean {
--- a/request/gateway/test/statements.test.ts
+++ b/request/gateway/test/statements.test.ts
@@ -4,7 +4,7 @@
 import { reads, startRelay, streams } from './relayHarness'
 
 const MODEL = { headers: { 'x-tokens': '10,10' }, body: 'x' }
-const REST = 'Retry-After: 30'
+const RETRY_AFTER = 'Retry-After: 30'
 const LEAVES = 'x-leaves: yes'
 
 /** Answers with a status and some fields; nothing in it names the request. */
@@ -38,9 +38,9 @@
 
 describe('what endpoints say of themselves', () => {
   it('is heard in refusals, failures, successes and answers that name no request', async () => {
-    expect(await toldBy(bare(503, 'x-not-run: 1', REST))).toBe('the endpoint asked for rest')
-    expect(await toldBy(bare(429, 'x-not-run: 1', REST))).toBe('the endpoint asked for rest')
-    expect(await toldBy(bare(503, REST))).toBe('the endpoint asked for rest')
+    expect(await toldBy(bare(503, 'x-not-run: 1', RETRY_AFTER))).toBe('the endpoint asked for rest')
+    expect(await toldBy(bare(429, 'x-not-run: 1', RETRY_AFTER))).toBe('the endpoint asked for rest')
+    expect(await toldBy(bare(503, RETRY_AFTER))).toBe('the endpoint asked for rest')
     expect(await toldBy(failing(LEAVES))).toBe('the endpoint has said that it leaves')
     expect(await toldBy((request) => void request.socket.end(goodAnswer(request, 'a', [LEAVES])))).toBe(
       'the endpoint has said that it leaves',
@@ -49,8 +49,8 @@
   })
 
   it('is not heard from another process at its address, nor in other answers than refusals, nor in other words', async () => {
-    expect(await toldBy(bare(421, 'x-instance: i-other', REST, LEAVES))).toBeUndefined()
-    expect(await toldBy(failing(REST))).toBeUndefined()
+    expect(await toldBy(bare(421, 'x-instance: i-other', RETRY_AFTER, LEAVES))).toBeUndefined()
+    expect(await toldBy(failing(RETRY_AFTER))).toBeUndefined()
     expect(await toldBy(bare(503, 'x-not-run: 1', 'Retry-After: soon', 'x-leaves: no'))).toBeUndefined()
     expect(await toldBy(bare(503, 'x-not-run: 1', 'Retry-After: 0'))).toBeUndefined()
   })
@@ -58,7 +58,7 @@
   it('is heard by a prompt, whose answer need not name its request', async () => {
     const { world } = await startRelay([
       ['decode', streams],
-      ['prefill', bare(503, 'x-not-run: 1', REST)],
+      ['prefill', bare(503, 'x-not-run: 1', RETRY_AFTER)],
       [
         'prefill',
         ({ socket }) => void socket.end(`HTTP/1.1 200 OK\r\n${LEAVES}\r\nContent-Length: 2\r\n\r\nh1`),
@@ -83,7 +83,7 @@
       (request) =>
         answers(200, body)({ ...request, socket: withRow(request.socket, row) })
     const copied = await startMigration([
-      { stream: runsWith(1), copy: bare(503, REST) },
+      { stream: runsWith(1), copy: bare(503, RETRY_AFTER) },
       { stream: endsWith(1, 2) },
     ])
     copied.move()
@@ -138,7 +138,7 @@
 
   it('leaves those that are out for failures, where the only sound one rests', async () => {
     const { world } = await startRelay([
-      [undefined, bare(503, 'x-not-run: 1', REST)],
+      [undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)],
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
     ])
     world.pool.get('i-1')!.ejectedUntil = Infinity
@@ -147,7 +147,7 @@
   })
 
   it('does not make room smaller where it is rest that was asked for', async () => {
-    const { world } = await startRelay([[undefined, bare(503, 'x-not-run: 1', REST)]])
+    const { world } = await startRelay([[undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)]])
     const before = world.pool.get('i-0')!.limit.value
     await world.send('/p/')
     expect(world.pool.get('i-0')!.limit.value).toBe(before)
