--- a/request/gateway/src/cancelWhenEnded.ts
+++ b/request/gateway/src/cancelWhenEnded.ts
@@ -4,13 +4,13 @@
 import type { Exchange } from './exchange'
 import type { RelayParts } from './relayParts'
 
-/** Events of an engine at work follow each other within some ten milliseconds; sheets allow pauses of 300 ms. */
+/** Events of a running stream are tens of milliseconds apart, and route sheets allow pauses of up to 300 ms. */
 const MAX_SILENCE_MS: Millis = 400
 
 /**
- * Cancels an exchange whose endpoint is said to have ended, once nothing comes from it any more. What other machines
- * say may be late or wrong; bytes that still come are better evidence.
- * @returns what to call when the exchange is over.
+ * Cancels an exchange once its endpoint is reported as ended and sends nothing more. Reports of other boxes may be late or
+ * wrong, so bytes that still arrive take precedence.
+ * @returns a function that stops watching; call it when the exchange is over.
  */
 export function cancelWhenEnded(
   { pool, clock }: Pick<RelayParts, 'pool' | 'clock'>,
--- a/request/gateway/src/decideRetry.ts
+++ b/request/gateway/src/decideRetry.ts
@@ -2,46 +2,46 @@
 import { ANSWER_MARGIN_MS } from './relayParts'
 
 /**
- * How a try at an answer failed. `refused`: no place, no sending is left, or nothing there may be used now. `not-run`: an
- * engine that was sent to proves that it did not run, `arrived` where it says so itself. `lost`: an engine has broken off.
+ * How an attempt failed. `refused`: no placement or no usable engine, or the retry budget is used up. `not-run`: the request
+ * provably did not run at the engine; `arrived` if the engine itself said so. `lost`: the engine broke off and may have run it.
  */
 export type AttemptFailure = { type: 'refused' } | { type: 'not-run'; arrived: boolean } | { type: 'lost' }
 
-/** What is known when a try has failed. */
+/** State of a request after a failed attempt. */
 export interface RetryState {
-  /** Whether the caller has the head of its answer. */
+  /** Whether the caller has received the response head. */
   hasBegun: boolean
-  /** Whether an answer that has begun may be made anew from where it is. */
+  /** Whether the route lets another engine regenerate the rest of an answer. */
   isResumable: boolean
-  /** Until the caller's time or the route's is up. */
+  /** Time left until the deadline of the caller or of the route, whichever is earlier. */
   leftMs: Millis
-  /** Tries that ended as not run, this one included. */
+  /** Attempts that ended as `not-run`, including this one. */
   refusals: number
-  /** Whether the route lets one more engine run it. */
+  /** Whether the route allows one more engine to run the request. */
   hasEngineLeft: boolean
-  /** Whether the entries' allowance lets one more sending leave; asked only where that decides. */
+  /** Whether the retry budget allows one more sending; called only when the decision depends on it. */
   hasSendingLeft: () => boolean
-  /** Waits in a row, without an event between them. */
+  /** Consecutive waits without an event in between. */
   waits: number
 }
 
-/** What follows a try that has failed. */
+/** What follows a failed attempt: the end of the request, or another attempt after a delay. */
 export type RetryDecision = { type: 'end' } | { type: 'again'; afterMs: Millis }
 
-/** Less time than this is not worth another try. */
+/** With less time left than this, no further attempt is made. */
 const MIN_TIME_LEFT_MS: Millis = ANSWER_MARGIN_MS * 2
 const MAX_REFUSALS = 3
-/** An engine ends an answer every some ten milliseconds, so that one that was full a moment ago may have room. */
+/** A busy engine finishes an answer every few tens of milliseconds, so a full one may have room again after this. */
 const FIRST_DELAY_MS: Millis = 50
-/** While all turn it away, an answer that has begun asks so seldom that it costs whoever places less than reporting it does. */
+/** Keeps the placement requests of a waiting answer cheaper for the leader than its progress reports. */
 const MAX_DELAY_MS: Millis = 400
 
 const END: RetryDecision = { type: 'end' }
 const RETRY_NOW: RetryDecision = { type: 'again', afterMs: 0 }
 
 /**
- * Decides whether another try follows. A request that has not begun may be refused, and its caller comes back; one that
- * has begun has nobody else to go to: no refusal ends it while there is time, as long as it may go on anywhere.
+ * Decides whether another attempt follows. Before the response head is sent, the request may be refused, and its caller can
+ * retry. Afterwards the caller cannot retry without losing the answer, so a resumable one is retried until its time is up.
  */
 export function decideRetry(failure: AttemptFailure, state: RetryState): RetryDecision {
   if (state.leftMs < MIN_TIME_LEFT_MS) return END
@@ -64,7 +64,7 @@
   return state.hasEngineLeft && state.hasSendingLeft() ? RETRY_NOW : END
 }
 
-/** How long to wait after so many waits in a row. */
+/** Returns the delay before the next attempt, which doubles with each consecutive wait up to {@link MAX_DELAY_MS}. */
 export function retryDelayMs(waits: number): Millis {
   return Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * 2 ** waits)
 }
--- a/request/gateway/src/engineStream.ts
+++ b/request/gateway/src/engineStream.ts
@@ -3,45 +3,45 @@
 import type { PooledEndpoint, SendOutcome } from './endpointPool'
 import type { Verdict } from './judgeAnswer'
 
-/** How one engine's stream ended, and what it says of the engine. */
+/** How the stream of one engine ended, and the outcome that is recorded for the engine. */
 export interface StreamResult {
   attempt: Attempt
   sendOutcome: SendOutcome
 }
 
-/** Where an engine finds the memory that a request goes on from. */
+/** The engine and handle from which another engine fetches the KV cache of a request. */
 export interface KvSource {
   at: PooledEndpoint
   handle: string
 }
 
-/** How one engine's stream ended. */
+/** How the stream of one engine ended. */
 export type Attempt =
   | { type: 'done' }
   | { type: 'passed'; status: number }
-  /** `isGone`: the engine that was meant is not there any more. */
+  /** `isInstanceGone`: the intended instance no longer exists. */
   | { type: 'not-run'; arrived: boolean; reason: string; isInstanceGone?: boolean }
-  /** It may have run; `begun` where events were passed on. */
+  /** The engine may have run the request. */
   | { type: 'lost'; reason: string }
-  /** Nothing was sent: the allowance of repeated sendings is used up. */
+  /** Nothing was sent because the retry budget is used up. */
   | { type: 'denied' }
   | { type: 'over' }
 
-/** What the stream of one engine needs of its request. */
+/** The request that an {@link EngineStream} belongs to. */
 export interface StreamContext {
-  /** Whether the caller has a part of its answer. */
+  /** Whether the caller has received a part of the answer. */
   readonly hasBegun: boolean
   judge(head: AnswerHead, at: PooledEndpoint): Verdict
   countPossibleRun(): void
-  /** Passes on the events that the caller does not have yet. */
+  /** Forwards the events that the caller does not have yet. */
   forwardEvents(head: AnswerHead, events: StreamEvent[]): void
-  /** Ends the caller's answer as whole. */
+  /** Completes the caller's answer. */
   forwardEnd(head: AnswerHead, rest: Buffer): void
-  /** Sends an engine's own failure on; returns the status that the caller gets. */
+  /** Forwards a failure that the engine answered with; returns the status that the caller gets. */
   forwardFailure(head: AnswerHead, body: Buffer): number
 }
 
-/** The stream of one engine. */
+/** Parses the stream of one engine and forwards its events. */
 export class EngineStream {
   private head: AnswerHead | undefined
   private verdict: Verdict = 'foreign'
@@ -66,7 +66,7 @@
     if (events.length > 0) this.context.forwardEvents(this.head!, events)
   }
 
-  /** What is believed of an engine whose stream was ended from here. */
+  /** Returns the outcome to record for an engine whose stream this entry ended. */
   outcomeIfCancelled(): SendOutcome {
     return this.isSuccess ? 'ok' : 'cancelled'
   }
@@ -91,7 +91,7 @@
     if (!end.complete) return { attempt: { type: 'lost', reason: end.reason }, sendOutcome: 'failed' }
     if (this.verdict === 'foreign')
       return { attempt: { type: 'lost', reason: 'not an answer to this request' }, sendOutcome: 'failed' }
-    // A failure cannot be passed on in the middle of an answer: it would stay open, without its end.
+    // A failure cannot be forwarded in the middle of an answer: the caller's stream would stay open without an end.
     if (!this.isSuccess && this.context.hasBegun)
       return {
         attempt: { type: 'lost', reason: `the engine failed with ${this.head!.status}` },
--- a/request/gateway/src/eventPauses.ts
+++ b/request/gateway/src/eventPauses.ts
@@ -1,22 +1,22 @@
 import type { Millis } from '@forkstage/types'
 
-/** When a stream's events came: the first, and the longest time between two. */
+/** Tracks the time to the first event of a stream and the longest pause between events. */
 export class EventPauses {
-  /** From the head of the request to the first event. */
+  /** Time from the request head to the first event; undefined before it. */
   firstMs: Millis | undefined
-  /** The longest time between two events. */
+  /** The longest time between two events; undefined until there are two. */
   longestMs: Millis | undefined
   private lastAt: Millis | undefined
 
-  /** @param startedAt when the head of the request was there. */
+  /** @param startedAt when the request head arrived. */
   constructor(private readonly startedAt: Millis) {}
 
-  /** How long nothing has come. */
+  /** Returns the time since the last event, or since the request head if there was none. */
   silentMs(now: Millis): Millis {
     return now - (this.lastAt ?? this.startedAt)
   }
 
-  /** Notes that events have come. */
+  /** Records that events arrived. */
   recordEvents(now: Millis): void {
     this.firstMs ??= Math.round(now - this.startedAt)
     if (this.lastAt !== undefined)
--- a/request/gateway/src/eventSplitter.ts
+++ b/request/gateway/src/eventSplitter.ts
@@ -1,4 +1,4 @@
-/** One event of a stream: its bytes with the blank line that ends it, and its id where it has one. */
+/** One server-sent event: its bytes including the terminating blank line, and its id if it has one. */
 export interface StreamEvent {
   bytes: Buffer
   id?: number
@@ -8,16 +8,16 @@
 const CARRIAGE_RETURN = 13
 const MAX_ID_LINE_BYTES = 64
 
-/** Cuts the bytes of a stream into whole events; what is not ended yet waits. */
+/** Splits a byte stream into complete server-sent events and buffers an incomplete one. */
 export class EventSplitter {
   private pending: Buffer = Buffer.alloc(0)
 
-  /** Bytes of an event that has not ended. */
+  /** The buffered bytes of an incomplete event. */
   get unfinished(): Buffer {
     return this.pending
   }
 
-  /** Takes bytes as they come and returns the events that they complete. */
+  /** Appends bytes and returns the events that they complete. */
   push(chunk: Buffer): StreamEvent[] {
     let bytes = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk])
     const events: StreamEvent[] = []
@@ -31,7 +31,7 @@
   }
 }
 
-/** The length of the first whole event, or 0. */
+/** Returns the length of the first complete event in bytes, or 0 if there is none. */
 function endOfEvent(bytes: Buffer): number {
   let lineIsEmpty = false
   for (let index = bytes.indexOf(LINE_FEED); index >= 0; index = bytes.indexOf(LINE_FEED, index + 1)) {
--- a/request/gateway/src/exchange.ts
+++ b/request/gateway/src/exchange.ts
@@ -3,14 +3,14 @@
 import type { Clock } from '@forkstage/clock'
 import type { Address, Millis } from '@forkstage/types'
 
-/** The head of an endpoint's answer. */
+/** The status line and headers of an endpoint's answer. */
 export interface AnswerHead {
   status: number
-  /** Names and values by turns, as they came. */
+  /** Alternating names and values, as received. */
   rawHeaders: string[]
-  /** Values by name in lower case. */
+  /** Values by lower-case name. */
   headers: Record<string, string | string[] | undefined>
-  /** Whether the answer says itself where it ends; otherwise its connection does. */
+  /** Whether the answer has a length or is chunked; otherwise it ends with its connection. */
   isFramed: boolean
 }
 
@@ -19,7 +19,7 @@
   | { complete: true }
   /**
    * `sent`: a byte may have reached the endpoint, so it may have run the request.
-   * `refused`: nobody is there; otherwise it may only be slow, or packets were lost.
+   * `refused`: the connection was refused; otherwise the endpoint may be slow, or packets were lost.
    */
   | { complete: false; sent: boolean; refused: boolean; reason: string }
 
@@ -28,10 +28,10 @@
   address: Address
   method: string
   path: string
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   rawHeaders: string[]
   body: Buffer
-  /** How long to wait for the connection. */
+  /** Connect timeout. */
   connectMs: Millis
   clock: Clock
   onHead: (head: AnswerHead) => void
@@ -40,15 +40,15 @@
   onEnd: (end: ExchangeEnd) => void
 }
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Closes the connection, so that the endpoint stops; ends the exchange as not complete. */
+  /** Closes the connection, so that the endpoint stops, and ends the exchange as incomplete. */
   cancel(reason: string): void
   pause(): void
   resume(): void
   /**
-   * How long its endpoint has sent nothing; Infinity until its answer begins, and 0 while it is paused here, where nothing
-   * would be noticed.
+   * Returns how long the endpoint has sent nothing: Infinity before its answer begins, 0 while the exchange is paused,
+   * since nothing is read then.
    */
   silentMs(): Millis
 }
@@ -56,8 +56,8 @@
 const REFUSED = 'ECONNREFUSED'
 
 /**
- * Sends one request over a connection of its own. Nothing left over from an earlier answer can arrive on it,
- * no endpoint can have forgotten it, and what comes after the answer belongs to nobody.
+ * Sends one request over a new connection. Without reuse, no bytes of an earlier answer can arrive on it, the endpoint cannot
+ * have closed it while idle, and bytes after the answer can be ignored.
  */
 export function openExchange(options: ExchangeOptions): Exchange {
   const { address, method, path, rawHeaders, body, clock } = options
@@ -82,7 +82,7 @@
     port: Number(address.slice(colon + 1)),
     method,
     path,
-    // Open in our direction after the endpoint has ended its own, see endedBySaying.
+    // Keeps our side open after the endpoint has closed its side, see endedWithFin.
     createConnection: (target) =>
       connect({ host: target.host!, port: Number(target.port), allowHalfOpen: true, noDelay: true }),
     setHost: false,
@@ -154,13 +154,12 @@
   })
 }
 
-/** An empty line: what HTTP lets precede a request, to an endpoint that has ended anyway. */
+/** HTTP allows an empty line before a request; the endpoint has closed its side and ignores it. */
 const EMPTY_LINE = '\r\n'
 
 /**
- * Whether an answer without a length ended because its endpoint said so. A reset that follows the last bytes
- * closely is reported to the program as an ordinary end; only a write then tells them apart: it fails on a
- * connection that was reset.
+ * Resolves to whether an answer without a length ended because its endpoint closed the connection in order. A reset right
+ * after the last bytes is reported as an ordinary end; a write then tells them apart, since it fails after a reset.
  */
 function endedWithFin(socket: Socket): Promise<boolean> {
   return new Promise((resolve) => {
--- a/request/gateway/src/fetchAnswer.ts
+++ b/request/gateway/src/fetchAnswer.ts
@@ -2,22 +2,22 @@
 import type { Millis } from '@forkstage/types'
 import { openExchange, type AnswerHead, type Exchange, type ExchangeOptions } from './exchange'
 
-/** A whole answer, or why there is none. */
+/** A complete answer, or why there is none. */
 export type FetchOutcome =
   | { type: 'answer'; head: AnswerHead; body: Buffer }
-  /** `sent`: the endpoint may have run the request. `isGivenUp`: it did not answer in the time it was given. */
+  /** `sent`: the endpoint may have run the request. `isTimedOut`: no complete answer arrived within `timeoutMs`. */
   | { type: 'failed'; sent: boolean; refused: boolean; reason: string; isTimedOut?: boolean }
 
 /** Options of {@link fetchAnswer}. */
 export interface FetchOptions extends Omit<ExchangeOptions, 'onHead' | 'onData' | 'onEnd'> {
   maxBytes: number
-  /** After how long it is given up, in milliseconds; never where left out. */
+  /** Limit for the whole exchange; none if absent. */
   timeoutMs?: Millis
-  /** Receives the exchange, so that it can be cancelled. */
+  /** Called with the exchange once it is open, so that it can be cancelled. */
   onOpen?: (exchange: Exchange) => void
 }
 
-/** Sends one request and gathers its answer. Never rejects. */
+/** Sends one request and buffers its whole answer. Never rejects. */
 export function fetchAnswer(options: FetchOptions): Promise<FetchOutcome> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
@@ -37,7 +37,8 @@
         cancelTimeout()
         if (end.complete && head !== undefined)
           return resolve({ type: 'answer', head, body: Buffer.concat(chunks) })
-        if (end.complete) return resolve({ type: 'failed', sent: true, refused: false, reason: 'no head' })
+        if (end.complete)
+          return resolve({ type: 'failed', sent: true, refused: false, reason: 'the answer has no head' })
         resolve({
           type: 'failed',
           sent: end.sent,
--- a/request/gateway/src/gatewayRetryBudget.ts
+++ b/request/gateway/src/gatewayRetryBudget.ts
@@ -4,16 +4,16 @@
 /** Options of {@link GatewayRetryBudget}. */
 export interface GatewayRetryBudgetOptions {
   clock: Clock
-  /** Second sendings for each request, over all entries. */
+  /** Repeated sendings allowed per request, over all entries. */
   share: number
-  /** Second sendings beyond the share in one window, over all entries. */
+  /** Repeated sendings allowed beyond the share in one window, over all entries. */
   slack: number
   windowMs: Millis
-  /** How many entries share the slack; an upper bound where it is not known. */
+  /** Returns how many entries share the slack; an upper bound if unknown. */
   entries: () => number
 }
 
-/** A restarted entry has forgotten what it spent, so that half of the slack is all that may be planned with. */
+/** A restarted entry has forgotten what it spent, so only half of the slack is usable. */
 const USABLE_SLACK_SHARE = 0.5
 
 interface SendTimes {
@@ -21,20 +21,20 @@
   repeats: Millis[]
 }
 
-/** This entry's part of each service's allowance of second sendings, over a sliding window. */
+/** This entry's part of the retry budget of each service, over a sliding window. */
 export class GatewayRetryBudget {
   private readonly services = new Map<string, SendTimes>()
-  /** Second sendings that were made, and those for which nothing was left. */
+  /** Repeated sendings that were granted and denied. */
   readonly counts = { taken: 0, denied: 0 }
 
   constructor(private readonly options: GatewayRetryBudgetOptions) {}
 
-  /** Counts a caller's request for a service. */
+  /** Records a caller's request for a service. */
   recordRequest(service: string): void {
     this.timesOf(service).requests.push(this.options.clock.now())
   }
 
-  /** Whether a second sending is left; counts as denied where none is. */
+  /** Whether a repeated sending is left; counts a denial otherwise. */
   isLeft(service: string): boolean {
     const { share, slack, entries } = this.options
     const times = this.timesOf(service)
@@ -44,7 +44,7 @@
     return isLeft
   }
 
-  /** Takes one second sending, where one is left. */
+  /** Spends one repeated sending; returns false if none is left. */
   take(service: string): boolean {
     if (!this.isLeft(service)) return false
     this.timesOf(service).repeats.push(this.options.clock.now())
@@ -52,7 +52,7 @@
     return true
   }
 
-  /** Gives back a second sending that turned out to be none. */
+  /** Returns a repeated sending to the budget, because it turned out not to count. */
   refund(service: string): void {
     if (this.timesOf(service).repeats.pop() === undefined) return
     this.counts.taken -= 1
--- a/request/gateway/src/holdTime.ts
+++ b/request/gateway/src/holdTime.ts
@@ -1,26 +1,26 @@
 import type { Route } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
 
-/** The longest wait for a place, in targets: callers give a silent stream up at four. */
+/** The longest wait for a placement, in targets; callers abandon a silent stream after four targets. */
 const MAX_HOLD_IN_TARGETS = 3.4
-/** A caller gives up a stream that is silent for so many targets, so many of its longest pauses, or this time. */
+/** Callers abandon a stream once it is silent for the longest of these: targets, allowed pauses, milliseconds. */
 const PATIENCE_IN_TARGETS = 4
 const PATIENCE_IN_PAUSES = 8
 const MIN_PATIENCE_MS = 2_000
-/** The share of the time left that a request may wait. */
+/** Share of the remaining time that a request may wait for a placement. */
 const HOLD_SHARE_OF_TIME_LEFT = 0.4
 
 /**
- * The longest that a model request may wait for a place.
- * @param targetMs the route's time to the first event.
- * @param leftMs time left until its caller gives up.
- * @param silentMs how long its caller has heard nothing by now: a sending that failed has taken its time already.
+ * Returns how long a model request may wait for a placement, in milliseconds.
+ * @param targetMs the route's target for the time to the first event.
+ * @param leftMs time left until the deadline of the request.
+ * @param silentMs time since the caller last received anything; failed sendings count towards it.
  */
 export function holdTime(targetMs: Millis, leftMs: Millis, silentMs: Millis): Millis {
   return Math.max(0, Math.min(targetMs * MAX_HOLD_IN_TARGETS - silentMs, leftMs * HOLD_SHARE_OF_TIME_LEFT))
 }
 
-/** How long a model request may wait for a place, and until when its first event must be there to be of use. */
+/** Returns how long a model request may wait for a placement, and within what time its first event must arrive to be of use. */
 export function waitTimes(
   { targetMs, pauseMs = 0 }: Pick<Route, 'targetMs' | 'pauseMs'>,
   leftMs: Millis,
--- a/request/gateway/src/isolatedPlace.ts
+++ b/request/gateway/src/isolatedPlace.ts
@@ -5,23 +5,23 @@
 import type { PooledEndpoint } from './endpointPool'
 import type { RelayJob, RelayParts } from './relayParts'
 
-/** An endpoint that is kept free for a request, or when to come back for one. */
+/** An endpoint that is reserved for a request, when to ask again for one, or that none is needed. */
 export type PermittedPlace =
   | { type: 'place'; at: AtHome<PooledEndpoint>; end: () => void }
   | { type: 'later'; retryAfterMs: Millis }
   | { type: 'anywhere' }
 
-/** Why a request is refused that must run alone. */
+/** Refusal reason of a request that must run alone. */
 export const MUST_BE_ISOLATED = 'must run alone'
 
-/** The part of the time left that a request waits for an endpoint to be kept free, and the longest it does. */
+/** Share of the remaining time that a request waits for a reserved endpoint, and the upper limit of that wait. */
 const WAIT_SHARE = 0.5
 const MAX_WAIT_MS: Millis = 1_000
 const UNAVAILABLE_RETRY_MS: Millis = 1_000
 
 /**
- * Asks the leader for an endpoint where a request runs alone that may end those that run it. It waits for that a while:
- * its callers have lost it twice by then, and hardly come back once more.
+ * Asks the leader to reserve an endpoint for the isolated trial of a request that may crash its endpoint. Waits a while for
+ * one, since the request was already lost twice and its callers are unlikely to retry once more.
  */
 export async function isolatedPlace(
   parts: RelayParts,
@@ -41,8 +41,8 @@
 }
 
 /**
- * Waits until no other run of a request's content is under way, as far as the leader knows, and then has it run anywhere. Where
- * the wait gets long it runs all the same: by then a poison request would have crashed its endpoint, and be known.
+ * Waits until the leader knows of no other run of the same content, then lets the request run at any endpoint. After a long
+ * wait it runs nevertheless: by then a poison request would have crashed its endpoint and be recorded.
  */
 export async function awaitTurn(
   parts: RelayParts,
--- a/request/gateway/src/judgeAnswer.ts
+++ b/request/gateway/src/judgeAnswer.ts
@@ -1,26 +1,26 @@
 import type { AnswerHead } from './exchange'
 import type { HeaderNames } from './gatewayWire'
 
-/** What an answer's head proves. */
+/** What the head of an answer proves about a request. */
 export type Verdict =
-  /** The endpoint's own answer to this request. */
+  /** The answer of the intended endpoint to this request. */
   | 'answer'
   /** The endpoint did not run the request and never will. */
   | 'not-run'
-  /** Another process has the address: the instance is gone, and the request did not run. */
+  /** Another process owns the address: the instance is gone, and the request did not run. */
   | 'other-instance'
-  /** No proof of anything: another request's answer, or none in the protocol. */
+  /** Proves nothing: the answer to another request, or not an answer of this protocol. */
   | 'foreign'
 
 const MISDIRECTED = 421
 
-/** Reads from an answer's head whose it is and whether the request ran. */
+/** Determines from the head of an answer which process sent it and whether the request ran. */
 export function judgeAnswer(
   head: AnswerHead,
   request: { id: string; instance: string },
   names: HeaderNames,
 ): Verdict {
-  // The same instance says this of work that it does not do at the moment.
+  // The intended instance also answers 421 to work that it does not accept at the moment.
   const isSame = head.headers[names.instance] === request.instance
   if (head.status === MISDIRECTED) return isSame ? 'not-run' : 'other-instance'
   if (head.headers[names.notExecuted] !== undefined) return 'not-run'
--- a/request/gateway/src/modelWork.ts
+++ b/request/gateway/src/modelWork.ts
@@ -5,7 +5,7 @@
 import { promptPartsOf } from './promptParts'
 import { EARLY_REFUSAL_SHARE, type RelayJob, type RelayParts } from './relayParts'
 
-/** What a place is asked for with, by the times that the request has left now; without what its run has found out. */
+/** Builds the placement request with the times that are left now, except for what earlier attempts determine. */
 export function modelWork(
   { wire, clock }: RelayParts,
   job: RelayJob,
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -32,16 +32,16 @@
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024
 const MAX_REFUSALS = 3
 const RETRY_AFTER_MS = 400
-/** The share of the time to the target that a caller that came back waits for an endpoint with room. */
+/** Share of the target that a retry waits for an endpoint with room. */
 const RETURN_WAIT_SHARE = 0.5
 
-/** What one sending proved. */
+/** The result of one sending. */
 type SendingResult =
   | { type: 'answer'; head: AnswerHead; body: Buffer }
   | { type: 'not-run'; arrived: boolean }
   | { type: 'unknown'; reason: string }
 
-/** Sends a plain request to one endpoint after another, as far as its route allows, and its answer back. */
+/** Sends a plain request to one endpoint after another, as far as its route allows, and forwards the answer. */
 export async function relayPlain(parts: RelayParts, job: RelayJob): Promise<RelayResult> {
   const run = new PlainRun(parts, job)
   return run.relay()
@@ -92,7 +92,7 @@
       const to = permit.type === 'place' ? permit.at : await this.chooseEndpoint()
       if (this.isOver) return this.overResult()
       if (to === undefined) return this.endWithoutAnswer(failed, this.whyNone())
-      // Others that waited may have taken the room, and endpoints may have crashed under the same request meanwhile.
+      // While it waited, other requests may have taken the room, and the same content may have crashed endpoints.
       if (permit.type !== 'place' && (!this.hasRoom(to) || this.crashGuard.isOutdated(decision))) continue
       const sending = await this.sendTo(to, permit)
       if (sending === undefined) return this.endWithoutAnswer(failed, 'no repeated sending is left')
@@ -105,13 +105,13 @@
     }
   }
 
-  /** The endpoint to try next, once one has room; undefined where none has in time. */
+  /** Waits for an endpoint with room and returns it; undefined if none has room in time. */
   private chooseEndpoint(): Promise<AtHome<PooledEndpoint> | undefined> {
     const { clock } = this.parts
     const { request, route, isReturn } = this.job
     const share = isReturn ? RETURN_WAIT_SHARE : EARLY_REFUSAL_SHARE
     const left = request.arrivedAt + route.targetMs * share - clock.now()
-    // Nothing is worth waiting for where every endpoint must get nothing, for nobody knows how long.
+    // Waiting is pointless if no endpoint may get the request within the time that is left to wait.
     const { pool, limits } = this.parts
     const all = pool.candidates(this.job.service.name, { regions: this.job.homes() })
     limits?.requestPermits(all)
@@ -131,7 +131,7 @@
     return pool.leastLoaded(cold?.eligible(open) ?? open)
   }
 
-  /** Whether an endpoint has room for one more request of this entry, and has not said that it wants none. */
+  /** Whether an endpoint accepts requests and has room for one more from this entry. */
   private hasRoom(to: PooledEndpoint): boolean {
     const { entries, pool } = this.parts
     if (!pool.isAvailable(to)) return false
@@ -140,7 +140,7 @@
     return to.inFlight < Math.min(to.limit.value, share)
   }
 
-  /** Endpoints that may get the request, but for those named, as far as the rates that they name allow it now. */
+  /** Returns the endpoints that may get the request and whose rate limits allow it now, without those in `except`. */
   private usable(except?: ReadonlySet<string>): AtHome<PooledEndpoint>[] {
     const { pool, limits } = this.parts
     const candidates = pool.candidates(this.job.service.name, { except, regions: this.job.homes() })
@@ -160,12 +160,12 @@
     return pool.hasEndpoints(service.name) ? OUTSIDE_REGIONS : 'no endpoint'
   }
 
-  /** Why none may get the request where all want nothing from here, and for how long; else undefined. */
+  /** Returns why and for how long all endpoints are closed to this entry; undefined if one is open. */
   private closed(): Unavailability | undefined {
     return this.parts.pool.unavailability(this.job.service.name, { regions: this.job.homes() })
   }
 
-  /** Until this entry may use a cold endpoint again, where all are cold and none may get more; else undefined. */
+  /** Returns the time until this entry may use a cold endpoint again; undefined unless all are cold and exhausted. */
   private coldWait(): Millis | undefined {
     const { pool, cold } = this.parts
     const waitMs = cold?.availableInMs(pool.candidates(this.job.service.name, { regions: this.job.homes() }))
@@ -184,7 +184,7 @@
     return sending
   }
 
-  /** Sends the request to one endpoint; undefined where no repeated sending is left. */
+  /** Sends the request to one endpoint; undefined if the retry budget is used up. */
   private async send(to: AtHome<PooledEndpoint>): Promise<SendingResult | undefined> {
     const { parts, job } = this
     this.tried.add(to.endpoint.id)
@@ -216,10 +216,10 @@
       reportLostSending(parts, job, to, tookMs, this.isOver ? tookMs : undefined)
       this.crashGuard.recordLost(to.endpoint.id)
     }
-    // What a cold endpoint takes says nothing of what it bears later.
+    // The latency of a cold endpoint says nothing about its later capacity.
     const isCold = parts.cold?.isCold(to.endpoint.id) === true
     if (sendOutcome === 'ok' && !isCold) to.limit.recordAnswer(tookMs, job.route.targetMs)
-    // One that asked for rest has said all there is to learn: what it bears while it is well has not changed.
+    // An endpoint that asked for backoff keeps its limit: its normal capacity is unchanged.
     if (sendOutcome === 'full' && parts.pool.isAvailable(to)) to.limit.recordFull()
     parts.pool.recordEnd(to, this.isOver ? 'cancelled' : sendOutcome, tookMs)
     this.sends.push({ to: to.endpoint.id, step: 'plain', outcome: sendOutcome, tookMs: Math.round(tookMs) })
@@ -250,7 +250,7 @@
     return { sending: { type: 'answer', head, body }, sendOutcome: head.status >= 500 ? 'failed' : 'ok' }
   }
 
-  /** An endpoint's own failure of a request that may run again. */
+  /** Whether an answer is a server error and the request may run again. */
   private isWorthRepeating(sending: Extract<SendingResult, { type: 'answer' }>): boolean {
     if (sending.head.status < 500) return false
     return this.mayRepeat(sending)
@@ -262,7 +262,7 @@
     if (sending.type === 'not-run' && !sending.arrived) return true
     if (sending.type !== 'not-run' && route.kind !== 'safe') return false
     if (this.possibleRuns >= route.attempts) return false
-    // One that has just refused is not asked again for the same request where there is no other.
+    // If no untried endpoint is left, one that has just rejected the request does not get it again.
     if (sending.type === 'not-run' && !this.hasUntried()) return false
     return this.sendCounter.isLeft()
   }
@@ -274,7 +274,11 @@
   private forwardAnswer(sending: Extract<SendingResult, { type: 'answer' }>): OwnResult {
     const { head, body } = sending
     if (NOT_RUN_STATUSES.has(head.status))
-      return answerFailure(this.job.request.response, 502, 'the endpoint gave a promise it cannot keep')
+      return answerFailure(
+        this.job.request.response,
+        502,
+        'the endpoint answered with a retry status but may have run the request',
+      )
     const rawHeaders = dropHeaders(head.rawHeaders, ['content-length'])
     sendEndpointAnswer(this.job.request.response, {
       status: head.status,
@@ -285,7 +289,7 @@
     return { status: head.status, outcome: 'answered' }
   }
 
-  /** Ends a request for which there is no good answer. */
+  /** Ends a request that got no successful answer. */
   private endWithoutAnswer(
     failed: SendingResult | undefined,
     reason: string,
@@ -297,7 +301,7 @@
     return answerRefusal(this.job.request.response, reason, comeBackMs)
   }
 
-  /** The time is up: what is under way may still run. */
+  /** Answers a request whose time is up; a sending in progress may still run. */
   private answerLate(): void {
     if (this.possibleRuns > 0 || this.exchange !== undefined)
       answerFailure(this.job.request.response, 504, 'the time is up')
@@ -316,7 +320,7 @@
   }
 }
 
-/** Why a sending brought no good answer, for the log and the caller. */
+/** Returns why a sending got no successful answer, for the log and the caller. */
 function reasonOf(sending: SendingResult): string {
   if (sending.type === 'unknown') return sending.reason
   if (sending.type === 'answer') return `the endpoint failed with ${sending.head.status}`
--- a/request/gateway/src/prefillStep.ts
+++ b/request/gateway/src/prefillStep.ts
@@ -10,32 +10,32 @@
 import type { Arrival } from './sendCounter'
 
 const MAX_ANSWER_BYTES = 64 * 1024
-/** A prefill step is given up after twice the time that it should take and this share of the target. */
+/** A prefill step times out after {@link EXPECTED_FACTOR} times its expected duration plus this share of the target. */
 const SLACK_SHARE = 0.25
 const EXPECTED_FACTOR = 2
-/** The share of the target after which it is given up where nobody knows how long it should take. */
+/** The timeout as a share of the target if the expected duration is unknown. */
 const UNKNOWN_TIMEOUT_SHARE = 0.9
 
-/** The memory that a prefill step left at an engine. */
+/** The KV cache that a prefill step left at an engine. */
 export interface Prefilled {
   at: PooledEndpoint
   handle: string
   createdAt: Millis
-  /** When it was asked for. */
+  /** When the prefill step was sent. */
   requestedAt: Millis
 }
 
 /** How a prefill step ended. */
 export interface PrefillResult {
-  /** Absent where the prompt was not read. */
+  /** Absent if the prompt was not prefilled. */
   prefilled?: Prefilled
   sendOutcome: SendOutcome
-  /** Whether an engine took it, as the allowance of repeated sendings counts it. */
+  /** How the retry budget counts the sending. */
   arrival: Arrival
   tookMs: Millis
 }
 
-/** Has a prompt read by the prefill engine of a place. `onOpen` receives the exchange, so that it can be cancelled. */
+/** Prefills a prompt at the prefill engine of a placement. `onOpen` gets the exchange, so that it can be cancelled. */
 export async function prefillStep(
   parts: RelayParts,
   job: RelayJob,
@@ -55,7 +55,7 @@
     connectMs: CONNECT_MS,
     clock,
     maxBytes: MAX_ANSWER_BYTES,
-    // An engine may take a prompt and say nothing more: the prompt is then read elsewhere.
+    // If the engine accepts the prompt and hangs, the prompt is prefilled elsewhere.
     timeoutMs: prefillTimeoutMs(place, job),
     onOpen: (exchange) => {
       onOpen(exchange)
--- a/request/gateway/src/promptParts.ts
+++ b/request/gateway/src/promptParts.ts
@@ -2,11 +2,11 @@
 import { firstValue, type CallerRequest } from './callerRequest'
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 
-/** Parts travel with each question for a place and each report of it: so many at most, with names of so many letters. */
+/** Parts are sent with every placement request and report, so their number and the length of their names are limited. */
 const MAX_PARTS = 16
 const MAX_NAME_LENGTH = 64
 
-/** The parts that a request names; undefined where it names none, or they cannot be those of its prompt. */
+/** Returns the prompt parts that a request names; undefined if it names none or they do not add up to its prompt. */
 export function promptPartsOf(
   { headers }: CallerRequest,
   wire: GatewayWire,
--- a/request/gateway/src/promptPrefill.ts
+++ b/request/gateway/src/promptPrefill.ts
@@ -11,23 +11,23 @@
 import type { SendCounter } from './sendCounter'
 import { SUSPENDED, whyNotSend } from './sendRules'
 
-/** A handle is used for another engine only while it surely still stands. */
+/** A handle is passed on only within this share of its lifetime, so that it is certainly still valid. */
 const USABLE_HANDLE_SHARE = 0.5
 
-/** Why an engine may get nothing at the moment, though it may in the next. */
+/** Reasons that may pass within moments, so that the engine stays a candidate. */
 const TRANSIENT_REASONS = new Set([COLD_LIMIT_REASON, RATE_LIMIT_REASON, SUSPENDED, RETRY_AFTER_REASON])
 
-/** What the reading of a prompt needs of its request. */
+/** The request that a {@link PromptPrefill} belongs to. */
 export interface PrefillContext {
   readonly isOver: boolean
   readonly sends: SendRecord[]
-  /** Instances that are not to be chosen again. */
+  /** Instances that must not be chosen again. */
   readonly except: Set<string>
-  /** The exchange that is under way, so that it can be cancelled. */
+  /** The exchange in progress, so that it can be cancelled. */
   exchange: Exchange | undefined
 }
 
-/** The prompt of one request: read by a prefill engine, kept there, taken by a decode engine or freed. */
+/** Prefills the prompt of one request and owns its KV cache until a decode engine fetches it or it is released. */
 export class PromptPrefill {
   private prefilled: Prefilled | undefined
 
@@ -38,7 +38,7 @@
     private readonly context: PrefillContext,
   ) {}
 
-  /** Has the prompt read at a place; `none` where its decode engine is to read it. */
+  /** Prefills the prompt at a placement; returns `none` if the decode engine has to prefill it. */
   async prefillAt(place: ModelPlace): Promise<'read' | 'not-read' | 'none'> {
     const { parts, job, context } = this
     const at = place.prefill
@@ -50,7 +50,7 @@
       return 'not-read'
     }
     const sending = this.sendCounter.open('prefill')
-    // Without one the decode engine reads the prompt, which no other sending has to precede.
+    // Without budget for this sending, the decode engine prefills the prompt itself.
     if (sending === undefined) {
       place.reportPrefilled('cancelled', 0)
       return 'none'
@@ -63,11 +63,11 @@
       reportLostSending(parts, job, at, tookMs, context.isOver ? tookMs : undefined)
     if (sendOutcome === 'silent') reportLostSending(parts, job, at, tookMs, tookMs)
     if (prefilled !== undefined) {
-      // What was read before and cannot be used any more is not kept until it lapses.
+      // Releases an unusable earlier KV cache instead of letting it expire.
       this.release()
       this.prefilled = prefilled
     }
-    // What never arrived has taken none of the engine's time, however long it was waited for.
+    // A request that never arrived took none of the engine's time, however long the connect took.
     const busyMs = sendOutcome === 'failed' && arrival === 'not-arrived' ? 0 : tookMs
     place.reportPrefilled(context.isOver ? 'cancelled' : sendOutcome, busyMs)
     context.sends.push({
@@ -81,12 +81,12 @@
     return 'not-read'
   }
 
-  /** Where the memory of the prompt is; undefined where nothing was read or a decode engine has taken it. */
+  /** The KV cache of the prompt; undefined if there is none or a decode engine has fetched it. */
   get held(): Prefilled | undefined {
     return this.prefilled
   }
 
-  /** Whether the memory may still be fetched by another engine. */
+  /** Whether another engine may still fetch the KV cache. */
   isUsable(): boolean {
     const lasts = (this.job.service.engine?.handleMs ?? 0) * USABLE_HANDLE_SHARE
     return (
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Why a decode engine must not go on from what is held. Memory in a region that is no home any more is freed, so that
-   * the prompt is read anew.
+   * Returns why a decode engine must not continue from the KV cache; undefined if it may. Releases a KV cache in a region
+   * that may no longer serve the request, so that the prompt is prefilled again.
    */
   whyNotDecode(at: PooledEndpoint): string | undefined {
     const { parts, job } = this
@@ -110,7 +110,7 @@
     return withheld ?? 'the prompt was read in a region that is no home any more'
   }
 
-  /** Another engine is asked for, unless this one may get none just now: it may be the only one that gets some. */
+  /** Excludes an engine from further placements, unless the reason is transient: it may be the only usable engine. */
   private exclude(at: PooledEndpoint, withheld: string): void {
     if (!TRANSIENT_REASONS.has(withheld)) this.context.except.add(at.endpoint.id)
   }
@@ -119,12 +119,12 @@
     return this.parts.pool.getWithinRegions(at.endpoint.id, this.job.homes()) !== undefined
   }
 
-  /** Notes that a decode engine has taken the memory. */
+  /** Records that a decode engine has fetched the KV cache. */
   markTaken(): void {
     this.prefilled = undefined
   }
 
-  /** Frees what nobody took. */
+  /** Releases a KV cache that no engine has fetched. */
   release(): void {
     const { prefilled, parts } = this
     this.prefilled = undefined
--- a/request/gateway/src/readVerdict.ts
+++ b/request/gateway/src/readVerdict.ts
@@ -6,9 +6,9 @@
 import type { RelayJob, RelayParts } from './relayParts'
 
 /**
- * Judges the answer to a sending, and takes what its endpoint says there of itself. Whose word a head is, is another question
- * than which request it answers: all but another process's at the same address.
- * @param isPrefilled whether the answer names the memory of a prompt; it need not name the request then.
+ * Judges the answer to a sending and records what its endpoint states in the head. Statements count in every answer of the
+ * intended instance, even if the answer belongs to no known request; only those of another process at the address do not.
+ * @param isPrefilled whether the answer contains the handle of a prefilled prompt; it need not name the request then.
  */
 export function readVerdict(
   parts: RelayParts,
--- a/request/gateway/src/recordRate.ts
+++ b/request/gateway/src/recordRate.ts
@@ -4,9 +4,9 @@
 import type { RelayParts } from './relayParts'
 
 /**
- * Takes the rate that an endpoint names.
- * @param isSuccess whether it has done what it was asked. Only such an answer without a word takes an earlier rate back: what
- *   answers a failure may not be what knows the rate.
+ * Records the rate limit that an endpoint names in an answer.
+ * @param isSuccess whether the endpoint did what was requested. Only a successful answer without a rate clears an earlier
+ *   one: a failure may have been answered by a component that does not know the rate.
  */
 export function recordRate(
   { wire, rates }: RelayParts,
--- a/request/gateway/src/recordStatements.ts
+++ b/request/gateway/src/recordStatements.ts
@@ -5,18 +5,19 @@
 import { recordRate } from './recordRate'
 import type { RelayParts } from './relayParts'
 
-/** The answer that was given. */
+/** The request that an answer belongs to. */
 export interface AnswerContext {
-  /** What was asked, for the log. */
+  /** Request id or handle, for the log. */
   request: string
-  /** Whether its endpoint has done what it was asked. */
+  /** Whether the endpoint did what was requested. */
   isSuccess?: boolean
 }
 
 /**
- * Takes what an endpoint says in an answer's head of what it wants from here. Each exchange has a connection of its own, so
- * that the head is the endpoint's also where it proves nothing of the request: a failure, an answer that names no request.
- * Unheard, such an endpoint draws requests: one that turns them away at once looks idle and quick.
+ * Records what an endpoint states in an answer's head: its rate limit, that it leaves, or a backoff (Retry-After). Each
+ * exchange has its own connection, so the statement is valid even if the head proves nothing about the request, such as a
+ * failure or an answer without a request id. If ignored, an endpoint that rejects at once would look idle and fast and
+ * attract more requests.
  */
 export function recordStatements(
   parts: RelayParts,
@@ -28,7 +29,7 @@
   const { wire, statements, pool } = parts
   if (statements === undefined) return
   const { id } = at.endpoint
-  // A field that comes twice has both values in one.
+  // Repeated header fields are joined with commas.
   const values = firstValue(head.headers[wire.headers.leaving])?.split(',') ?? []
   if (values.some((value) => wire.readLeaving(value.trim()))) {
     statements.recordLeaving(id, request)
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -22,51 +22,52 @@
 import type { GatewayRetryBudget } from './gatewayRetryBudget'
 import type { SendRule } from './sendRules'
 
-/** What relays work with. */
+/** Dependencies of the relays. */
 export interface RelayParts {
   wire: GatewayWire
   pool: EndpointPool
   placer: ModelPlacer
   retryBudget: GatewayRetryBudget
-  /** How many entries share what an endpoint takes; that is not looked at where left out. */
+  /** Returns how many entries share the connections of an endpoint; no share is enforced if absent. */
   entries?: () => number
-  /** What each sending must obey, asked right before it leaves; nothing where left out. */
+  /** Rules that are checked right before each sending. */
   sendRules?: SendRule[]
-  /** What cold endpoints may get from here; none is cold where left out. */
+  /** Limits requests to cold endpoints; no endpoint counts as cold if absent. */
   cold?: ColdEndpointLimiter
-  /** What endpoints that name rates may get from here; all where left out. */
+  /** Limits requests to endpoints that name a rate; unlimited if absent. */
   limits?: EndpointRateLimiter
-  /** The rates that endpoints name; what they say is not read where left out. */
+  /** Stores the rates that endpoints name; they are ignored if absent. */
   rates?: RateTable
-  /** What endpoints say in their answers of what they want from here; not read where left out. */
+  /** Stores what endpoints state in their answers, such as leaving; ignored if absent. */
   statements?: AvailabilityTracker
-  /** How long an endpoint goes on serving once it has said that it leaves; not counted on where left out. */
+  /** How long an endpoint keeps serving after it announced that it leaves; taken as 0 if absent. */
   leavingServesMs?: Millis
-  /** Knows which requests end the endpoints that run them; nothing is known where left out. */
+  /** Tracks requests that crash endpoints; not tracked if absent. */
   crashes?: CrashCoordinator
   clock: Clock
   random: Random
   logger: Logger
 }
 
-/** What is known of requests that end the endpoints that run them. */
+/** Tracks which requests crash their endpoints, and coordinates the turns and isolated trials of suspect contents. */
 export interface CrashCoordinator {
+  /** Records a sending that ended without a complete answer. */
   recordLoss(sending: LostAttempt): void
-  /** A request got a whole answer. `content` is asked for only where anything is known. */
+  /** Records a complete answer. `content` is called only if any crash is known. */
   recordServed(content: () => ContentDigest): void
-  /** What must happen before a request may leave for an endpoint, after it was lost at these. */
+  /** Decides how a request may be sent after it was lost at the endpoints `lost`. */
   decide(content: () => ContentDigest, service: string, lost: InstanceId[]): SendingDecision
-  /** Resolves once it is known which of these have crashed, or after a short while. */
+  /** Resolves once it is known which of the endpoints have crashed, or after a short timeout. */
   confirmed(lost: InstanceId[]): Promise<void>
-  /** Asks where it may run alone. */
+  /** Asks the leader to reserve an endpoint for an isolated trial of a suspect content. */
   askIsolated(content: ContentDigest, service: string): Promise<TrialAnswer>
-  /** Asks for the turn of a request's content: while it lasts no other request of it begins to run. */
+  /** Asks for the turn of a content: no other request with this content starts until the turn ends. */
   askTurn(content: ContentDigest, service: string, request: string): Promise<TrialAnswer>
-  /** The turn is over. */
+  /** Ends the turn of a content. */
   endTurn(content: ContentDigest, service: string, request: string): void
-  /** Its run there has ended, however. */
+  /** Ends the reservation of an endpoint after its isolated trial, whatever the result. */
   endIsolated(content: ContentDigest, service: string, endpoint: InstanceId): void
-  /** Why a request must reach no endpoint of a service; undefined where it may. */
+  /** Returns why a request must not reach any endpoint of a service; undefined if it may. */
   refusal(content: () => ContentDigest, service: string): ContentRefusal | undefined
 }
 
@@ -78,55 +79,55 @@
   tookMs: number
 }
 
-/** What became of a request, for the log and the counters. */
+/** The result of a request, for the log and the metrics. */
 export interface RelayResult {
   status: number
   outcome: string
   sends: SendRecord[]
-  /** From the head of the request to the first event of its stream. */
+  /** Time from the request head to the first event of its stream. */
   firstEventMs?: Millis
   /** The longest time between two events of its stream. */
   longestPauseMs?: Millis
-  /** The time that was left of the caller's and the route's when this entry cut an answer that had begun. */
+  /** Time left until the deadline when this entry cut an answer that had begun. */
   cutWithLeftMs?: Millis
-  /** Whether no endpoint has run it, and none will. */
+  /** Whether no endpoint has run or will run the request. */
   hasNotRun?: boolean
 }
 
-/** One request on its way: what is common to plain calls and streams. */
+/** A request in progress: the state that plain requests and streams share. */
 export interface RelayJob {
   request: CallerRequest
   route: Route
   service: RoutedService
-  /** The last moment at which the caller or the operator wants an answer. */
+  /** The deadline of the caller or of the route, whichever is earlier. */
   endsAt: Millis
-  /** When the first event, or the answer, should be there; counted anew for a caller that came back. */
+  /** When the first event or the answer is due; counted from the arrival of a retry. */
   targetAt: Millis
-  /** Whether the caller has come back after a refusal or a failure. */
+  /** Whether the request is a retry after a refusal or a failure. */
   isReturn: boolean
-  /** The regions that it may be served in by the sheet that is in force when this is asked. */
+  /** Returns the regions that may serve the request, by the route sheet in force at the time of the call. */
   homes: () => Homes
-  /** Tokens that the request declares; absent where it names none. */
+  /** Tokens that the request declares, if any. */
   tokens?: TokenCounts
-  /** The endpoint that is kept free for it at the moment; absent where none is. */
+  /** Id of the endpoint that is reserved for the request at the moment. */
   isolatedId?: InstanceId
-  /** The engine that keeps the memory of its stopped run; absent where none does. */
+  /** Id of the engine that retains the KV cache of the stopped run; set while another sending is chosen. */
   retainingEngine?: InstanceId
-  /** When the place was asked for that a sending is about to use; absent where none is. */
+  /** When the placement that the next sending uses was requested. */
   placedAt?: Millis
-  /** The order in which requests get what is scarce; 0 is the most urgent. */
+  /** Scheduling rank; 0 is the most urgent. */
   rank: number
 }
 
-/** How long to wait for a connection to an endpoint. */
+/** Connect timeout for an endpoint. */
 export const CONNECT_MS = 400
-/** Kept between an answer of this entry's own and the end of a request. */
+/** Margin before the deadline of a request for an answer of this entry itself. */
 export const ANSWER_MARGIN_MS = 25
 
-/** The share of a route's target within which a request hears that there is no room for it. */
+/** A request that finds no room is refused within this share of its route's target. */
 export const EARLY_REFUSAL_SHARE = 0.17
 
-/** The headers and the limit with which a request goes to an endpoint. */
+/** Returns the headers of a sending as alternating names and values, including its deadline and the expected instance. */
 export function headersFor(
   parts: RelayParts,
   job: RelayJob,
--- a/request/gateway/src/releaseHandle.ts
+++ b/request/gateway/src/releaseHandle.ts
@@ -6,7 +6,7 @@
 const CONNECT_MS = 1_000
 const MAX_ANSWER_BYTES = 64 * 1024
 
-/** Frees the memory that a prefill step left at an engine. What is lost on the way lapses there by itself. */
+/** Releases a KV cache that an engine retains. If the call is lost, the handle expires there. */
 export function releaseHandle(parts: RelayParts, at: PooledEndpoint, handle: string): void {
   const { address } = at.endpoint
   void fetchAnswer({
--- a/request/gateway/src/reportLostSending.ts
+++ b/request/gateway/src/reportLostSending.ts
@@ -2,13 +2,13 @@
 import type { PooledEndpoint } from './endpointPool'
 import type { RelayJob, RelayParts } from './relayParts'
 
-/** An endpoint that gave no sign for so long before it was given up may have ended without a word. */
+/** An endpoint that was silent for so long before its sending was cancelled may have crashed. */
 const MIN_SILENCE_MS: Millis = 1_000
 
 /**
- * Notes that an endpoint was left without a whole answer.
- * @param afterMs how long after it was sent.
- * @param silentMs how long it had given no sign when it was given up here; absent where its connection broke.
+ * Reports a sending that ended without a complete answer, since its endpoint may have crashed.
+ * @param afterMs time since the request was sent.
+ * @param silentMs how long the endpoint had sent nothing when this entry cancelled; absent if the connection broke.
  */
 export function reportLostSending(
   { crashes }: RelayParts,
--- a/request/gateway/src/retainedRun.ts
+++ b/request/gateway/src/retainedRun.ts
@@ -5,26 +5,26 @@
 import type { RelayJob, RelayParts } from './relayParts'
 import { leavingGraceMs, whyNotSend } from './sendRules'
 
-/** Where a stopped run can go on. */
+/** A stopped run and the engines that hold its KV cache. */
 export interface StoppedRun {
-  /** The engine that keeps the memory, under this handle. */
+  /** The engine that retains the KV cache, under `handle`. */
   source: AtHome<PooledEndpoint>
   handle: string
-  /** The engine that has a copy; absent where there is none. */
+  /** The engine that has a copy, if any. */
   copiedTo?: AtHome<PooledEndpoint>
-  /** Whether its engine has said that the run has stopped. Otherwise it may still be at work on it. */
+  /** Whether the engine confirmed that the run has stopped; otherwise it may still be running. */
   isConfirmed: boolean
 }
 
-/** Engines keep the memory for a stated time and somewhat longer; a sending that comes too late is only turned away. */
+/** Engines retain the KV cache somewhat longer than the stated time; a sending that is too late is merely rejected. */
 const EXPIRY_FACTOR = 2
 
-/** The memory of a run that was stopped from here: where the run may go on from it, and for how long. */
+/** Tracks which engines a run that this entry stopped may resume at, and until when. */
 export class RetainedRun {
   private readonly expiresAt: Millis
   private readonly goneEngines = new Set<PooledEndpoint>()
   private tried: PooledEndpoint[] = []
-  /** How often every engine that may take it has been tried. */
+  /** How many rounds over all usable engines have been completed. */
   rounds = 0
 
   constructor(
@@ -36,18 +36,18 @@
     this.expiresAt = parts.clock.now() + keptMs * EXPIRY_FACTOR
   }
 
-  /** Whether nothing can go on from it any more. */
+  /** Whether the run can no longer resume anywhere: its engines are gone or the KV cache has expired. */
   get isExhausted(): boolean {
     return this.engines().length === 0 || this.parts.clock.now() >= this.expiresAt
   }
 
-  /** Begins another round of tries: who turned it away may take it now. */
+  /** Starts another round, in which engines that rejected the run are tried again. */
   startNextRound(): void {
     this.rounds += 1
     this.tried = []
   }
 
-  /** The engine to try now; undefined where none may get it now. */
+  /** Returns the next engine to try; undefined if none may get the run at the moment. */
   next(): AtHome<PooledEndpoint> | undefined {
     const { parts, job } = this
     const untried = this.usable().filter((one) => !this.tried.includes(one))
@@ -58,12 +58,12 @@
     return at
   }
 
-  /** An engine that has it is not there any more. */
+  /** Excludes an engine whose instance is gone. */
   markGone(engine: PooledEndpoint): void {
     this.goneEngines.add(engine)
   }
 
-  /** Frees what no engine took. */
+  /** Releases the KV cache at the source engine. */
   release(): void {
     releaseHandle(this.parts, this.run.source, this.run.handle)
   }
--- a/request/gateway/src/returnDetector.ts
+++ b/request/gateway/src/returnDetector.ts
@@ -1,49 +1,49 @@
 import type { Millis } from '@forkstage/types'
 
-/** What a request's deadline tells of its caller. */
+/** What the deadline of a request reveals about its caller. */
 export interface CallerAge {
-  /** Whether its caller has come back after a refusal or a failure. */
+  /** Whether this is a retry after a refusal or a failure. */
   isReturn: boolean
-  /** How long ago it first came, in milliseconds; 0 where its deadline cannot tell. */
+  /** Time since the caller's first attempt; 0 if the deadline does not reveal it. */
   elapsedMs: Millis
 }
 
-/** A caller whose first try lies longer ago than this share of the target has come back. */
+/** A request whose first attempt is older than this share of the target is a retry. */
 const RETURN_SHARE = 0.3
 /**
- * Callers that are sent away come back with at least this share of their time less, since they are told to wait for 0.24
- * of it: first tries whose deadlines differ by no more are told apart from them by that alone.
+ * Refused callers are told to wait for 0.24 of their time, so a retry names a deadline shorter by at least this share. First
+ * attempts whose deadlines differ by less cannot be taken for retries.
  */
 const MAX_FIRST_SPREAD = 0.2
-/** Deadlines that one judgement of whether they differ takes. */
+/** Deadlines per window; each window yields one median. */
 const DEADLINES_PER_MEDIAN = 30
-/** One of so many windows suffices: while many come back, deadlines differ also where those of first tries do not. */
+/** One uniform window among so many suffices: during many retries deadlines vary even if those of first attempts do not. */
 const MAX_MEDIANS = 8
-/** Half of the first tries name more than this share of the longest deadline: they all name the same. */
+/** First attempts count as naming the same deadline if the median exceeds this share of the longest one. */
 const SAME_DEADLINE_SHARE = 0.99
-/** The longest deadline of a route is known well enough after so many of its requests. */
+/** Requests of a route before its longest deadline is considered known. */
 const MIN_REQUESTS_SEEN = 10
 
-/** What the requests of one route have named. */
+/** Deadlines that the requests of one route named. */
 interface RouteDeadlines {
-  /** The longest deadline since the last but one judgement, and since the last: callers may come to name shorter ones. */
+  /** The longest deadline of the previous and of the current window, since callers may change to shorter ones. */
   longest: [Millis, Millis]
   seen: number
-  /** Deadlines as shares of the longest, since the last judgement. */
+  /** Deadlines of the current window as shares of the longest. */
   shares: number[]
   medians: number[]
 }
 
 /**
- * Tells from deadlines who has come back. A caller that comes back names what is left of its time; how much less that is
- * than what callers of its route name at most tells when it first came, as far as first tries name the same. Where they
- * differ among each other, only what lies below all of them is a return: taken for returns, 9 of 10 first tries of callers
- * whose deadlines differ by 15 in 100 waited behind others, and were refused after 3 s instead of 0.15 s.
+ * Detects retries by their deadlines. A retry names the time that its caller has left; the difference to the longest deadline
+ * of the route is the time since the first attempt, provided that first attempts name the same deadline. If they vary, only a
+ * deadline below all of them counts as a retry: otherwise, with deadlines that vary by 15 %, 9 of 10 first attempts would be
+ * queued as retries and refused after 3 s instead of 0.15 s.
  */
 export class ReturnDetector {
   private readonly routes = new Map<string, RouteDeadlines>()
 
-  /** Judges the caller of a request by its deadline. */
+  /** Records the deadline of a request and returns what it reveals about the caller. */
   judge(route: string, deadlineMs: Millis, targetMs: Millis): CallerAge {
     if (!Number.isFinite(deadlineMs)) return { isReturn: false, elapsedMs: 0 }
     const known = this.record(route, deadlineMs)
@@ -64,7 +64,7 @@
   }
 }
 
-/** By how much first tries may differ, as a share of the longest deadline. */
+/** Returns by how much the deadlines of first attempts may vary, as a share of the longest one. */
 function spreadOf({ medians }: RouteDeadlines): number {
   return medians.some((median) => median > SAME_DEADLINE_SHARE) ? 0 : MAX_FIRST_SPREAD
 }
--- a/request/gateway/src/runMigration.ts
+++ b/request/gateway/src/runMigration.ts
@@ -8,12 +8,12 @@
 import type { RelayParts } from './relayParts'
 
 const CONNECT_MS = 400
-/** A copy that takes longer is not worth waiting for: some hundred megabytes take milliseconds on a sound link. */
+/** Copying some hundred megabytes takes milliseconds on a healthy link; a slower copy is abandoned. */
 const COPY_WITHIN_MS = 1_500
 const MAX_ANSWER_BYTES = 64 * 1024
 const OK = 200
 
-/** A run that moves from one engine to another: first what it holds is copied while it goes on, then it stops. */
+/** Live migration of a run to another engine: copies its KV cache while it runs, then stops it and copies the rest. */
 export class RunMigration {
   private handle: string | undefined
   private stopping: Promise<StoppedRun | undefined> | undefined
@@ -28,29 +28,29 @@
     this.startedAt = parts.clock.now()
   }
 
-  /** Whether the run has been told to stop at its engine. */
+  /** Whether the source engine has been told to stop the run. */
   get hasStopped(): boolean {
     return this.stopping !== undefined
   }
 
-  /** Copies what the run holds by now; the run goes on meanwhile. Says whether that worked. */
+  /** Copies the current KV cache while the run continues; returns whether that succeeded. */
   async copy(): Promise<boolean> {
     const { outcome, handle } = await this.call(false)
     this.handle = handle
     return handle !== undefined && outcome.type === 'answer' && outcome.head.status === OK
   }
 
-  /** Stops the run and copies what is new. */
+  /** Stops the run and copies the rest of its KV cache. */
   stop(): void {
     this.stopping ??= this.call(true).then(({ outcome, handle }) => {
-      // Where the answer is lost the engine may have stopped all the same: what was copied before is still there.
+      // If the answer is lost, the engine may have stopped nevertheless, and the earlier copy is still available.
       if (handle === undefined) return this.unconfirmedCopy()
       const isCopied = outcome.type === 'answer' && outcome.head.status === OK
       return { source: this.source, handle, copiedTo: isCopied ? this.to : undefined, isConfirmed: true }
     })
   }
 
-  /** Where the run can go on; undefined where it was not stopped, or nobody knows where it is kept. */
+  /** Resolves to the stopped run; undefined if it was not stopped or no handle of its KV cache is known. */
   stopped(): Promise<StoppedRun | undefined> {
     return this.stopping ?? Promise.resolve(undefined)
   }
@@ -60,12 +60,12 @@
     return handle === undefined ? undefined : { source, handle, copiedTo: to, isConfirmed: false }
   }
 
-  /** Frees a copy that nobody takes. */
+  /** Releases a copy that no run continues from. */
   release(): void {
     if (this.handle !== undefined) releaseHandle(this.parts, this.source, this.handle)
   }
 
-  /** Writes how the move ended. */
+  /** Logs how the migration ended. */
   log(outcome: string): void {
     this.parts.logger.info('answer.moved', {
       request: this.request,
--- a/request/gateway/src/runMigrations.ts
+++ b/request/gateway/src/runMigrations.ts
@@ -11,29 +11,29 @@
 import type { CountedSending, SendCounter } from './sendCounter'
 import { whyNotSend } from './sendRules'
 
-/** What the moves of an answer need of its request. */
+/** The request that {@link RunMigrations} belong to. */
 export interface MigrationContext {
   readonly isOver: boolean
-  /** The head that the caller has got. */
+  /** The head that the caller has received. */
   readonly head: AnswerHead | undefined
-  /** The stream that is under way. */
+  /** The stream in progress. */
   readonly exchange: Exchange | undefined
 }
 
-/** Where a stopped run goes on, with the sending that is drawn for it. */
+/** Where a stopped run resumes, with the sending that is opened for it. */
 export interface ResumeTarget {
   at: AtHome<PooledEndpoint>
-  /** The engine that has the memory, and its name there. */
+  /** The engine that retains the KV cache, under `handle`. */
   source: PooledEndpoint
   handle: string
   sending: CountedSending
 }
 
-/** Moves the answer of one request from engine to engine, as whoever places wants. */
+/** Migrates the run of one request between engines, as the leader directs. */
 export class RunMigrations {
   private migration: RunMigration | undefined
   private sending: CountedSending | undefined
-  /** The memory of the run, from its stop until an engine has taken it. */
+  /** The stopped run, until an engine has resumed it. */
   private retained: RetainedRun | undefined
 
   constructor(
@@ -43,13 +43,13 @@
     private readonly context: MigrationContext,
   ) {}
 
-  /** Copies what the run holds; once that is done, stops it and copies the rest. */
+  /** Copies the KV cache of the run, then stops the run and copies the rest. */
   async start(place: ModelPlace, to: AtHome<PooledEndpoint>): Promise<void> {
     const { context, parts, job } = this
-    // The end of an answer without a length could not be told from the stop.
+    // Without a length or chunks, the end of the answer could not be told from the stop.
     if (this.migration !== undefined || !this.isRunning() || context.head?.isFramed !== true) return
     if (to === place.decode || to.endpoint.state !== 'ready') return
-    // A move of its own choice is not what a cold engine's budget, or the rate that one names, is for.
+    // Optional migrations must not use up the budget of a cold engine or a rate that an engine names.
     if (parts.cold?.isCold(to.endpoint.id) === true || parts.limits?.isLimited(to.endpoint.id) === true)
       return
     if (whyNotSend(parts, job, to.endpoint, 'decode') !== undefined) return
@@ -57,7 +57,7 @@
     const migration = new RunMigration(parts, job.request.id, place.decode, to)
     this.migration = migration
     const isCopied = await migration.copy()
-    // Also the rest must not be copied where the request must not go any more.
+    // The rest must not be copied to a region that may no longer serve the request.
     const isAllowed = parts.pool.getWithinRegions(to.endpoint.id, job.homes()) !== undefined
     const isSame = this.isRunning() && context.exchange === stream && isAllowed
     this.sending = isCopied && isSame ? this.sendCounter.open('decode') : undefined
@@ -67,24 +67,24 @@
     this.migration = undefined
   }
 
-  /** Whether the run was stopped from here and nothing has gone on from its memory since. */
+  /** Whether the run was stopped and has not resumed since. */
   get isStopped(): boolean {
     return this.retained !== undefined
   }
 
   /**
-   * Where the run goes on after its stream has ended, or after an engine has turned it away; waits where none that has its
-   * memory may get it now. Undefined where nothing goes on from its memory.
+   * Returns where the run resumes after its stream has ended or an engine has rejected it, waiting while no engine with its
+   * KV cache may get it. Undefined if it cannot resume from its KV cache.
    */
   async next(at: PooledEndpoint, attempt: Attempt): Promise<ResumeTarget | undefined> {
     if (this.migration?.hasStopped === true) await this.collectStopped(this.migration, attempt)
     else if (attempt.type === 'not-run') this.recordRefusal(at, attempt.isInstanceGone === true)
-    // Whatever else became of a sending, its engine has taken the memory.
+    // After any other result the engine has fetched the KV cache.
     else this.retained = undefined
     return this.retained === undefined ? undefined : this.resume(this.retained)
   }
 
-  /** Ends what is left of a stopped run from whose memory nothing goes on. */
+  /** Releases a stopped run that does not resume, and the sending that was opened for it. */
   abandon(): void {
     this.retained?.release()
     this.retained = undefined
@@ -92,11 +92,11 @@
     this.sending = undefined
   }
 
-  /** Takes what the stop of a move has left. */
+  /** Waits for the stop of a migration and keeps the stopped run if it may resume. */
   private async collectStopped(migration: RunMigration, attempt: Attempt): Promise<void> {
     this.migration = undefined
     const stopped = await migration.stopped()
-    // Without its engine's word the run may still be at work there: what must not run twice does not go on then.
+    // Without the engine's confirmation the run may still be active; one that must not run twice does not resume then.
     const isStopped = stopped?.isConfirmed === true || this.job.route.resumable
     const resumes = attempt.type === 'lost' && !this.context.isOver && isStopped
     migration.log(stopped?.isConfirmed !== true ? 'not stopped' : resumes ? 'moved' : 'not needed')
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Draws one more sending for an engine that has the memory. Where the answer may be made anew, each of them is tried
-   * once only: another engine may have room now. Where it may not, they are asked until the memory has lapsed.
+   * Opens a sending to an engine that has the KV cache. If the route is resumable, each of them is tried only once, since any
+   * other engine may regenerate the answer. Otherwise they are retried until the KV cache has expired.
    */
   private async resume(retained: RetainedRun): Promise<ResumeTarget | undefined> {
     const { resumable } = this.job.route
--- a/request/gateway/src/sendCounter.ts
+++ b/request/gateway/src/sendCounter.ts
@@ -1,27 +1,27 @@
 import type { GatewayRetryBudget } from './gatewayRetryBudget'
 
-/** What a request asks of an endpoint. */
+/** The step that a sending asks an endpoint for. */
 export type SendStep = 'plain' | 'prefill' | 'decode'
 
 /**
- * What became of a sending at its endpoint: `taken`, `rejected` without having run, or it never arrived there.
- * One of which this is not known counts as `rejected`, which costs the most.
+ * What became of a sending: the endpoint accepted it (`taken`), rejected it without running it (`rejected`), or it never
+ * arrived (`not-arrived`). An unknown result counts as `rejected`, which costs the most budget.
  */
 export type Arrival = 'taken' | 'rejected' | 'not-arrived'
 
-/** A sending that may leave. */
+/** A sending that the retry budget has admitted. */
 export interface CountedSending {
-  /** Says what became of it. Called once. */
+  /** Reports the result of the sending. Must be called once. */
   close(arrival: Arrival): void
 }
 
 /**
- * Counts what one request sends to endpoints, whatever the step, and draws what counts as repeated from the
- * entries' common allowance before it leaves. Free are one arrival a request and, beside it, the first prefill
- * step that an engine takes; a prefill step that is rejected counts like any other arrival.
+ * Counts the sendings of one request and charges repeated ones to the retry budget before they are sent. One arrival per
+ * request is free, and so is the first prefill step that an engine accepts; a rejected prefill step counts like any other
+ * arrival.
  */
 export class SendCounter {
-  /** Arrivals but for a prefill step that is free. */
+  /** Arrivals, except for the free prefill step. */
   private arrivals = 0
   private hasFreePrefill = false
 
@@ -30,17 +30,17 @@
     private readonly service: string,
   ) {}
 
-  /** Whether the next sending counts as repeated. */
+  /** Whether the next sending is charged to the retry budget. */
   get isRepeat(): boolean {
     return this.arrivals > 0
   }
 
-  /** Whether one more sending may leave now. */
+  /** Whether one more sending is allowed now. */
   isLeft(): boolean {
     return this.arrivals === 0 || this.retryBudget.isLeft(this.service)
   }
 
-  /** Opens a sending; undefined where the allowance is used up. */
+  /** Opens a sending; undefined if the retry budget is used up. */
   open(step: SendStep): CountedSending | undefined {
     const isCharged = this.isRepeat
     if (isCharged && !this.retryBudget.take(this.service)) return undefined
--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -5,32 +5,32 @@
 import type { SendStep } from './sendCounter'
 
 /**
- * Says why a request must not leave for an endpoint now; undefined where it may. Asked right before each sending, after
- * all choices, so that a place that was given a moment ago cannot break what has become known since.
+ * Returns why a request must not be sent to an endpoint now; undefined if it may. Checked right before each sending, after
+ * the endpoint was chosen, so that an earlier placement cannot override what has become known since.
  */
 export type SendRule = (to: RegisteredEndpoint, job: RelayJob, step: SendStep) => string | undefined
 
-/** Why nothing is sent to an endpoint of an evacuated failure domain. */
+/** The endpoint is in an evacuated failure domain. */
 export const EVACUATED = 'evacuated'
 
-/** Why nothing is sent to an endpoint that is kept free for what must run alone. */
+/** The endpoint is reserved for a request that must run alone. */
 export const KEPT_FREE = 'kept free'
 
-/** Why a place is not used that was given before this machine was suspended. */
+/** The placement dates from before this box was suspended. */
 export const SUSPENDED = 'placed before a suspension'
 
-/** Why nothing is sent of a request that has ended the endpoints that ran it. */
+/** The content of the request has crashed the endpoints that ran it. */
 export const ENDS_ENDPOINTS = 'ends its endpoints'
 
-/** The first reason why a request must not leave for an endpoint now, with a log line; undefined where it may. */
+/** Returns and logs the first reason why a request must not be sent to an endpoint now; undefined if it may. */
 export function whyNotSend(
   parts: RelayParts,
   job: RelayJob,
   to: RegisteredEndpoint,
   step: SendStep,
 ): string | undefined {
-  // The last three count where it may go on.
-  // Whoever placed may have given the place to another meanwhile.
+  // The last three rules count the sending when they allow it, so they run after all others.
+  // During a suspension the leader may have given the capacity of the placement to another request.
   const suspended: SendRule = (_to, { placedAt }) =>
     placedAt !== undefined && placedAt < parts.clock.suspendedAt() ? SUSPENDED : undefined
   const ends: SendRule = (_to, { request, service }) =>
@@ -49,17 +49,17 @@
   return undefined
 }
 
-/** Of the time that a leaving endpoint goes on serving, the part in which a stopped run goes back to it; the rest is for its way. */
+/** Share of the serving time of a leaving endpoint in which a stopped run may resume there; the rest covers transit. */
 const RESUME_SHARE = 0.75
 
-/** How long what an endpoint that leaves had before may be sent there: what it keeps a stopped run's memory of, for longer. */
+/** Returns how long requests already placed at a leaving endpoint may be sent there; longer if it retains the run. */
 export function leavingGraceMs({ leavingServesMs = 0 }: RelayParts, retainsRun: boolean): Millis {
   return retainsRun ? Math.max(LEAVING_GRACE_MS, leavingServesMs * RESUME_SHARE) : LEAVING_GRACE_MS
 }
 
 /**
- * Why an endpoint's own word forbids it; where it does not, a sending leaves. A place that was given before the word is no
- * excuse, but what was to go on at one that leaves is let there for a moment.
+ * Returns why the endpoint's own statement forbids a sending; otherwise records the sending and returns undefined. An earlier
+ * placement does not override the statement, but an endpoint that leaves still gets placed requests for a grace period.
  */
 function whyNotByStatement(parts: RelayParts, id: InstanceId, retainsRun: boolean): string | undefined {
   const { statements, clock } = parts
--- a/request/gateway/src/stepGrants.ts
+++ b/request/gateway/src/stepGrants.ts
@@ -3,20 +3,20 @@
 import type { Millis } from '@forkstage/types'
 import type { SendStep } from './sendCounter'
 
-/** What the leader counted for one step of a placed request. */
+/** A sending to a limited endpoint that the leader has accounted for, for one step of a placed request. */
 export interface RecordedGrant {
   endpoint: InstanceId
-  /** When it was asked for. */
+  /** When the placement was requested. */
   requestedAt: Millis
   untilMs: Millis
-  /** Whether the leader believes the endpoint free of what binds it here: that holds where nothing is known of it here. */
+  /** Whether the leader does not consider the endpoint limited; valid only if this entry has no knowledge of its own. */
   isUnrestricted: boolean
 }
 
-/** Grants that have run out are looked for when there are so many. */
+/** Number of grants from which expired ones are removed. */
 const SWEEP_THRESHOLD = 64
 
-/** What the leader has counted for places given to this entry, each step for one use. */
+/** Grants that the leader has accounted for in placements of this entry; each is used once. */
 export class StepGrants {
   private readonly grants = new Map<string, RecordedGrant>()
 
@@ -27,7 +27,7 @@
     this.grants.set(`${step} ${request}`, counted)
   }
 
-  /** Uses what was counted for a step at an endpoint; undefined where nothing was, or it is too late. */
+  /** Consumes the grant of a step at an endpoint; undefined if there is none or it has expired. */
   use(request: string, step: SendStep, endpoint: InstanceId): RecordedGrant | undefined {
     const key = `${step} ${request}`
     const counted = this.grants.get(key)
--- a/request/gateway/src/streamRelay.ts
+++ b/request/gateway/src/streamRelay.ts
@@ -40,12 +40,12 @@
 const OK = 200
 const PROMPT_NOT_READ = 'the prompt was not read'
 
-/** Relays a streaming request: a place, the prefill step, the stream, and another engine where allowed. */
+/** Relays a streaming request: placement, prefill step, stream, and other engines after a failure if allowed. */
 export async function relayStream(parts: RelayParts, job: RelayJob): Promise<RelayResult> {
   return new StreamRun(parts, job).relay()
 }
 
-/** Why an answer does not go on that was stopped to go on elsewhere. */
+/** Why an answer ends after its run was stopped for a migration. */
 const NOT_RESUMED = 'nothing goes on from the memory of the stopped run'
 
 class StreamRun implements StreamContext, PrefillContext, MigrationContext {
@@ -55,11 +55,11 @@
   isOver = false
   private possibleRuns = 0
   private readonly caller: CallerStream
-  /** Events of the engine at work now. */
+  /** Events from the current engine. */
   private eventCount = 0
-  /** Waits in a row for a way to go on. */
+  /** Consecutive waits before another attempt, without an event in between. */
   private waits = 0
-  /** When the request was sent to it. */
+  /** When the request was sent to the current engine. */
   private sentAt: Millis = 0
   private readonly sendCounter: SendCounter
   private readonly prompt: PromptPrefill
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Asks for a place and has the answer made there. */
+  /** Requests a placement and runs the request there. */
   private async attemptOnce(): Promise<AttemptResult> {
     const { pool, placer, clock } = this.parts
     await waitForDecodeEngine(this.parts, this.job)
@@ -137,15 +137,15 @@
     })
   }
 
-  /** An answer that has begun was turned away: it is still owed. */
+  /** Waits before the next attempt of an answer that has begun. */
   private async waitBeforeRetry(attempt: FailedAttempt, afterMs: Millis): Promise<void> {
     const { clock, logger } = this.parts
     const leftMs = Math.round(this.job.endsAt - clock.now())
     const line = { request: this.job.request.id, reason: reasonOf(attempt), leftMs }
-    // One line a row of waits: the belief changes, not each try.
+    // Logs once per sequence of waits.
     if (this.waits === 0) logger.info('answer.waits', line)
     this.waits += 1
-    // Where there is no other left, those that turned it away may take it next time.
+    // If no other engine is left, those that rejected the request may accept it next time.
     if (attempt.type === 'refused') this.except.clear()
     await delay(clock, afterMs)
   }
@@ -153,25 +153,25 @@
   private work(): ModelWork {
     const work = modelWork(this.parts, this.job, this.caller.pauses)
     const found = { except: this.except, isPrefilled: this.prompt.isUsable() }
-    // One that has begun is not refused early: its caller has nobody else to go to.
+    // An answer that has begun is not refused early, since its caller cannot retry elsewhere.
     return this.hasBegun ? { ...work, ...found, isBegun: true, promptMs: 0 } : { ...work, ...found }
   }
 
   private async runAtPlace(place: ModelPlace): Promise<Attempt> {
     const startedAt = this.parts.clock.now()
-    // Drawn before the prompt is read, which would be in vain without it.
+    // Opened before the prefill step, which would be wasted without a sending to the decode engine.
     const drawn = this.sendCounter.isRepeat ? this.sendCounter.open('decode') : undefined
     if (this.sendCounter.isRepeat && drawn === undefined) return this.releaseUnused(place, { type: 'denied' })
     const step = await this.prompt.prefillAt(place)
     if (this.isOver) return this.releaseUnused(place, { type: 'over' }, drawn)
-    // Whoever places knows whether another engine reads it, or whether the decode engine can do so itself.
+    // After a failed prefill the leader decides again which engine prefills the prompt.
     const withheld = step === 'not-read' ? PROMPT_NOT_READ : this.prompt.whyNotDecode(place.decode)
     if (withheld !== undefined)
       return this.releaseUnused(place, { type: 'not-run', arrived: false, reason: withheld }, drawn)
     this.eventCount = 0
     const sending = drawn ?? this.sendCounter.open('decode')
     if (sending === undefined) return this.releaseUnused(place, { type: 'denied' })
-    // The place is used; what the run does later hangs on no promise of it.
+    // The placement is used up; a later suspension does not affect the run.
     this.job.placedAt = undefined
     place.madeTokens = () => this.madeTokens()
     place.moveTo = (to) => void this.migrations.start(place, to)
@@ -193,18 +193,18 @@
     return attempt
   }
 
-  /** Gives a place back at which no engine was asked to make the answer. */
+  /** Releases a placement whose decode engine was not used. */
   private releaseUnused(place: ModelPlace, attempt: Attempt, drawn?: CountedSending): Attempt {
     place.release('cancelled', 0, 0)
     drawn?.close('not-arrived')
     return attempt
   }
 
-  /** Goes on at other engines for as long as the run is moved. */
+  /** Resumes the run at other engines for as long as it is migrated. */
   private async followMigrations(place: ModelPlace, ended: StreamResult): Promise<StreamResult> {
     const { attempt, sendOutcome } = ended
     const next = await this.migrations.next(place.decode, attempt)
-    // An engine that was told to stop has not run it in vain, and goes on counting as the same run.
+    // A stopped engine does not count: the run that resumes elsewhere is the same run.
     if (attempt.type === 'lost' && this.migrations.isStopped) this.possibleRuns -= 1
     if (next === undefined) return this.finishStream(place, ended)
     const from = place.decode
@@ -215,7 +215,7 @@
     return this.followMigrations(place, await this.streamAt(at, sending, { at: source, handle }))
   }
 
-  /** Nothing goes on from the memory of the run, if it was stopped. */
+  /** Ends a stream that does not resume from its KV cache. */
   private finishStream(place: ModelPlace, ended: StreamResult): StreamResult {
     if (!this.migrations.isStopped) {
       this.reportLoss(place.decode, ended)
@@ -223,11 +223,11 @@
     }
     this.migrations.abandon()
     if (ended.attempt.type !== 'lost') return ended
-    // The engine did as it was told: that is no failure of its own.
+    // The engine stopped as requested, which is no failure of the engine.
     return { attempt: { type: 'not-run', arrived: true, reason: NOT_RESUMED }, sendOutcome: 'cancelled' }
   }
 
-  /** An engine that was told to stop a run that moves has lost nothing; any other that ended it early may have crashed. */
+  /** Reports a stream that ended early without a requested stop: its engine may have crashed. */
   private reportLoss(at: PooledEndpoint, { attempt }: StreamResult): void {
     const now = this.parts.clock.now()
     const afterMs = now - this.sentAt
@@ -236,7 +236,7 @@
     reportLostSending(this.parts, this.job, at, afterMs, Math.min(afterMs, this.caller.pauses.silentMs(now)))
   }
 
-  /** Tells the placement of an engine that has made nothing for too long, and leaves it where that is allowed. */
+  /** Reports an engine that has sent no event within the target, and abandons it if the route allows another. */
   private watchStall(place: ModelPlace): { cancel: () => void; hasLeft: () => boolean } {
     const { route } = this.job
     let hasLeft = false
--- a/request/gateway/src/tokenCounts.ts
+++ b/request/gateway/src/tokenCounts.ts
@@ -1,10 +1,10 @@
 import { firstValue, type CallerRequest } from './callerRequest'
 import type { GatewayWire, TokenCounts } from './gatewayWire'
 
-/** More than any engine holds by far; what declares more is an error, and would empty a quota at once. */
+/** Far more than any engine holds; a larger declaration is an error and would use up a quota at once. */
 const MAX_TOKENS = 100_000_000
 
-/** The tokens that a request declares; undefined where it names none, `malformed` where they cannot be meant. */
+/** Returns the tokens that a request declares; undefined if it names none, `malformed` if they are invalid. */
 export function tokenCountsOf(
   request: CallerRequest,
   wire: GatewayWire,
--- a/request/gateway/src/waitFor.ts
+++ b/request/gateway/src/waitFor.ts
@@ -3,7 +3,7 @@
 
 const POLL_INTERVAL_MS = 10
 
-/** Waits until something is there, up to a limit; returns it, or undefined where it did not come. */
+/** Polls `find` until it returns a value or the limit has passed; returns that value or undefined. */
 export async function waitFor<Value>(
   clock: Clock,
   limitMs: Millis,
