--- a/request/gateway/test/backoffEngines.test.ts
+++ b/request/gateway/test/backoffEngines.test.ts
@@ -1,24 +1,24 @@
-// Story: as in restingEndpoints.test.ts, for engines: the word may come with the refusal of a prompt, of a stream, of a run that goes on
-// from memory, or after its place was given.
+// As backoffEndpoints.test.ts, for engines: a backoff may come with the rejection of a prompt, of a stream or of a resumed run, or
+// after the placement was granted.
 import { describe, expect, it } from 'vitest'
 import { chunk, event, goodAnswer, type SeenRequest } from './fakeWorker'
 import { reads, startRelay, streams } from './relayHarness'
 
 const MODEL = { headers: { 'x-tokens': '10,10' }, body: 'x' }
 
-/** Turns a request away and wants nothing for a while. */
+/** Rejects a request and asks for backoff. */
 const asksForBackoff = (request: SeenRequest) =>
   void request.socket.end('HTTP/1.1 503 No\r\nx-not-run: 1\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n')
 
-/** Answers with a stream whose head says that its engine leaves; its last event comes when it is let go. */
+/** Answers with a stream whose head announces that the engine leaves; `waiting` gets a function that ends it. */
 const leaves = (waiting: (() => void)[]) => (request: SeenRequest) => {
   const rows = ['x-leaves: yes', 'Content-Type: text/event-stream', 'Transfer-Encoding: chunked']
   request.socket.write(`${goodAnswer(request, '', rows)}${chunk(event(1))}`)
   waiting.push(() => void request.socket.end(`${chunk(event(2))}0\r\n\r\n`))
 }
 
-describe('engines that ask for rest', () => {
-  it('get no stream while they rest', async () => {
+describe('engines that ask for backoff', () => {
+  it('get no stream during the backoff', async () => {
     const { world, seen } = await startRelay([
       ['decode', asksForBackoff],
       ['decode', streams],
@@ -27,7 +27,7 @@
     expect(seen()).toEqual([1, 4])
   })
 
-  it('get no prompt while they rest', async () => {
+  it('get no prompt during the backoff', async () => {
     const { world, seen } = await startRelay([
       ['decode', streams],
       ['prefill', asksForBackoff],
@@ -37,7 +37,7 @@
     expect(seen()).toEqual([4, 1, 4])
   })
 
-  it('do not get what was placed there before they spoke', async () => {
+  it('do not get a request that was placed there before they asked for backoff', async () => {
     const { world, seen } = await startRelay([
       ['decode', streams],
       ['decode', streams],
@@ -47,7 +47,7 @@
     expect(seen()).toEqual([0, 1])
   })
 
-  it('are beyond reach where all rest: callers hear that nothing ran, and to come back when one is well', async () => {
+  it('get nothing if all ask for backoff: callers are refused as not run, until one has recovered', async () => {
     const { world, seen } = await startRelay([
       ['decode', asksForBackoff],
       ['decode', asksForBackoff],
@@ -62,8 +62,8 @@
   })
 })
 
-describe('engines that say in their answers that they leave', () => {
-  it('end what they have begun, and get no more requests', async () => {
+describe('engines that announce in their answers that they leave', () => {
+  it('finish their streams and get no more requests', async () => {
     const waiting: (() => void)[] = []
     const { world, seen } = await startRelay([
       ['decode', leaves(waiting)],
--- a/request/gateway/test/backoffHarness.ts
+++ b/request/gateway/test/backoffHarness.ts
@@ -6,10 +6,10 @@
 import { PlainHarness, type Work } from './plainHarness'
 
 const WORK_MS = 60
-/** An endpoint that turns away needs no place for that. */
+/** Time to reject a request, which occupies no slot. */
 const REJECT_MS = 2
 const SECOND_MS = 1_000
-/** What was on its way when the word came may still arrive for so long. */
+/** Requests in transit when an endpoint asks for backoff may still arrive for this time. */
 const GRACE_MS = 500
 
 interface Arrival {
@@ -17,24 +17,24 @@
   entry: number
 }
 
-/** An endpoint told an entry that it wants nothing from it for a while, or that it leaves. */
+/** A backoff that an endpoint asked of an entry. */
 interface Notice extends Arrival {
   untilMs: number
 }
 
-/** An endpoint that turns requests away, and says for how long it wants none; that leaves, and says so. */
+/** An endpoint that may reject requests and ask for backoff, or announce that it leaves. */
 export class BackoffWorker {
-  /** Turns requests away until then. */
+  /** Rejects requests until this time. */
   rejectsUntilMs = -Infinity
-  /** The value of its time to come back, by the time it has left; none where left out. */
+  /** Returns the value of `Retry-After` for the time until recovery; the header is omitted if undefined. */
   retryAfter: ((leftMs: number) => string | undefined) | undefined
   leaves = false
   readonly arrivals: Arrival[] = []
   readonly backoffs: Notice[] = []
-  /** When each entry first got an answer that says that it leaves. */
+  /** When each entry first got an answer that announces that the endpoint leaves. */
   readonly toldLeaving = new Map<number, number>()
 
-  /** The most requests that reached it from one entry within one rest, once what was on its way had arrived. */
+  /** Returns the highest number of requests from one entry within one backoff, without those in transit. */
   maxInBackoff(): number {
     const counts = this.backoffs.map(
       ({ at: from, untilMs, entry }) =>
@@ -45,19 +45,19 @@
     return Math.max(0, ...counts)
   }
 
-  /** Requests that reached it from entries that knew for a while that it leaves. */
+  /** Returns the number of requests from entries that knew that it leaves, without those in transit. */
   afterLeaving(): number {
     return this.arrivals.filter(({ at, entry }) => at > (this.toldLeaving.get(entry) ?? Infinity) + GRACE_MS)
       .length
   }
 
-  /** Arrivals a second within a span, from all entries. */
+  /** Returns the arrivals per second in a time span, from all entries. */
   rateWithin(from: number, until: number): number {
     return (this.arrivals.filter(({ at }) => at >= from && at < until).length * SECOND_MS) / (until - from)
   }
 }
 
-/** Entries on one clock before plain endpoints that ask for rest, or leave. */
+/** Entries on one clock and plain endpoints that ask for backoff or leave. */
 export class BackoffHarness extends PlainHarness {
   readonly workers: BackoffWorker[] = []
 
@@ -68,7 +68,7 @@
     return world
   }
 
-  /** An endpoint turns all away for a time, and says each time that it wants nothing for `restMs`. */
+  /** Makes an endpoint reject all requests for `forMs`, with the `Retry-After` value that `says` returns. */
   startRejecting(index: number, forMs: number, says: BackoffWorker['retryAfter'] = () => undefined): void {
     const one = this.workers[index]!
     one.rejectsUntilMs = this.clock.now() + forMs
--- a/request/gateway/test/begunAnswers.test.ts
+++ b/request/gateway/test/begunAnswers.test.ts
@@ -1,9 +1,7 @@
 /**
- * Users saw streams that ended with a closed connection in the middle, beside a new route sheet, with most of their time
- * left and nothing wrong at their entry. Order of events: the leader lets an answer go on at another engine, the entry has it
- * copied and stops it, and the next place or engine turns it away for a moment. Cause: the refusal was carried out as for a
- * request that has not begun; its head was out, so the connection was destroyed. Evidence: on the state before, each of
- * these answers is cut within milliseconds of the refusal, with seconds left, and its line says "cut:" with the reason of a refusal.
+ * Guards against streams that are cut in the middle although most of their time is left. It came about when the leader
+ * migrated a run: the entry copied and stopped it, and the next placement or engine rejected it for a moment. The rejection was
+ * handled as for a request that had not begun, but its head had been sent, so the connection was destroyed.
  */
 import { once } from 'node:events'
 import { describe, expect, it } from 'vitest'
@@ -23,7 +21,7 @@
 const turnsAway: Engine['stream'] = ({ socket }) =>
   void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
 
-/** Begins a stream that goes on until it is stopped or breaks off; later ones are answered as given. */
+/** Starts a stream that runs until it is stopped or broken off; answers later streams with `next`. */
 function runsFirst(next: Engine['stream'], seen?: (request: SeenRequest) => void): Engine['stream'] {
   let streams = 0
   return (request, engine) => {
@@ -34,7 +32,7 @@
   }
 }
 
-/** Turns streams away so many times, then makes them from the event on that they name. */
+/** Rejects streams `times` times, then streams the events after the last event id that a request names. */
 function turnsAwayFirst(times: number, last: number): Engine['stream'] {
   let left = times
   return (request, engine) => {
@@ -48,8 +46,8 @@
   while (!holds()) await new Promise((resolve) => setImmediate(resolve))
 }
 
-describe('an answer that has begun', () => {
-  it('goes on where its memory is though that engine turns it away at first', async () => {
+describe('an answer that has begun, after a rejection', () => {
+  it('resumes at an engine with its KV cache although that engine rejects it at first', async () => {
     const { workers, answer, move, world } = await startMigration([
       { stream: runsFirst(turnsAway), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
       { stream: turnsAwayFirst(2, 3) },
@@ -65,7 +63,7 @@
     expect(world.reports[0]).toMatchObject({ status: 200, outcome: 'answered' })
   })
 
-  it('goes on once an engine takes it, though all turn it away for a while', async () => {
+  it('resumes once an engine accepts it although all reject it for a while', async () => {
     const away = turnsAwayFirst(6, 3)
     const { answer, move } = await startMigration(
       [
@@ -83,20 +81,20 @@
     expect(await answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
   })
 
-  it('goes on once there is a place, though the first ones are refused', async () => {
+  it('resumes once a placement is granted although the first ones are refused', async () => {
     const one = await startMigration(
       [
         {
           stream: runsFirst(turnsAway),
           copy: answers(200, 'h1'),
-          // The stop is carried out, and what could go on from it is lost on its way.
+          // The run stops, but the answer with its handle is lost.
           last: (request, engine) => {
             one.world.placesRefused = 5
             stopsWith(500, '')(request, engine)
           },
         },
         {
-          // What was copied before is lost too.
+          // The earlier copy is lost too.
           stream: (request, engine) =>
             request.headers['x-kv-from'] === undefined
               ? turnsAwayFirst(0, 3)(request, engine)
@@ -111,7 +109,7 @@
     expect(one.world.placesRefused).toBe(0)
   })
 
-  it('goes on once a second sending is left, though none is at first', async () => {
+  it('resumes once the retry budget has a sending left although it is used up at first', async () => {
     let running: SeenRequest | undefined
     const { world, answer } = await startMigration(
       [
@@ -131,13 +129,13 @@
   })
 })
 
-describe('an answer that goes on', () => {
+describe('an answer that resumes at another engine', () => {
   const fails: Engine['stream'] = (request) => {
     const rows = ['x-stamp: signed', `x-id: ${request.headers['x-id']}`, 'Content-Length: 4']
     request.socket.end(`HTTP/1.1 500 X\r\n${rows.join('\r\n')}\r\n\r\nfail`)
   }
 
-  it('ends as cut, not open for ever, when the next engine fails it', async () => {
+  it('is cut instead of left open when the next engine answers with a failure', async () => {
     let running: SeenRequest | undefined
     const { answer, world } = await startMigration(
       [{ stream: runsFirst(fails, (request) => (running = request)) }, { stream: fails }],
@@ -149,7 +147,7 @@
     expect(world.reports[0]!.outcome).toBe('cut: the engine failed with 500')
   })
 
-  it('is blamed on no engine that was told to stop', async () => {
+  it('counts no failure for an engine that was told to stop', async () => {
     const { answer, move, world } = await startMigration(
       [
         { stream: runsFirst(turnsAway), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
@@ -164,8 +162,8 @@
   })
 })
 
-describe('an answer whose events still come', () => {
-  it('goes on at an endpoint that a list says has ended', async () => {
+describe('an answer whose events still arrive', () => {
+  it('continues at an endpoint that the directory reports as ended', async () => {
     let running: SeenRequest | undefined
     const { world, answer } = await startMigration([
       {
@@ -179,11 +177,11 @@
   })
 })
 
-/** More than the buffers between two processes take, so that some of it stays in this one. */
+/** More than the socket buffers between two processes hold, so that a part stays in this process. */
 const LARGE_BYTES = 15 * 1024 * 1024
 
-describe('an answer that has ended here', () => {
-  it('still leaves whole on a slow link when the entry stops', async () => {
+describe('an answer that is complete but not fully sent', () => {
+  it('is sent completely over a slow link when the entry stops', async () => {
     const body = 'x'.repeat(LARGE_BYTES)
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, body)))
     const world = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
@@ -194,7 +192,7 @@
     await eventually(() => world.reports.length === 1)
     world.ingress.leave()
     world.ingress.close()
-    // As a machine stops: it ends what is left once nothing runs.
+    // As during shutdown: connections are closed once no request is running.
     const stopped = eventually(() => world.ingress.running === 0).then(() => world.ingress.closeAll())
     setImmediate(() => response.resume())
     const got = await answer
@@ -203,7 +201,7 @@
     await worker.stop()
   })
 
-  /** An entry whose slow caller has got the head of a large answer that has ended here. */
+  /** An entry whose slow caller has received only the head of a large answer that is complete at the entry. */
   async function startSlow() {
     const body = 'x'.repeat(LARGE_BYTES)
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, body)))
@@ -218,7 +216,7 @@
   }
 
   it.each(['entry', 'caller'] as const)(
-    'is written down as unsent where its %s ends the connection',
+    'is logged as unsent when the %s closes the connection',
     async (by) => {
       const { world, request, worker } = await startSlow()
       if (by === 'entry') world.stop()
@@ -231,7 +229,7 @@
     },
   )
 
-  it('is told from one whose caller has gone, where the entry ends in the middle of it', async () => {
+  it('is reported as cut by the entry, not by the caller, when the entry stops in the middle of a stream', async () => {
     const { world, answer } = await startMigration([{ stream: runsWith(1) }])
     answer.catch(() => undefined)
     world.stop()
--- a/request/gateway/test/choiceSimulation.ts
+++ b/request/gateway/test/choiceSimulation.ts
@@ -4,7 +4,7 @@
 import { endpointWithDefaults } from './rowsWithDefaults'
 
 const TARGET_MS = 300
-/** How long a caller waits for an endpoint with room. */
+/** How long a request waits for an endpoint with room. */
 const WAIT_MS = 51
 const POLL_MS = 10
 const QUEUE = 24
@@ -12,7 +12,7 @@
 export interface ChoiceOptions {
   seed: number
   perSecond: number
-  /** How long each endpoint works on a request; there are as many. */
+  /** Mean service time of each endpoint; the length is the number of endpoints. */
   workMs: number[]
   slots: number
   entries?: number
@@ -30,12 +30,12 @@
 export interface ChoiceResult {
   /** The share of requests that were served within the target. */
   inTime: number
-  /** Arrivals at the busiest endpoint of the least lucky 4 s, as a multiple of the mean of all. */
+  /** Arrivals at the busiest endpoint in the worst 4 s window, as a multiple of the mean of all endpoints. */
   busiest: number
   longestQueue: number
 }
 
-/** Entries that choose by themselves among plain endpoints with places and a queue, on one clock. */
+/** Simulates entries that independently choose among plain endpoints with slots and a queue, on one clock. */
 export function simulateChoices(options: ChoiceOptions): ChoiceResult {
   const { seed, perSecond, workMs, slots, entries = 4, forMs = 20_000 } = options
   const clock = new ManualClock()
@@ -56,7 +56,7 @@
   let inTime = 0
   const work = (at: Endpoint, done: () => void) => {
     at.working += 1
-    // Answers of one endpoint differ by a fifth.
+    // Service times vary by a fifth.
     clock.after(at.workMs * (0.8 + random() * 0.4), () => {
       at.working -= 1
       at.queue.shift()?.()
--- a/request/gateway/test/decideRetry.test.ts
+++ b/request/gateway/test/decideRetry.test.ts
@@ -24,14 +24,14 @@
 const end: RetryDecision = { type: 'end' }
 const atOnce: RetryDecision = { type: 'again', afterMs: 0 }
 
-describe('afterTry, before an answer has begun', () => {
+describe('decideRetry, before an answer has begun', () => {
   const cases: [string, AttemptFailure, Partial<RetryState>, RetryDecision][] = [
     ['refused', refused, {}, end],
     ['not reached', unreached, { hasSendingLeft: () => false, hasEngineLeft: false }, atOnce],
-    ['turned away', full, {}, atOnce],
-    ['turned away, without a sending', full, { hasSendingLeft: () => false }, end],
-    ['turned away too often', full, { refusals: 4 }, end],
-    ['lost where nothing may run twice', lost, { isResumable: false }, end],
+    ['rejected', full, {}, atOnce],
+    ['rejected, with the retry budget used up', full, { hasSendingLeft: () => false }, end],
+    ['rejected too often', full, { refusals: 4 }, end],
+    ['lost on a route that must not run it twice', lost, { isResumable: false }, end],
     ['lost', lost, {}, atOnce],
     ['lost at the last engine', lost, { hasEngineLeft: false }, end],
   ]
@@ -40,15 +40,15 @@
   })
 })
 
-describe('afterTry, once an answer has begun', () => {
+describe('decideRetry, once an answer has begun', () => {
   const begun = (fields: Partial<RetryState> = {}) =>
     state({ hasBegun: true, refusals: 99, hasSendingLeft: () => false, ...fields })
 
   it.each([
     ['refused', refused],
-    ['turned away', full],
+    ['rejected', full],
     ['not reached', unreached],
-  ])('goes on asking when %s, however often, while there is time', (_name, failed) => {
+  ])('retries when %s, any number of times, while there is time', (_name, failed) => {
     for (const waits of [0, 1, 5, 100]) {
       const next = decideRetry(failed, begun({ waits, hasEngineLeft: false }))
       expect(next).toEqual({ type: 'again', afterMs: retryDelayMs(waits) })
@@ -56,17 +56,17 @@
     expect(decideRetry(failed, begun({ leftMs: 40 }))).toEqual(end)
   })
 
-  it('goes on at once after a loss, as long as its route has an engine left', () => {
+  it('retries at once after a loss if the route allows another engine', () => {
     expect(decideRetry(lost, begun())).toEqual(atOnce)
     expect(decideRetry(lost, begun({ hasEngineLeft: false }))).toEqual(end)
   })
 
-  it('ends where it may not be made anew', () => {
+  it('ends if the answer is not resumable', () => {
     for (const failed of [refused, full, unreached, lost])
       expect(decideRetry(failed, begun({ isResumable: false }))).toEqual(end)
   })
 
-  it('asks soon at first, and then no more often than its progress is reported', () => {
+  it('doubles the delay up to its maximum', () => {
     expect([0, 1, 2, 3, 9].map(retryDelayMs)).toEqual([50, 100, 200, 400, 400])
   })
 })
--- a/request/gateway/test/evacuated.test.ts
+++ b/request/gateway/test/evacuated.test.ts
@@ -18,7 +18,7 @@
   request.socket.end('0\r\n\r\n')
 }
 
-/** One worker in each domain named, all of one service. */
+/** Starts an entry with one worker per tuple, in the failure domain that it names; all serve one service. */
 async function start(endpoints: [string, Stage | undefined, (request: SeenRequest) => void][], route = {}) {
   const workers = await Promise.all(endpoints.map(([, , answer]) => FakeWorker.start(answer)))
   const isModel = endpoints[0]![1] !== undefined
@@ -34,8 +34,8 @@
   return { world, seen: () => workers.map((worker) => worker.seen.length) }
 }
 
-describe('an entry, while a domain is evacuated', () => {
-  it('sends plain requests elsewhere with no try wasted, and there again once it is withdrawn', async () => {
+describe('an entry while a failure domain is evacuated', () => {
+  it('sends plain requests elsewhere without a wasted attempt, and there again after the evacuation is withdrawn', async () => {
     const { world, seen } = await start([
       ['a', undefined, answers],
       ['b', undefined, answers],
@@ -52,7 +52,7 @@
     expect(seen()[0]).toBeGreaterThan(0)
   })
 
-  it('places elsewhere by itself, for reading and for decoding', async () => {
+  it('places prefill and decode steps elsewhere by itself', async () => {
     const { world, seen } = await start([
       ['a', 'prefill', reads],
       ['b', 'prefill', reads],
@@ -66,7 +66,7 @@
     expect(world.places).toHaveLength(4)
   })
 
-  it('refuses at once as not run where every domain is evacuated, before it would wait for room', async () => {
+  it('refuses at once as not run if every failure domain is evacuated, without waiting for room', async () => {
     for (const stage of [undefined, 'decode'] as const) {
       const { world, seen } = await start([['a', stage, answers]], { targetMs: 60_000, timeoutMs: 60_000 })
       world.evacuated.add('a')
@@ -75,18 +75,18 @@
       expect(answer.body).toContain('evacuated')
       expect(answer.headers['retry-after']).toBeDefined()
       expect(seen()).toEqual([0])
-      // Only the end of the request's own time was awaited: no room was looked for again.
+      // The only timer is the deadline of the request: it did not poll for room.
       expect(world.timers.filter((ms) => ms < 50_000)).toEqual([])
     }
   })
 
-  it('does not use a place that was handed out just before', async () => {
+  it('does not use a placement that was granted just before', async () => {
     const { world, seen } = await start([
       ['b', 'prefill', (request) => (world.evacuated.add('a'), reads(request))],
       ['a', 'decode', streams],
       ['b', 'decode', streams],
     ])
-    // The local placement takes the first of equals: its decode engine is that of a domain that is emptied meanwhile.
+    // The local placement chooses the first of equals: a decode engine in the domain that is evacuated meanwhile.
     expect(await world.send('/p/', { body: 'x' })).toMatchObject({ status: 200, isWhole: true })
     expect(seen()).toEqual([1, 0, 1])
     expect(world.places.map((place) => place.decode.endpoint.zone)).toEqual(['a', 'b'])
@@ -94,7 +94,7 @@
       expect(world.pool.get(id)).toMatchObject({ inFlight: 0, tokens: 0 })
   })
 
-  it('lets a running answer end there, and resumes one that is lost there elsewhere', async () => {
+  it('lets a running answer finish there, and resumes a lost one elsewhere', async () => {
     let breaks: () => void = () => undefined
     const { world, seen } = await start(
       [
--- a/request/gateway/test/holdTime.test.ts
+++ b/request/gateway/test/holdTime.test.ts
@@ -3,16 +3,16 @@
 import { holdTime, waitTimes } from '../src/holdTime'
 
 describe('holdTime', () => {
-  it('leaves a caller that has waited for a sending that failed no longer without a word than any other', () => {
+  it('counts the time of a failed sending towards the longest wait', () => {
     const pauses = new EventPauses(1_000)
     const atOnce = holdTime(900, 14_000, pauses.silentMs(1_000))
     const afterFailure = holdTime(900, 13_300, pauses.silentMs(1_700))
     expect(1_700 + afterFailure).toBe(1_000 + atOnce)
-    // Callers give a silent stream up after four targets.
+    // Callers abandon a silent stream after four targets.
     expect(atOnce).toBeLessThan(900 * 4 - 400)
   })
 
-  it('counts from the last event where a stream is to go on elsewhere', () => {
+  it('counts from the last event if a stream has to resume elsewhere', () => {
     const pauses = new EventPauses(1_000)
     pauses.recordEvents(6_000)
     expect(holdTime(900, 13_000, pauses.silentMs(6_200))).toBe(900 * 3.4 - 200)
@@ -21,7 +21,7 @@
 })
 
 describe('waitTimes', () => {
-  it('tells when a caller gives a silent stream up', () => {
+  it('returns after what time a caller abandons a silent stream', () => {
     expect(waitTimes({ targetMs: 900, pauseMs: 300 }, 14_000, 100)).toEqual({
       holdMs: 2_960,
       patienceMs: 3_500,
--- a/request/gateway/test/lostSendings.test.ts
+++ b/request/gateway/test/lostSendings.test.ts
@@ -2,7 +2,7 @@
 import { chunk, event, goodAnswer, type SeenRequest } from './fakeWorker'
 import { answers, startRelay, streams } from './relayHarness'
 
-/** Ends its connection in the middle of a stream. */
+/** Closes the connection in the middle of a stream. */
 const breaksOff = (request: SeenRequest) => {
   request.socket.write(
     goodAnswer(request, '', ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked']),
@@ -13,7 +13,7 @@
   void request.socket.end(goodAnswer(request, 'no').replace('200 OK', '500 Broken'))
 const vanishes = (request: SeenRequest) => void request.socket.destroy()
 
-describe('an entry notes what was lost at an endpoint', () => {
+describe('an entry reports sendings that were lost at an endpoint', () => {
   it.each([
     ['a plain request without an answer', undefined, vanishes, true],
     ['a stream that breaks off', 'decode', breaksOff, true],
--- a/request/gateway/test/migrationHarness.ts
+++ b/request/gateway/test/migrationHarness.ts
@@ -6,16 +6,16 @@
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
 
-/** An engine that answers moves in given ways, and streams in another. */
+/** How an engine answers streams and the calls of a migration. */
 export interface Engine {
-  /** Answers a request for a stream. */
+  /** Answers a streaming request. */
   stream: (request: SeenRequest, engine: Running) => void
-  /** Answers the copy, and the copy that stops the run. */
+  /** Answers the copy of a run (`copy`) and the copy that stops it (`last`). */
   copy?: (request: SeenRequest) => void
   last?: (request: SeenRequest, engine: Running) => void
 }
 
-/** The stream that an engine has under way. */
+/** The stream that an engine is running. */
 export interface Running {
   socket?: SeenRequest['socket']
 }
@@ -30,14 +30,14 @@
   for (const id of ids) request.socket.write(chunk(event(id)))
 }
 
-/** Streams some events and goes on until it is told to stop. */
+/** Streams some events and keeps the stream open until it is stopped. */
 export const runsWith =
   (...ids: number[]): Engine['stream'] =>
   (request, engine) => {
     begin(request, ids)
     engine.socket = request.socket
   }
-/** Streams some events to a good end. */
+/** Streams some events and ends in order. */
 export const endsWith =
   (...ids: number[]): Engine['stream'] =>
   (request) => {
@@ -49,7 +49,7 @@
   (status: number, body: string): NonNullable<Engine['copy']> =>
   ({ socket }) =>
     void socket.end(`HTTP/1.1 ${status} X\r\nContent-Length: ${body.length}\r\n\r\n${body}`)
-/** Closes the stream without its end, then answers. */
+/** Closes the stream without an end, then answers. */
 export const stopsWith =
   (status: number, body: string): NonNullable<Engine['last']> =>
   (request, engine) => {
@@ -57,7 +57,7 @@
     answers(status, body)(request)
   }
 
-/** An entry before decode engines, with a request whose stream has begun at the first. */
+/** Starts an entry with decode engines and a request whose stream has begun at the first one. */
 export async function startMigration(
   engines: Engine[],
   route: Partial<Route> = {},
@@ -92,5 +92,5 @@
   return { world, workers, answer, request, move }
 }
 
-/** The bytes of some events. */
+/** Returns the events as text. */
 export const events = (...ids: number[]) => ids.map(event).join('')
--- a/request/gateway/test/parts.test.ts
+++ b/request/gateway/test/parts.test.ts
@@ -7,7 +7,7 @@
 import { TEST_WIRE } from './testWire'
 
 describe('EventSplitter', () => {
-  it('gives the same events however the bytes are cut, and keeps what is not ended', () => {
+  it('returns the same events for any chunking and buffers an incomplete one', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c'
     const cuts = fc.array(fc.integer({ min: 1, max: text.length - 1 }), { maxLength: 10 })
     fc.assert(
@@ -51,15 +51,15 @@
   })
 })
 
-describe('RetryAllowance', () => {
-  it('counts what it gave and what it did not', () => {
+describe('GatewayRetryBudget', () => {
+  it('counts granted and denied sendings', () => {
     const clock = new ManualClock()
     const budget = new GatewayRetryBudget({ clock, share: 0, slack: 4, windowMs: 10_000, entries: () => 1 })
     for (let count = 0; count < 5; count += 1) budget.take('s')
     expect(budget.counts).toEqual({ taken: 2, denied: 3 })
   })
 
-  it('never lets entries together exceed share and slack in any window', () => {
+  it('keeps all entries together within share and slack in any window', () => {
     const gaps = fc.array(fc.integer({ min: 0, max: 900 }), { minLength: 50, maxLength: 200 })
     fc.assert(
       fc.property(gaps, (steps) => {
@@ -85,7 +85,7 @@
     )
   })
 
-  it('gives a new entry no more than its part of the slack', () => {
+  it('grants a new entry no more than its part of the slack', () => {
     const clock = new ManualClock()
     const budget = new GatewayRetryBudget({
       clock,
@@ -117,7 +117,7 @@
     return { clock, pool: made, ids: () => made.candidates('s').map((one) => one.endpoint.id) }
   }
 
-  it('takes one out that cannot be reached, for longer each time, and back after a while', () => {
+  it('ejects an unreachable endpoint, for longer each time, and restores it afterwards', () => {
     const { clock, pool: made, ids } = pool()
     const one = made.get('i-1')!
     made.recordSend(one)
@@ -131,7 +131,7 @@
     expect(ids()).toEqual(['i-2'])
   })
 
-  it('uses another region only where the wait nearby is longer than the way there', () => {
+  it('uses another region only if the wait nearby exceeds the network delay', () => {
     const topology = new Topology({ z: 'west', y: 'west', e: 'east' })
     const options = { zone: 'z', clock: new ManualClock(), random: () => 0, logger: createSilentLogger() }
     const made = new EndpointPool({ ...options, topology })
@@ -148,7 +148,7 @@
     expect(order).toEqual(['near', 'near', 'far', 'near', 'far'])
   })
 
-  it('takes an engine of another region alone only where one nearby holds a request more', () => {
+  it('uses an engine of another region only if the one nearby holds one more request', () => {
     const topology = new Topology({ z: 'west', y: 'west', e: 'east' })
     const options = { zone: 'z', clock: new ManualClock(), random: () => 0, logger: createSilentLogger() }
     const made = new EndpointPool({ ...options, topology })
@@ -162,7 +162,7 @@
     expect(choose()).toBe('far')
   })
 
-  it('leaves out those that must get nothing, also where there is no other, and does not forget them', () => {
+  it('excludes barred endpoints even if there is no other, and keeps their state', () => {
     const barred = ['i-1']
     const { pool: made, ids } = pool(barred)
     made.recordSend(made.get('i-1')!)
@@ -179,7 +179,7 @@
     expect(made.get('i-1')!.inFlight).toBe(1)
   })
 
-  it('uses those that are out where there is no other', () => {
+  it('uses ejected endpoints if there is no other', () => {
     const { pool: made, ids } = pool()
     for (const id of ['i-1', 'i-2']) {
       made.recordSend(made.get(id)!)
@@ -188,7 +188,7 @@
     expect(ids()).toEqual(['i-1', 'i-2'])
   })
 
-  it('gives no work to one that drains or whose address another process has', () => {
+  it('excludes endpoints that drain or whose address another process owns', () => {
     const { pool: made, ids } = pool()
     made.update([{ ...base, id: 'i-1', state: 'draining', sequence: 2 }])
     made.recordSend(made.get('i-2')!)
--- a/request/gateway/test/plainHarness.ts
+++ b/request/gateway/test/plainHarness.ts
@@ -12,51 +12,51 @@
 
 const STEP_MS = 5
 const REST_STEP_MS = 100
-/** Past the first seconds of an entry, in which it takes the entries to be many. */
+/** Skips the first seconds of an entry, in which it assumes many entries. */
 const SETTLED_MS = 31_000
 const SLOTS = 6
 const DEADLINE_MS = 3_000
 const ROUTE = routeWithDefaults({ kind: 'safe', targetMs: 300, timeoutMs: 1_500, attempts: 2 })
-/** How many turns of the event loop nothing must have moved in. */
+/** Event loop turns without activity after which the sockets count as idle. */
 const QUIET_TURNS = 3
 
-/** What a caller got. */
+/** The answer to a caller. */
 export interface Outcome {
   sentAt: number
   status: number
   tookMs: number
-  /** Seconds; absent where it was told none. */
+  /** Value of `Retry-After` in seconds, if any. */
   retryAfter?: number
 }
 
-/** What an endpoint makes of a request. */
+/** How an endpoint answers a request. */
 export interface Work {
   inMs: number
-  /** The bytes of its answer, as it is when that leaves. */
+  /** Returns the answer; called when it is sent. */
   answer: () => string
 }
 
-/** Entries on one clock before plain endpoints; sockets carry requests, no timer is real. */
+/** Entries and plain endpoints on one manual clock; requests go over real sockets. */
 export abstract class PlainHarness {
   readonly clock = new ManualClock(100_000)
   readonly random = createSeededRandom(40)
   readonly outcomes: Outcome[] = []
   readonly entries: RelayParts[] = []
-  /** Connections that one endpoint takes from all entries. */
+  /** Connections that one endpoint accepts from all entries. */
   maxConnections = 100
   protected readonly listeners: FakeWorker[] = []
   private held = 0
   private count = 0
   private running = 0
-  /** The most requests that endpoints held at once. */
+  /** The highest number of requests that all endpoints held at once. */
   maxHeld = 0
 
   constructor(protected readonly entryCount: number) {}
 
-  /** An endpoint has a request; says after how long it answers, and what it answers then. */
+  /** Called when an endpoint receives a request; returns when and what it answers. */
   protected abstract work(index: number, request: SeenRequest, entry: number): Work
 
-  /** What an entry has beside its pool and its allowance. */
+  /** Returns the parts of an entry that differ from the defaults. */
   protected abstract partsOf(entry: number): Partial<RelayParts>
 
   protected async open(endpointCount: number): Promise<void> {
@@ -70,7 +70,7 @@
     await Promise.all(this.listeners.map((listener) => listener.stop()))
   }
 
-  /** Callers come for a time, so many a second, each at any entry, or at those given. */
+  /** Sends `perSecond` requests for `forMs`, each to a random entry or to the one that `at` returns. */
   async runLoad(
     perSecond: number,
     forMs: number,
@@ -86,7 +86,7 @@
     await this.settle()
   }
 
-  /** Lets time pass in which nobody calls. */
+  /** Advances the clock without sending requests. */
   async advanceIdle(forMs: number): Promise<void> {
     for (let passed = 0; passed < forMs; passed += REST_STEP_MS) {
       this.clock.advance(REST_STEP_MS)
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Lets what is under way end. */
+  /** Advances the clock until all requests have ended. */
   async drain(): Promise<void> {
     while (this.running > 0) {
       this.clock.advance(STEP_MS)
@@ -102,7 +102,7 @@
     }
   }
 
-  /** The share of callers since a time that were served within the target. */
+  /** Returns the share of requests sent since a time that were served within the target. */
   servedInTime(since = 0): number {
     const all = this.outcomes.filter(({ sentAt }) => sentAt >= since)
     return all.filter(({ status, tookMs }) => status === 200 && tookMs <= ROUTE.targetMs).length / all.length
@@ -188,7 +188,7 @@
     return { request, route: ROUTE, service, endsAt, targetAt, ...rest }
   }
 
-  /** Lets the sockets carry on until all that was sent is held by endpoints, and nothing moves any more. */
+  /** Waits until all sent requests have reached their endpoints and the sockets are idle. */
   private async settle(): Promise<void> {
     for (let quiet = 0; quiet < QUIET_TURNS; quiet += 1) {
       await new Promise<void>((resolve) => setImmediate(resolve))
@@ -204,7 +204,7 @@
   }
 }
 
-/** Takes an answer in place of a caller's connection. */
+/** Stands in for the response to a caller. */
 class FakeResponse extends EventEmitter {
   headersSent = false
   destroyed = false
--- a/request/gateway/test/plainRelay.test.ts
+++ b/request/gateway/test/plainRelay.test.ts
@@ -8,7 +8,7 @@
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
 
-/** An entry before workers that answer as given; each worker is an instance `i-0`, `i-1` and so on. */
+/** Starts an entry with workers that answer as given; they are the instances `i-0`, `i-1` and so on. */
 async function start(answerers: Answerer[], route: Partial<Route> = {}, limits: Partial<CallerLimits> = {}) {
   const workers = await Promise.all(answerers.map((answer) => FakeWorker.start(answer)))
   const world = await GatewayHarness.start(
@@ -33,7 +33,7 @@
   )
 
 describe('plain requests', () => {
-  it('travel unchanged, with the instance and what is left of the time, without what only the system sets', async () => {
+  it('are forwarded unchanged, with the expected instance and remaining time, without reserved headers', async () => {
     const { world, workers } = await start([good])
     const headers = { 'x-other': 'kept', 'x-expect': 'forged', 'x-stage': 'forged', 'x-deadline': '4000' }
     const answer = await world.send('/p/a?b=c', { headers, body: 'the body' })
@@ -58,14 +58,14 @@
     expect(runs()).toBe(0)
   })
 
-  it('may have headers as long as the sheet in force allows, and are answered 431 far above it', async () => {
+  it('may have headers up to the limit of the route sheet in force, and are answered 431 far above it', async () => {
     const { world, runs } = await start([good], {}, { maxHeaderBytes: 60_000 })
     expect((await world.send('/p/', { headers: { 'x-long': 'x'.repeat(55_000) } })).status).toBe(200)
     expect((await world.send('/p/', { headers: { 'x-long': 'x'.repeat(150_000) } })).status).toBe(431)
     expect(runs()).toBe(1)
   })
 
-  it('that may run once are not sent again after a reset, and get no promise that they did not run', async () => {
+  it('that may run once are not sent again after a reset, and are not reported as not run', async () => {
     const { world, runs } = await start([reset, reset], { kind: 'unsafe' })
     const answer = await world.send('/p/')
     expect(answer.status).toBe(502)
@@ -79,14 +79,14 @@
     expect(runs()).toBe(2)
   })
 
-  it('that no worker ran get 503 with a time to come back', async () => {
+  it('that no worker ran get 503 with a retry delay', async () => {
     const { world } = await start([notRun], { kind: 'unsafe' })
     const answer = await world.send('/p/')
     expect(answer.status).toBe(503)
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0)
   })
 
-  it('go on where nobody listens at an address', async () => {
+  it('are sent to another worker if nothing listens at an address', async () => {
     const worker = await FakeWorker.start(good)
     const world = await GatewayHarness.start(
       [{ address: await deadAddress() }, { address: worker.address }],
@@ -96,7 +96,7 @@
     expect(await world.send('/p/')).toMatchObject({ status: 200 })
   })
 
-  it('that may be repeated are sent again after a failure, up to the attempts of the route', async () => {
+  it('that may be repeated are retried after a failure, up to the attempts of the route', async () => {
     const { world, runs } = await start([ownFailure, ownFailure, ownFailure])
     expect(await world.send('/p/')).toMatchObject({ status: 500, body: 'no' })
     expect(runs()).toBe(2)
@@ -108,12 +108,12 @@
       say('HTTP/1.1 200 OK\r\nx-id: other\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nno'),
     ],
     ['a success without a signature', say('HTTP/1.1 200 OK\r\nx-id: r1\r\nContent-Length: 2\r\n\r\nno')],
-    ['bytes that are no answer', say('what is this\r\n\r\n')],
+    ['bytes that are not HTTP', say('what is this\r\n\r\n')],
     [
-      'an answer shorter than it says',
+      'an answer shorter than its length',
       say('HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\nContent-Length: 9\r\n\r\nno'),
     ],
-  ])('never pass on %s', async (_what, bad) => {
+  ])('never forward %s', async (_what, bad) => {
     const { world } = await start([bad], { kind: 'unsafe' })
     const answer = await world.send('/p/')
     expect(answer).toMatchObject({ status: 502 })
@@ -121,14 +121,14 @@
     expect(answer.headers['x-stamp']).toBeUndefined()
   })
 
-  it('take a whole answer though more bytes follow it', async () => {
+  it('accept a complete answer although more bytes follow', async () => {
     const { world } = await start([
       (request) => void request.socket.end(`${goodAnswer(request, 'hello')}HTTP/1.1 200 OK\r\n\r\nmore`),
     ])
     expect(await world.send('/p/')).toMatchObject({ status: 200, body: 'hello', isWhole: true })
   })
 
-  it('pass an answer without a length on without one: it must not look whole when it was cut', async () => {
+  it('forward an answer without a length without adding one, so that a cut answer does not look complete', async () => {
     const { world } = await start([
       (request) => void request.socket.end(goodAnswer(request, 'half', ['Connection: close'])),
     ])
@@ -138,7 +138,7 @@
     expect(answer.headers['transfer-encoding']).toBeUndefined()
   })
 
-  it('do not pass on an answer without a length whose connection was reset', async () => {
+  it('do not forward an answer without a length whose connection was reset', async () => {
     const { world } = await start(
       [
         (request) => {
@@ -152,7 +152,7 @@
     expect((await world.send('/p/')).status).toBe(502)
   })
 
-  it('find another worker where the address has another process now, and never ask there again', async () => {
+  it('go to another worker if another process owns the address, which gets no further request', async () => {
     const other = say('HTTP/1.1 421 Other\r\nx-instance: i-9\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     const { world, workers } = await start([other, good], { kind: 'unsafe' })
     for (let index = 0; index < 4; index += 1)
@@ -160,13 +160,13 @@
     expect(workers[0]!.seen.length).toBeLessThanOrEqual(1)
   })
 
-  it('answer 504 when the time of the route is up, and stop the worker', async () => {
+  it('are answered 504 when the time of the route is up, and stop the worker', async () => {
     const { world, workers } = await start([() => undefined], { timeoutMs: 150 })
     expect((await world.send('/p/')).status).toBe(504)
     await workers[0]!.seen[0]!.closed
   })
 
-  it('stop the worker when the caller leaves', async () => {
+  it('stop the worker when the caller disconnects', async () => {
     const { world, workers } = await start([() => undefined])
     const { request, answer } = world.open('/p/')
     request.end()
--- a/request/gateway/test/promptParts.test.ts
+++ b/request/gateway/test/promptParts.test.ts
@@ -16,7 +16,7 @@
     ])
   })
 
-  it('takes none that cannot be those of the prompt, or that would burden each message', () => {
+  it('ignores parts that do not add up to the prompt or exceed the limits', () => {
     expect(partsOf(undefined)).toBeUndefined()
     expect(partsOf('a')).toBeUndefined()
     expect(partsOf('a:100,b:100')).toBeUndefined()
--- a/request/gateway/test/refusedContent.test.ts
+++ b/request/gateway/test/refusedContent.test.ts
@@ -13,12 +13,12 @@
 const send = (world: GatewayHarness, body = BODY) =>
   world.send('/p/a', { body, headers: { 'x-tokens': '5,5', 'x-id': body } })
 
-describe('a request of a refused content', () => {
+describe('a request with refused content', () => {
   it.each([
     ['plain', undefined, answers],
     ['streaming', 'decode', streams],
   ] as const)(
-    '%s reaches no endpoint, hears so at once and when to come back; others go on',
+    '%s reaches no endpoint and is refused at once with a retry delay, while others are served',
     async (_kind, stage, behaviour) => {
       const { world, seen } = await startRelay([[stage, behaviour]])
       world.refused.add(digest())
@@ -31,7 +31,7 @@
     },
   )
 
-  it('is not sent again by the attempt whose sending made it refused, which does not say that it has not run', async () => {
+  it('is not sent again by the request whose sending made it refused, which is not reported as not run', async () => {
     const vanishes = (request: SeenRequest) => {
       relay.world.refused.add(digest())
       request.socket.destroy()
--- a/request/gateway/test/relayHarness.ts
+++ b/request/gateway/test/relayHarness.ts
@@ -21,7 +21,7 @@
 /** Answers a plain request. */
 export const answers = (request: SeenRequest) => void request.socket.end(goodAnswer(request, 'hello'))
 
-/** An entry with one route before endpoints that answer as given: engines where they have a stage, else plain ones. */
+/** Starts an entry with one route to endpoints that answer as given: engines if they have a stage, otherwise plain ones. */
 export async function startRelay(
   endpoints: [Stage | undefined, (request: SeenRequest) => void][],
   route: Partial<Route> = {},
--- a/request/gateway/test/restartedEndpoint.test.ts
+++ b/request/gateway/test/restartedEndpoint.test.ts
@@ -4,9 +4,9 @@
 import { GatewayHarness } from './gatewayHarness'
 import { streams } from './relayHarness'
 
-/** Takes the request and says nothing, as a process that has vanished without a reset. */
+/** Accepts the request and does not answer, like a process that vanished without a reset. */
 const silent = () => undefined
-/** Begins a stream and says nothing more. */
+/** Begins a stream and sends nothing more. */
 const begins = (request: SeenRequest) => {
   request.socket.write(
     goodAnswer(request, '', ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked']),
@@ -29,7 +29,7 @@
   const service = stage === undefined ? 'plain' : 'model'
   const route = { kind, resumable, attempts: 2, shares: [{ service, weight: 1 }] }
   const world = await GatewayHarness.start([incarnation(100, worker.address, stage)], [route])
-  /** The directory hears of another life, at an address of its own. */
+  /** Registers a new incarnation of the endpoint at another address. */
   const restart = async (next: (request: SeenRequest) => void) => {
     const other = await FakeWorker.start(next)
     const over = { ...world.pool.get(lifeId('i-1', 100))!.endpoint, state: 'ended' as const }
@@ -45,8 +45,8 @@
 const answers = (request: SeenRequest) => void request.socket.end(goodAnswer(request, 'hello'))
 const sent = { body: 'b', headers: { 'x-tokens': '5,5' } }
 
-describe('what runs at an endpoint that starts again under its id', () => {
-  it('is answered at once that it may have run, where it must not run twice', async () => {
+describe('a request at an endpoint that restarts under the same name', () => {
+  it('is answered at once as possibly run if it must not run twice', async () => {
     const { world, worker, restart } = await startHarness(silent, 'unsafe')
     const answer = world.send('/p/a', sent)
     await worker.waitForSeen(1)
@@ -58,7 +58,7 @@
     await Promise.all([world.stop(), worker.stop(), other.stop()])
   })
 
-  it('runs again at the new life where it may, and the new life begins with nothing of the earlier', async () => {
+  it('runs again at the new incarnation if allowed, which inherits no state of the earlier one', async () => {
     const { world, worker, restart } = await startHarness(silent, 'safe')
     const answer = world.send('/p/a', sent)
     await worker.waitForSeen(1)
@@ -72,12 +72,12 @@
   it.each([
     [false, false],
     [true, true],
-  ])('goes on in the middle of a stream only where it is resumable (%s)', async (resumable, isWhole) => {
+  ])('resumes in the middle of a stream only if it is resumable (%s)', async (resumable, isWhole) => {
     const { world, worker, restart } = await startHarness(begins, 'streaming', resumable)
     const { request, answer } = world.open('/p/a', { ...sent, method: 'POST' })
     request.end('b')
     await worker.waitForSeen(1)
-    // The first event has arrived at the caller, so that the stream is under way.
+    // The first event has reached the caller, so the stream is in progress.
     await new Promise<void>((resolve) =>
       request.on('response', (response) => response.once('data', () => resolve())),
     )
@@ -88,7 +88,7 @@
     await Promise.all([world.stop(), worker.stop(), other.stop()])
   })
 
-  it('gets a new place at the new life where the old one was given a place that was not used yet', async () => {
+  it('gets a new placement at the new incarnation if its unused placement was at the old one', async () => {
     const { world, worker, restart } = await startHarness(streams, 'streaming')
     let other: FakeWorker | undefined
     world.onPlace = () => {
--- a/request/gateway/test/returnDetector.test.ts
+++ b/request/gateway/test/returnDetector.test.ts
@@ -4,10 +4,10 @@
 
 const LONGEST = 14_000
 const TARGET = 900
-/** What callers that were sent away at once are told to wait, as shares of the time that they have left. */
+/** Range of the retry delay that refused callers are told, as shares of the time that they have left. */
 const RETRY_SHARES = [0.24, 0.32]
 
-/** Callers whose deadlines differ by up to a share; `deadline` draws a first try, `later` a return of such a one. */
+/** Callers whose deadlines vary by up to `spread`; `deadline` draws a first attempt, `later` a retry. */
 function createCallers(spread: number, seed = 3) {
   const random = createSeededRandom(seed)
   const deadline = () => Math.round(LONGEST * (1 - spread * random()))
@@ -18,7 +18,7 @@
   return { deadline, later, random }
 }
 
-/** Plays requests of which a share are returns; counts who was taken for what, the first ones left out. */
+/** Simulates requests with a share of retries after `calmFirst` first attempts; counts how they were classified. */
 function play(spread: number, shareOfReturns: number, requests = 400, calmFirst = 100) {
   const { deadline, later, random } = createCallers(spread)
   const deadlines = new ReturnDetector()
@@ -34,34 +34,34 @@
   return counts
 }
 
-describe('who has come back', () => {
-  it('is told where callers name deadlines that differ by 15 in 100', () => {
+describe('ReturnDetector', () => {
+  it('detects retries although deadlines vary by 15 %', () => {
     const { firstAsReturn, returnAsFirst } = play(0.15, 0.2)
     expect(firstAsReturn).toBe(0)
     expect(returnAsFirst).toBe(0)
   })
 
-  it('is told from the first request on, before anything was learned', () => {
+  it('takes no first attempt for a retry before it has learned the deadlines', () => {
     const { deadline } = createCallers(0.15)
     const deadlines = new ReturnDetector()
     for (let count = 0; count < 12; count += 1)
       expect(deadlines.judge('r', deadline(), TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
   })
 
-  it('is still told in an overload that sends most callers away', () => {
+  it('detects retries in an overload in which most requests are retries', () => {
     const { firstAsReturn, returnAsFirst, returns } = play(0.15, 0.6, 800)
     expect(firstAsReturn).toBe(0)
     expect(returnAsFirst / returns).toBeLessThan(0.02)
   })
 
-  it('is told to a third of the target where all name the same deadline', () => {
+  it('detects retries after a third of the target if all callers name the same deadline', () => {
     const deadlines = new ReturnDetector()
     for (let count = 0; count < 100; count += 1) deadlines.judge('r', LONGEST - (count % 3), TARGET)
     expect(deadlines.judge('r', LONGEST - 200, TARGET)).toEqual({ isReturn: false, elapsedMs: 200 })
     expect(deadlines.judge('r', LONGEST - 400, TARGET)).toEqual({ isReturn: true, elapsedMs: 400 })
   })
 
-  it('is told apart by route', () => {
+  it('learns the deadlines of each route separately', () => {
     const deadlines = new ReturnDetector()
     for (let count = 0; count < 60; count += 1)
       deadlines.judge(count % 2 === 0 ? 'a' : 'b', count % 2 === 0 ? 14_000 : 3_000, TARGET)
@@ -69,7 +69,7 @@
     expect(deadlines.judge('a', 3_000, TARGET).isReturn).toBe(true)
   })
 
-  it('is told for a route whose deadlines differ beside one where all name the same', () => {
+  it('allows for varying deadlines on one route while another has uniform ones', () => {
     const { deadline } = createCallers(0.15)
     const deadlines = new ReturnDetector()
     for (let count = 0; count < 200; count += 1) {
@@ -78,7 +78,7 @@
     }
   })
 
-  it('is told again after callers have come to name shorter deadlines', () => {
+  it('adapts after callers change to shorter deadlines', () => {
     const deadlines = new ReturnDetector()
     deadlines.judge('r', 60_000, TARGET)
     for (let count = 0; count < 100; count += 1) deadlines.judge('r', LONGEST, TARGET)
@@ -86,7 +86,7 @@
     expect(deadlines.judge('r', LONGEST * 0.7, TARGET).isReturn).toBe(true)
   })
 
-  it('is nobody who names no deadline', () => {
+  it('takes a request without a deadline for a first attempt', () => {
     expect(new ReturnDetector().judge('r', Infinity, TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
   })
 })
--- a/request/gateway/test/runAlone.test.ts
+++ b/request/gateway/test/runAlone.test.ts
@@ -6,7 +6,7 @@
 
 const SUSPECT = 'may end its endpoint'
 const REFUSAL = { ends: 3, leftMs: 60_000 }
-/** How often a waiting request looks for an endpoint, at the most. */
+/** Poll interval of a request that waits for an endpoint. */
 const WAIT_STEP_MS = 10
 const digest = () =>
   contentDigest({ method: 'POST', host: 'h.example', path: '/p/a', body: Buffer.from(SUSPECT) })
@@ -24,8 +24,8 @@
   return { ...relay, send: (body = SUSPECT) => relay.world.send('/p/a', { body, headers: { 'x-id': body } }) }
 }
 
-describe('a request that may end its endpoint', () => {
-  it('runs at the endpoint that is kept free for it, and no other does', async () => {
+describe('a request that may crash its endpoint', () => {
+  it('runs at the endpoint that is reserved for it, where no other request runs', async () => {
     const { world, seen, send } = await start()
     world.keptFree.add('i-1')
     world.alone = () => ({ type: 'granted', endpoint: 'i-1', forMs: 2_000 })
@@ -36,7 +36,7 @@
     expect(world.isolatedEnds).toEqual(['i-1'])
   })
 
-  it('hears that it has not run, and when to come, where none is free soon', async () => {
+  it('is refused as not run with a retry delay if no endpoint is free soon', async () => {
     const { world, seen, send } = await start()
     world.alone = () => ({ type: 'later', retryAfterMs: 3_500 })
     const answer = await send()
@@ -47,7 +47,7 @@
     expect((await send('other')).status).toBe(200)
   })
 
-  it('waits for one that is free in a moment', async () => {
+  it('waits for an endpoint that is free soon', async () => {
     const { world, send } = await start()
     const said: string[] = []
     world.alone = () => {
@@ -61,8 +61,8 @@
     expect(world.isolatedEnds).toEqual(['i-2'])
   })
 
-  // Guards against requests that leave by what was known before they waited for an endpoint, and take one more down.
-  it('is asked about again after it has waited for an endpoint', async () => {
+  // Guards against requests that are sent by a decision made before they waited for an endpoint, and crash another one.
+  it('is decided again after it has waited for an endpoint', async () => {
     const { world, seen, send } = await start(answers, { targetMs: 60_000 })
     world.suspects.clear()
     world.alone = () => ({ type: 'later', retryAfterMs: 3_500 })
@@ -76,14 +76,14 @@
     expect(seen()).toEqual([0, 0, 0])
   })
 
-  it('goes anywhere where its service has too few to keep one free', async () => {
+  it('runs anywhere if its service has too few endpoints to reserve one', async () => {
     const { world, send, seen } = await start()
     world.alone = () => ({ type: 'anywhere' })
     expect((await send()).status).toBe(200)
     expect(seen().reduce((sum, one) => sum + one)).toBe(1)
   })
 
-  it('tells that its run has ended also where its endpoint has, and says nothing of not having run', async () => {
+  it('ends its reservation also if its endpoint crashes, and is not reported as not run', async () => {
     const { world, send } = await start((request) => void request.socket.destroy())
     const said: string[] = []
     world.alone = () => {
@@ -96,8 +96,8 @@
     expect(world.isolatedEnds).toEqual(['i-0'])
   })
 
-  // Guards against repeats that leave before the loss of their endpoint is confirmed, and crash one more beside others.
-  it('is repeated only once it is known whether its endpoint crashed', async () => {
+  // Guards against retries that are sent before the crash of the endpoint is confirmed, and crash another one.
+  it('is retried only once it is known whether its endpoint crashed', async () => {
     const { world, seen, send } = await start((request) => void request.socket.destroy(), { attempts: 3 })
     world.suspects.clear()
     world.decide = (content, lost) => {
@@ -115,8 +115,8 @@
     expect(seen()).toEqual([1, 0, 0])
   })
 
-  // Guards against trials that are sent to an endpoint which has just crashed under the trial before them.
-  it('keeps its endpoint reserved until it is known whether that crashed', async () => {
+  // Guards against isolated trials at an endpoint that has just crashed under the previous trial.
+  it('keeps its endpoint reserved until it is known whether the endpoint crashed', async () => {
     const { world, send } = await start((request) => void request.socket.destroy())
     world.alone = () => ({ type: 'granted', endpoint: 'i-0', forMs: 2_000 })
     let confirm = () => {}
@@ -129,8 +129,8 @@
     await vi.waitFor(() => expect(world.isolatedEnds).toEqual(['i-0']))
   })
 
-  // Guards against runs of one content side by side that come to three crashes before the first is confirmed.
-  it('waits for the turn of its content, runs anywhere in it, and ends it once its losses are confirmed', async () => {
+  // Guards against parallel runs of one content that cause three crashes before the first is confirmed.
+  it('waits for the turn of its content, runs anywhere, and ends the turn once its losses are confirmed', async () => {
     const { world, seen, send } = await start(undefined, {})
     world.decide = () => ({ type: 'serialize' })
     const asked: string[] = []
@@ -144,14 +144,14 @@
     expect(seen().reduce((sum, one) => sum + one)).toBe(1)
   })
 
-  it('runs without its turn where that does not come in time, and nobody is refused for it', async () => {
+  it('runs without a turn if none comes in time, instead of being refused', async () => {
     const { world, send } = await start()
     world.decide = () => ({ type: 'serialize' })
     world.turnAnswer = () => ({ type: 'later', retryAfterMs: 5_000 })
     expect((await send()).status).toBe(200)
   })
 
-  it('runs isolated where the leader knows of more crashes than its entry', async () => {
+  it('runs isolated if the leader knows of more crashes than the entry', async () => {
     const { world, seen, send } = await start()
     world.decide = () => ({ type: 'serialize' })
     world.turnAnswer = () => ({ type: 'isolate' })
--- a/request/gateway/test/runMigrations.test.ts
+++ b/request/gateway/test/runMigrations.test.ts
@@ -14,8 +14,8 @@
 
 const ENDS = '0\r\n\r\n'
 
-describe('an answer that runs', () => {
-  it('goes on at another engine with its memory, as one answer', async () => {
+describe('a run', () => {
+  it('migrates to another engine with its KV cache, as one answer', async () => {
     const { world, workers, answer, move } = await startMigration([
       { stream: runsWith(1, 2), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
       { stream: endsWith(3, 4) },
@@ -35,7 +35,7 @@
     expect(world.places).toHaveLength(1)
   })
 
-  it('goes on where it is when it cannot be copied', async () => {
+  it('stays at its engine if it cannot be copied', async () => {
     const running: Running = {}
     const { workers, answer, move } = await startMigration([
       {
@@ -55,7 +55,7 @@
     expect(workers[1]!.seen).toHaveLength(0)
   })
 
-  it('goes on at its own engine when the last copy found no room', async () => {
+  it('resumes at its own engine if the last copy finds no room', async () => {
     let streams = 0
     const { workers, answer, move } = await startMigration([
       {
@@ -74,7 +74,7 @@
     expect(workers[0]!.seen.filter(isStream)[1]!.headers['x-kv-from']).toBe(`${workers[0]!.address}#h2`)
   })
 
-  it('goes on at its own engine when the other one must not get it any more once it is copied', async () => {
+  it('resumes at its own engine if the other one must not get it any more once it is copied', async () => {
     let streams = 0
     const one = await startMigration([
       {
@@ -96,7 +96,7 @@
     expect(one.workers[1]!.seen).toHaveLength(0)
   })
 
-  it('does not go back to its own engine when that must get nothing any more', async () => {
+  it('does not resume at its own engine if that must not get it any more', async () => {
     const one = await startMigration([
       {
         stream: runsWith(1),
@@ -113,13 +113,13 @@
     expect(one.workers.map(({ seen }) => seen.filter(isStream).length)).toEqual([1, 0])
   })
 
-  // Guards against answers that may not be made twice and are cut though their own engine, which leaves, still serves.
+  // Guards against cutting answers that are not resumable although their own engine leaves but still serves.
   it.each([
-    ['by the lists', 800, true],
-    ['by its own word', 800, true],
-    ['by the lists, too long ago', 1_600, false],
-    ['by its own word, too long ago', 1_600, false],
-  ])('goes back to its own engine that leaves, %s (%i ms ago)', async (by, agoMs, isWhole) => {
+    ['by the directory', 800, true],
+    ['by its own statement', 800, true],
+    ['by the directory, too long ago', 1_600, false],
+    ['by its own statement, too long ago', 1_600, false],
+  ])('resumes at its own engine while that leaves, %s (%i ms ago)', async (by, agoMs, isWhole) => {
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     let streams = 0
@@ -145,21 +145,21 @@
     const { pool, statements } = one.world
     const source = pool.get('i-0')!
     const leave = () => {
-      if (by.startsWith('by the lists')) pool.update([{ ...source.endpoint, state: 'draining' }])
+      if (by.startsWith('by the directory')) pool.update([{ ...source.endpoint, state: 'draining' }])
       else {
         statements.recordLeaving('i-0', 'r0')
         pool.recordLeaving(source)
       }
       const since = source.leavingSince! - agoMs
       source.leavingSince = since
-      if (by.startsWith('by its own word')) statements.leavingSince = () => since
+      if (by.startsWith('by its own statement')) statements.leavingSince = () => since
     }
     one.move()
     expect(await one.answer).toMatchObject({ body: isWhole ? events(1, 2, 3) : events(1), isWhole })
     expect(one.workers[0]!.seen.filter(isStream)).toHaveLength(isWhole ? 2 : 1)
   })
 
-  it('is asked for where its memory is as long as that lasts, then cut, and never made anew, where nothing may run twice', async () => {
+  it('that must not run twice is retried at engines with its KV cache until that expires, then cut, and never run again', async () => {
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     const one = await startMigration(
@@ -171,7 +171,7 @@
       {},
       { 'x-deadline': '1000' },
     )
-    // It leaves, so that nothing goes back there.
+    // It leaves, so that the run does not resume there.
     one.world.pool.get('i-0')!.leavingSince = -Infinity
     one.world.pool.update([{ ...one.world.pool.get('i-0')!.endpoint, state: 'draining' }])
     one.move()
@@ -187,7 +187,7 @@
     [false, [1, 0]],
     [true, [1, 1]],
   ])(
-    'goes on from what was copied before, without word of the stop, only where it is resumable (%s)',
+    'resumes from the first copy, without confirmation of the stop, only if it is resumable (%s)',
     async (resumable, streams) => {
       const { workers, answer, move } = await startMigration(
         [
@@ -205,7 +205,7 @@
     },
   )
 
-  it('goes back to its own engine when the other one refuses it', async () => {
+  it('resumes at its own engine if the other one rejects it', async () => {
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     let streams = 0
@@ -228,7 +228,7 @@
     expect(world.places[0]!.decode.endpoint.id).toBe('i-0')
   })
 
-  it('is freed at its engine when its caller leaves while it is stopped', async () => {
+  it('is released at its engine if its caller disconnects while it is stopped', async () => {
     let leave = () => undefined as unknown
     const { workers, request, move, answer } = await startMigration([
       {
@@ -249,7 +249,7 @@
     expect(workers[1]!.seen).toHaveLength(0)
   })
 
-  it('is not moved where its end cannot be told from a stop', async () => {
+  it('is not migrated if its end cannot be told from a stop', async () => {
     const running: Running = {}
     const { workers, answer, move } = await startMigration([
       {
--- a/request/gateway/test/sendCounter.test.ts
+++ b/request/gateway/test/sendCounter.test.ts
@@ -4,10 +4,10 @@
 import { GatewayRetryBudget } from '../src'
 import { SendCounter, type Arrival, type SendStep } from '../src/sendCounter'
 
-/** An allowance of so many repeated sendings, whatever the number of requests. */
+/** A budget of so many repeated sendings, independent of the number of requests. */
 function budgetOf(repeats: number): GatewayRetryBudget {
   const clock = new ManualClock()
-  // Half of the slack is planned with.
+  // Half of the slack is usable.
   return new GatewayRetryBudget({ clock, share: 0, slack: repeats * 2, windowMs: 10_000, entries: () => 1 })
 }
 
@@ -22,15 +22,15 @@
 const decoded = { step: 'decode', arrival: 'taken' } as const
 const full = { step: 'decode', arrival: 'rejected' } as const
 
-describe('SendCount', () => {
+describe('SendCounter', () => {
   it.each([
-    ['reading apart and one run', [taken, decoded], 0],
-    ['a run at once', [decoded], 0],
-    ['one that reached nobody first', [{ step: 'decode', arrival: 'not-arrived' }, decoded], 0],
+    ['a separate prefill step and one run', [taken, decoded], 0],
+    ['a run without a prefill step', [decoded], 0],
+    ['a run after one that did not arrive', [{ step: 'decode', arrival: 'not-arrived' }, decoded], 0],
     ['a prefill step that was rejected', [rejected, decoded], 1],
-    ['engine after engine that has no room', [taken, full, full, full], 2],
-    ['reading twice', [taken, full, taken, decoded], 2],
-    ['rejected, then read', [rejected, taken, decoded], 1],
+    ['three engines without room in a row', [taken, full, full, full], 2],
+    ['two prefill steps', [taken, full, taken, decoded], 2],
+    ['a rejected prefill step, then an accepted one', [rejected, taken, decoded], 1],
   ] as const)('draws for %s', (_name, sendings, drawn) => {
     const budget = budgetOf(10)
     const count = new SendCounter(budget, 's')
@@ -38,7 +38,7 @@
     expect(budget.counts.taken).toBe(drawn)
   })
 
-  it('lets nothing more leave once the allowance is used up, but each request has its first run', () => {
+  it('admits no repeated sending once the budget is used up, but the first run of each request', () => {
     const budget = budgetOf(1)
     const first = new SendCounter(budget, 's')
     expect(send(first, 'decode', 'rejected')).toBe(true)
@@ -50,7 +50,7 @@
     expect(send(second, 'decode', 'taken')).toBe(true)
   })
 
-  it('never lets more arrive beyond the first of each request and its first reading than it has drawn', () => {
+  it('admits no more arrivals beyond the first run and prefill step of each request than the budget has', () => {
     const step = fc.constantFrom<SendStep>('prefill', 'decode')
     const arrival = fc.constantFrom<Arrival>('taken', 'rejected', 'not-arrived')
     const requests = fc.array(fc.array(fc.tuple(step, arrival), { maxLength: 8 }), { maxLength: 12 })
--- a/request/gateway/test/sendRules.test.ts
+++ b/request/gateway/test/sendRules.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import { answers, reads, startRelay, streams } from './relayHarness'
 
-describe('a sending that must not leave', () => {
-  it('goes to another plain endpoint, also for a request that may run once', async () => {
+describe('a request that a send rule withholds', () => {
+  it('goes to another plain endpoint, even if it may run only once', async () => {
     const { world, seen } = await startRelay([
       [undefined, answers],
       [undefined, answers],
@@ -13,7 +13,7 @@
     expect(seen()).toEqual([0, 4])
   })
 
-  it('is refused as not run where no endpoint may get it', async () => {
+  it('is refused as not run if no endpoint may get it', async () => {
     const { world, seen } = await startRelay([[undefined, answers]])
     world.withheld.set('i-0', 'closed')
     const answer = await world.send('/p/', { body: 'x' })
@@ -22,7 +22,7 @@
     expect(seen()).toEqual([0])
   })
 
-  it('is read and made at other engines', async () => {
+  it('is prefilled and decoded at other engines', async () => {
     const { world, seen } = await startRelay([
       ['prefill', reads],
       ['prefill', reads],
@@ -37,7 +37,7 @@
     expect(seen()[2]).toBe(0)
   })
 
-  it('leaves no engine counted as in use', async () => {
+  it('leaves no load counted for the engines', async () => {
     const { world } = await startRelay([
       ['prefill', reads],
       ['decode', streams],
--- a/request/gateway/test/statements.test.ts
+++ b/request/gateway/test/statements.test.ts
@@ -7,7 +7,7 @@
 const RETRY_AFTER = 'Retry-After: 30'
 const LEAVES = 'x-leaves: yes'
 
-/** Answers with a status and some fields; nothing in it names the request. */
+/** Answers with a status and header fields, without naming the request. */
 const bare =
   (status: number, ...rows: string[]) =>
   ({ socket }: SeenRequest) =>
@@ -16,7 +16,7 @@
   (...rows: string[]) =>
   (request: SeenRequest) =>
     bare(500, `x-id: ${request.headers['x-id']}`, 'x-stamp: s', ...rows)(request)
-/** Begins a stream and breaks it off. */
+/** Begins a stream and breaks it off in the middle. */
 const breaking =
   (...rows: string[]) =>
   (request: SeenRequest) => {
@@ -29,15 +29,15 @@
   while (!holds()) await new Promise((resolve) => setImmediate(resolve))
 }
 
-/** What an entry has been told by one plain endpoint that answers so. */
+/** Sends a request to a plain endpoint that answers so; returns the reason why it gets no more, if any. */
 async function toldBy(answer: (request: SeenRequest) => void) {
   const { world } = await startRelay([[undefined, answer]], { kind: 'unsafe' })
   await world.send('/p/', { body: 'x' })
   return world.statements.unavailability('i-0')?.reason
 }
 
-describe('what endpoints say of themselves', () => {
-  it('is heard in refusals, failures, successes and answers that name no request', async () => {
+describe('the statement of an endpoint in its answers', () => {
+  it('is read in rejections, failures, successes and answers that name no request', async () => {
     expect(await toldBy(bare(503, 'x-not-run: 1', RETRY_AFTER))).toBe('the endpoint asked for rest')
     expect(await toldBy(bare(429, 'x-not-run: 1', RETRY_AFTER))).toBe('the endpoint asked for rest')
     expect(await toldBy(bare(503, RETRY_AFTER))).toBe('the endpoint asked for rest')
@@ -48,14 +48,14 @@
     expect(await toldBy(bare(200, LEAVES))).toBe('the endpoint has said that it leaves')
   })
 
-  it('is not heard from another process at its address, nor in other answers than refusals, nor in other words', async () => {
+  it('is ignored from another process at the address, for backoff outside rejections, and with other values', async () => {
     expect(await toldBy(bare(421, 'x-instance: i-other', RETRY_AFTER, LEAVES))).toBeUndefined()
     expect(await toldBy(failing(RETRY_AFTER))).toBeUndefined()
     expect(await toldBy(bare(503, 'x-not-run: 1', 'Retry-After: soon', 'x-leaves: no'))).toBeUndefined()
     expect(await toldBy(bare(503, 'x-not-run: 1', 'Retry-After: 0'))).toBeUndefined()
   })
 
-  it('is heard by a prompt, whose answer need not name its request', async () => {
+  it('is read in answers to prefill steps, which need not name the request', async () => {
     const { world } = await startRelay([
       ['decode', streams],
       ['prefill', bare(503, 'x-not-run: 1', RETRY_AFTER)],
@@ -71,13 +71,13 @@
     expect(world.statements.unavailability('i-2')?.reason).toBe('the endpoint has said that it leaves')
   })
 
-  it('is heard by a stream that breaks off', async () => {
+  it('is read in a stream that breaks off', async () => {
     const { world } = await startRelay([['decode', breaking(LEAVES)]])
     await world.send('/p/', MODEL)
     expect(world.statements.unavailability('i-0')?.reason).toBe('the endpoint has said that it leaves')
   })
 
-  it('is heard by the copy of a run and by its stop', async () => {
+  it('is read in answers to the copy and the stop of a run', async () => {
     const says =
       (row: string, body: string): NonNullable<Engine['copy']> =>
       (request) =>
@@ -109,7 +109,7 @@
     )
   })
 
-  it('is heard by the release of a memory that nobody takes', async () => {
+  it('is read in the answer to the release of an unused KV cache', async () => {
     const { world } = await startRelay([
       ['decode', bare(503, 'x-not-run: 1')],
       ['prefill', (request) => (request.line.startsWith('DELETE') ? bare(200, LEAVES) : reads)(request)],
@@ -119,12 +119,12 @@
     expect(world.statements.unavailability('i-1')?.reason).toBe('the endpoint has said that it leaves')
   })
 
-  it('is not taken back by a list that calls a leaving one ready, but ends with its life', async () => {
+  it('of leaving is not cleared by a directory that lists the endpoint as ready, but ends with its incarnation', async () => {
     const { world, seen } = await startRelay([
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'a', [LEAVES]))],
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
     ])
-    // Both are idle and alike: whichever comes first, the other one serves what follows.
+    // Both are idle and equal: whichever is chosen first, the other one serves the rest.
     while (world.statements.unavailability('i-0') === undefined) await world.send('/p/')
     const before = seen()
     const { endpoint } = world.pool.get('i-0')!
@@ -136,7 +136,7 @@
     expect(world.pool.candidates('plain').map((one) => one.endpoint.id)).toContain('i-0~1')
   })
 
-  it('leaves those that are out for failures, where the only sound one rests', async () => {
+  it('of backoff by the only healthy endpoint makes ejected ones usable', async () => {
     const { world } = await startRelay([
       [undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)],
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
@@ -146,7 +146,7 @@
     expect(await world.send('/p/')).toMatchObject({ status: 200, body: 'b' })
   })
 
-  it('does not make room smaller where it is rest that was asked for', async () => {
+  it('of backoff does not lower the concurrency limit', async () => {
     const { world } = await startRelay([[undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)]])
     const before = world.pool.get('i-0')!.limit.value
     await world.send('/p/')
@@ -154,7 +154,7 @@
   })
 })
 
-/** A socket that puts a row into the head of what is written to it. */
+/** A socket that inserts a header row into the answer that is written to it. */
 function withRow(socket: SeenRequest['socket'], row: string): SeenRequest['socket'] {
   return { end: (text: string) => socket.end(text.replace('\r\n', `\r\n${row}\r\n`)) } as never
 }
--- a/request/gateway/test/streamRelay.test.ts
+++ b/request/gateway/test/streamRelay.test.ts
@@ -9,7 +9,7 @@
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
 
-/** An entry before engines of given stages. */
+/** Starts an entry with engines of the given stages. */
 async function start(engines: [Stage, Answerer][], route: Partial<Route> = {}) {
   const workers = await Promise.all(engines.map(([, answer]) => FakeWorker.start(answer)))
   const endpoints = workers.map(({ address }, index) => ({
@@ -30,7 +30,7 @@
   )
 }
 
-/** Begins a stream in chunks with some events. */
+/** Begins a chunked stream with the given events. */
 function stream(request: SeenRequest, ids: number[]): void {
   request.socket.write(
     goodAnswer(request, '', ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked']),
@@ -56,7 +56,7 @@
 const events = (...ids: number[]) => ids.map(event).join('')
 
 describe('streams', () => {
-  it('are read at one engine and made at another, which is told where the memory is', async () => {
+  it('are prefilled at one engine and decoded at another, which gets the address of the KV cache', async () => {
     const { world, workers } = await start([
       ['prefill', reads],
       ['decode', streams([1, 2, 3])],
@@ -69,20 +69,20 @@
     expect(prefill).toHaveLength(1)
   })
 
-  it('are read by another prefill engine where the first does not read them', async () => {
+  it('are prefilled by another engine if the first one fails', async () => {
     const { world, workers } = await start([
       ['prefill', (request) => void request.socket.destroy()],
       ['prefill', reads],
       ['decode', streams([1, 2])],
     ])
-    // Which of the two is asked first is drawn.
+    // Which of the two comes first is random.
     for (let times = 0; times < 4; times += 1)
       expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
     const sources = workers[2]!.seen.map(({ headers }) => headers['x-kv-from'])
     expect(sources).toEqual(Array(4).fill(`${workers[1]!.address}#handle7`))
   })
 
-  it('are made whole by the decode engine where no prefill engine answers', async () => {
+  it('are prefilled and decoded by the decode engine if no prefill engine answers', async () => {
     const { world, workers } = await start([
       ['prefill', (request) => void request.socket.destroy()],
       ['decode', streams([1, 2])],
@@ -91,7 +91,7 @@
     expect(workers[1]!.seen[0]!.headers['x-kv-from']).toBeUndefined()
   })
 
-  it('are made by the decode engine where the prefill engine takes the prompt and says nothing more', async () => {
+  it('are prefilled by the decode engine if the prefill engine accepts the prompt and hangs', async () => {
     const { world, workers } = await start(
       [
         ['prefill', () => undefined],
@@ -103,7 +103,7 @@
     await workers[0]!.seen[0]!.closed
   })
 
-  it('leave an engine that makes no event, where the route allows it, and close the connection to it first', async () => {
+  it('leave an engine that sends no event if the route allows it, after closing the connection to it', async () => {
     let hung: SeenRequest | undefined
     const firstHangs: Answerer = (request) => {
       if (hung === undefined) hung = request
@@ -121,14 +121,14 @@
     await hung!.closed
   })
 
-  it('stay at an engine that makes no event, where the route allows no other', async () => {
+  it('stay at an engine that sends no event if the route allows no other', async () => {
     const slow: Answerer = (request) => void setTimeout(() => streams([1, 2])(request), 300)
     const { world, workers } = await start([['decode', slow]], { targetMs: 100 })
     expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
     expect(workers[0]!.seen).toHaveLength(1)
   })
 
-  it('free the memory that no engine took', async () => {
+  it('release a KV cache that no engine has fetched', async () => {
     const { world, workers } = await start([
       ['prefill', reads],
       ['decode', notRun],
@@ -139,7 +139,7 @@
     expect(workers[0]!.seen[1]!.headers.host).toBe(workers[0]!.address)
   })
 
-  it('that break off must look cut, and are not begun anew where the route forbids it', async () => {
+  it('that break off look cut to the caller, and are not resumed if the route forbids it', async () => {
     const { world, workers } = await start([
       ['decode', breaksAfter([1, 2])],
       ['decode', streams([1, 2, 3])],
@@ -150,14 +150,14 @@
     expect(workers[0]!.seen.length + workers[1]!.seen.length).toBe(1)
   })
 
-  it('that break off before the first event are answered as a failure that promises nothing', async () => {
+  it('that break off before the first event are answered as possibly run', async () => {
     const { world } = await start([['decode', breaksAfter([])]])
     const answer = await world.send('/p/')
     expect(answer.status).toBe(502)
     expect(answer.headers['retry-after']).toBeUndefined()
   })
 
-  it('go on at another engine where the route allows it: no event is missing, doubled or cut', async () => {
+  it('resume at another engine if the route allows it, without a missing, duplicate or cut event', async () => {
     const continues: Answerer = (request) => {
       const last = Number(request.headers['last-event-id'] ?? 0)
       streams([1, 2, 3, 4, 5].filter((id) => id > last))(request)
@@ -186,7 +186,7 @@
     expect(all).toHaveLength(2)
   })
 
-  it('have no prompt read again for a sending that may not leave', async () => {
+  it('are not prefilled again for a sending that the retry budget denies', async () => {
     const { world, workers } = await start(
       [
         ['prefill', reads],
@@ -225,7 +225,7 @@
     expect((await world.send('/p/')).body).toBe(events(1, 2, 3))
   })
 
-  it('pass each event on as it comes', async () => {
+  it('forward each event as it arrives', async () => {
     let finish: () => void = () => undefined
     const { world } = await start([
       [
@@ -248,7 +248,7 @@
     expect((await answer).isWhole).toBe(true)
   })
 
-  it('stop the engine when the caller leaves', async () => {
+  it('stop the engine when the caller disconnects', async () => {
     const { world, workers } = await start([['decode', (request) => stream(request, [1])]])
     const { request } = world.open('/p/')
     const begun = new Promise((resolve) =>
@@ -261,7 +261,7 @@
     await workers[0]!.seen[0]!.closed
   })
 
-  it('end with their connection where the engine named no length', async () => {
+  it('end with their connection if the engine named no length', async () => {
     const { world } = await start([
       ['decode', (request) => void request.socket.end(goodAnswer(request, event(1), ['Connection: close']))],
     ])
@@ -270,7 +270,7 @@
     expect(answer.headers['transfer-encoding']).toBeUndefined()
   })
 
-  it('are refused with a time to come back where no engine is known', async () => {
+  it('are refused with a retry delay if no decode engine is known', async () => {
     const { world } = await start([['prefill', reads]])
     const answer = await world.send('/p/')
     expect(answer.status).toBe(503)
--- a/request/gateway/test/suspended.test.ts
+++ b/request/gateway/test/suspended.test.ts
@@ -5,11 +5,11 @@
 
 const SENT = { body: 'b', headers: { 'x-tokens': '5,5' } }
 
-describe('an entry that was suspended', () => {
-  it('uses no place from before: it gives it back and asks for another', async () => {
+describe('an entry after its box was suspended', () => {
+  it('releases an earlier placement and requests another', async () => {
     const { world, seen } = await startRelay([['decode', streams]])
     world.onPlace = () => {
-      // Between the place and the sending; the second place is given after it.
+      // Suspended between the placement and the sending; the second placement is granted afterwards.
       if (world.places.length === 1) world.suspendedAt = performance.now()
     }
     expect((await world.send('/p/a', SENT)).status).toBe(200)
@@ -18,7 +18,7 @@
     expect(world.pool.get('i-0')!.inFlight).toBe(0)
   })
 
-  it('uses no prompt from before it either: the prompt is read anew, and the decode engine is sent it once', async () => {
+  it('does not use an earlier KV cache: the prompt is prefilled again, and the decode engine gets it once', async () => {
     let isFirst = true
     const suspendsWhileReading = (request: Parameters<typeof reads>[0]) => {
       if (isFirst) relay.world.suspendedAt = performance.now()
@@ -31,11 +31,11 @@
     ])
     expect((await relay.world.send('/p/a', SENT)).status).toBe(200)
     expect(relay.seen()[1]).toBe(1)
-    // One reading more, and the handle of the first is freed.
+    // One more prefill step, and the release of the first handle.
     expect(relay.seen()[0]).toBeGreaterThanOrEqual(2)
   })
 
-  it('uses no grant for a cold endpoint from before', () => {
+  it('uses no earlier grant for a cold endpoint', () => {
     const clock = new ManualClock()
     const gate = new ColdEndpointLimiter({
       clock,
