--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -57,7 +57,7 @@
 }
 
 /** All instances that a request could go to want nothing from here. */
-export interface Unavailability {
+export interface PoolUnavailability {
   reason: string
   /** Until the first of them may get a request. */
   leftMs: Millis
@@ -135,7 +135,7 @@
   }
 
   /** Why a service's instances can get nothing where all want none from here, and for how long; else undefined. */
-  unavailability(service: string, query: CandidateQuery = {}): Unavailability | undefined {
+  unavailability(service: string, query: CandidateQuery = {}): PoolUnavailability | undefined {
     const { statements, clock, random } = this.options
     if (statements === undefined || statements.isEmpty) return undefined
     const bound = statements.earliestAvailable(
--- a/request/gateway/src/modelPlacer.ts
+++ b/request/gateway/src/modelPlacer.ts
@@ -1,7 +1,7 @@
 import type { PromptPart } from '@forkstage/allocator'
 import type { AtHome, Homes } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
-import type { Unavailability, PooledEndpoint, SendOutcome } from './endpointPool'
+import type { PoolUnavailability, PooledEndpoint, SendOutcome } from './endpointPool'
 
 /** A model request as the placement sees it. */
 export interface ModelWork {
@@ -71,7 +71,7 @@
   { type: 'place'; place: ModelPlace } | { type: 'refused'; reason: string; retryAfterMs: Millis }
 
 /** A refusal where every engine that could take a request wants nothing from here. */
-export function refusalFor({ reason, retryAfterMs }: Unavailability): PlaceAnswer {
+export function refusalFor({ reason, retryAfterMs }: PoolUnavailability): PlaceAnswer {
   return { type: 'refused', reason, retryAfterMs }
 }
 
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -5,7 +5,7 @@
 import { cancelWhenEnded } from './cancelWhenEnded'
 import { connectionShare } from './connectionShare'
 import { dropHeaders } from './callerRequest'
-import type { Unavailability, PooledEndpoint, SendOutcome } from './endpointPool'
+import type { PoolUnavailability, PooledEndpoint, SendOutcome } from './endpointPool'
 import { COLD_LIMIT_REASON } from './coldEndpointLimiter'
 import { fetchAnswer, type FetchOutcome } from './fetchAnswer'
 import { reportLostSending } from './reportLostSending'
@@ -161,7 +161,7 @@
   }
 
   /** Why none may get the request where all want nothing from here, and for how long; else undefined. */
-  private closed(): Unavailability | undefined {
+  private closed(): PoolUnavailability | undefined {
     return this.parts.pool.unavailability(this.job.service.name, { regions: this.job.homes() })
   }
 
