--- a/request/gateway/test/advertisedRates.test.ts
+++ b/request/gateway/test/advertisedRates.test.ts
@@ -19,7 +19,7 @@
 }
 
 /** Returns the rate that an entry has recorded after answers of one endpoint, given in turn. */
-async function believed(answers: ((request: SeenRequest) => void)[], stage?: Stage) {
+async function recordedRate(answers: ((request: SeenRequest) => void)[], stage?: Stage) {
   let next = 0
   const { world } = await startRelay([[stage, (request) => answers[next++]!(request)]], {
     kind: stage ? 'streaming' : 'unsafe',
@@ -31,15 +31,15 @@
 
 describe('the rate that an endpoint advertises in its answers', () => {
   it('is recorded from complete answers, from rejections and from streams', async () => {
-    expect(await believed([answering('x-takes: 3.5')])).toBe(3.5)
-    expect(await believed([full])).toBe(2)
-    expect(await believed([streaming], 'decode')).toBe(7)
+    expect(await recordedRate([answering('x-takes: 3.5')])).toBe(3.5)
+    expect(await recordedRate([full])).toBe(2)
+    expect(await recordedRate([streaming], 'decode')).toBe(7)
   })
 
   it('is kept until a successful answer has none; an invalid value or a failure does not change it', async () => {
-    expect(await believed([answering('x-takes: 3.5'), answering('x-takes: soon')])).toBe(3.5)
-    expect(await believed([answering('x-takes: 3.5'), failing])).toBe(3.5)
-    expect(await believed([answering('x-takes: 3.5'), answering()])).toBeUndefined()
+    expect(await recordedRate([answering('x-takes: 3.5'), answering('x-takes: soon')])).toBe(3.5)
+    expect(await recordedRate([answering('x-takes: 3.5'), failing])).toBe(3.5)
+    expect(await recordedRate([answering('x-takes: 3.5'), answering()])).toBeUndefined()
   })
 
   // Some engines send no request id in answers to a prefill step: one that advertised 3.3 per second there got up to 98
@@ -51,7 +51,7 @@
         void socket.end(
           [`HTTP/1.1 ${status} X`, ...rows, `Content-Length: ${body.length}`, '', body].join('\r\n'),
         )
-    const told = async (...answers: ((request: SeenRequest) => void)[]) => {
+    const rateAfterPrefills = async (...answers: ((request: SeenRequest) => void)[]) => {
       let next = 0
       const reader = (request: SeenRequest) =>
         request.line.startsWith('DELETE') ? bare(200, '')(request) : answers[next++]!(request)
@@ -63,12 +63,14 @@
         await world.send('/p/', { body: 'x', headers: { 'x-tokens': '10,10' } })
       return world.rates.rateOf('i-1')
     }
-    expect(await told(bare(200, 'handle1', 'x-takes: 3.3'))).toBe(3.3)
-    expect(await told(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, 'handle2'))).toBeUndefined()
-    expect(await told(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, ''))).toBe(3.3)
-    expect(await told(bare(500, '', 'x-takes: 4'))).toBe(4)
-    expect(await believed([bare(200, 'hello', 'x-takes: 5')])).toBe(5)
-    expect(await believed([bare(421, '', 'x-instance: other', 'x-takes: 5')])).toBeUndefined()
+    expect(await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'))).toBe(3.3)
+    expect(
+      await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, 'handle2')),
+    ).toBeUndefined()
+    expect(await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, ''))).toBe(3.3)
+    expect(await rateAfterPrefills(bare(500, '', 'x-takes: 4'))).toBe(4)
+    expect(await recordedRate([bare(200, 'hello', 'x-takes: 5')])).toBe(5)
+    expect(await recordedRate([bare(421, '', 'x-instance: other', 'x-takes: 5')])).toBeUndefined()
   })
 
   it('is forwarded to the caller unchanged', async () => {
--- a/request/gateway/test/coldEndpointLimiter.test.ts
+++ b/request/gateway/test/coldEndpointLimiter.test.ts
@@ -61,7 +61,7 @@
         fc.property(fc.integer(), (seed) => {
           const random = createSeededRandom(seed)
           const clock = new ManualClock()
-          const gates = Array.from(
+          const limiters = Array.from(
             { length: entries },
             () => createLimiter({ perSecond, entries, random, clock }).limiter,
           )
@@ -69,7 +69,7 @@
           // Each entry sends as often as it may, at the end of one second and the beginning of the next.
           let sent = 0
           for (let step = 0; step < 9; step += 1) {
-            sent += gates.reduce(
+            sent += limiters.reduce(
               (sum, one) => sum + tries(one, endpoint('c'), Math.ceil(perSecond / entries) + 1),
               0,
             )
@@ -163,13 +163,13 @@
 })
 
 describe('the choice of an endpoint where some are cold', () => {
-  const pooled = (gateOf: ReturnType<typeof createLimiter>, endpoints: RegisteredEndpoint[]) => {
+  const pooled = (setup: ReturnType<typeof createLimiter>, endpoints: RegisteredEndpoint[]) => {
     const pool = new EndpointPool({
       zone: 'z',
-      clock: gateOf.clock,
+      clock: setup.clock,
       random: () => 0,
       logger: createSilentLogger(),
-      isCold: (id) => gateOf.limiter.isCold(id),
+      isCold: (id) => setup.limiter.isCold(id),
     })
     pool.update(endpoints)
     return pool
--- a/request/gateway/test/leaderClient.test.ts
+++ b/request/gateway/test/leaderClient.test.ts
@@ -35,42 +35,42 @@
 
 describe('LeaderClient', () => {
   it('calls the leader directly', async () => {
-    const { client: way, calls } = createClient(new Set())
-    expect(await way.call('place.ask', {}, 100)).toBe('answer')
+    const { client, calls } = createClient(new Set())
+    expect(await client.call('place.ask', {}, 100)).toBe('answer')
     expect(calls).toEqual([`${LEADER} place.ask`])
   })
 
   it('calls through a neighbour where no leader is known, and keeps to the one that answered', async () => {
-    const { client: way, calls } = createClient(new Set(['n1']), () => undefined)
-    await way.call('place.ask', {}, 100)
-    await way.call('place.ask', {}, 100)
-    way.notify('place.release', {})
+    const { client, calls } = createClient(new Set(['n1']), () => undefined)
+    await client.call('place.ask', {}, 100)
+    await client.call('place.ask', {}, 100)
+    client.notify('place.release', {})
     expect(calls).toEqual(['n1 entry.forward', 'n2 entry.forward', 'n2 entry.forward', 'n2 entry.forward'])
   })
 
   it('does not call a second neighbour once one may have called the leader', async () => {
-    const { client: way, calls } = createClient(new Set(), () => undefined)
+    const { client, calls } = createClient(new Set(), () => undefined)
     const late: PeerCaller['call'] = async (address) => {
       calls.push(address)
       throw new PeerUnreachableError(address, 'place.ask', 'no answer in time')
     }
-    Object.assign((way as unknown as { options: { peers: PeerCaller } }).options.peers, { call: late })
-    await expect(way.call('place.ask', {}, 100)).rejects.toThrow('no answer in time')
+    Object.assign((client as unknown as { options: { peers: PeerCaller } }).options.peers, { call: late })
+    await expect(client.call('place.ask', {}, 100)).rejects.toThrow('no answer in time')
     expect(calls).toEqual(['n1'])
   })
 
   it('does not call a leader directly for a while after it has not answered', async () => {
-    const { client: way, calls, clock } = createClient(new Set([LEADER]))
-    await expect(way.call('place.ask', {}, 100)).rejects.toThrow()
-    await way.call('place.ask', {}, 100)
+    const { client, calls, clock } = createClient(new Set([LEADER]))
+    await expect(client.call('place.ask', {}, 100)).rejects.toThrow()
+    await client.call('place.ask', {}, 100)
     clock.advance(400)
-    await expect(way.call('place.ask', {}, 100)).rejects.toThrow()
+    await expect(client.call('place.ask', {}, 100)).rejects.toThrow()
     expect(calls).toEqual([`${LEADER} place.ask`, 'n1 entry.forward', `${LEADER} place.ask`])
   })
 
   it('forwards only the configured methods, and only to the leader', async () => {
-    const { client: way, calls } = createClient(new Set())
-    const forward = way.methods()['entry.forward'] as unknown as (call: object) => Promise<unknown>
+    const { client, calls } = createClient(new Set())
+    const forward = client.methods()['entry.forward'] as unknown as (call: object) => Promise<unknown>
     expect(await forward({ method: 'place.ask', params: {}, deadline: 50 })).toBe('answer')
     expect(calls).toEqual([`${LEADER} place.ask`])
     expect(() => forward({ method: 'sheet.propose', params: {}, deadline: 50 })).toThrow()
@@ -81,30 +81,30 @@
   })
 
   it("returns the leader's answer through a neighbour where the caller waits for it", async () => {
-    const { client: way, calls } = createClient(new Set(), () => undefined)
-    expect(await way.tryCall('quota.report', {}, 100)).toBe('answer')
+    const { client, calls } = createClient(new Set(), () => undefined)
+    expect(await client.tryCall('quota.report', {}, 100)).toBe('answer')
     expect(calls).toEqual(['n1 entry.forward'])
   })
 
   it('continues to call a leader directly after an optional call went unanswered, and logs only the first such call', async () => {
     const lines: unknown[] = []
     const cut = new Set([LEADER])
-    const { client: way, calls } = createClient(
+    const { client, calls } = createClient(
       cut,
       () => LEADER,
       (event, fields) => lines.push([event, fields]),
     )
-    expect(await way.tryCall('quota.report', {}, 100)).toBeUndefined()
-    expect(await way.tryCallOrNotify('place.report', {}, 100)).toBeUndefined()
+    expect(await client.tryCall('quota.report', {}, 100)).toBeUndefined()
+    expect(await client.tryCallOrNotify('place.report', {}, 100)).toBeUndefined()
     expect(lines).toEqual([
       ['leader.unanswered', { peer: LEADER, step: 'quota.report', reason: expect.any(String) }],
     ])
     cut.clear()
-    expect(await way.call('place.ask', {}, 100)).toBe('answer')
+    expect(await client.call('place.ask', {}, 100)).toBe('answer')
     expect(calls.at(-1)).toBe(`${LEADER} place.ask`)
-    expect(await way.tryCall('quota.report', {}, 100)).toBe('answer')
+    expect(await client.tryCall('quota.report', {}, 100)).toBe('answer')
     cut.add(LEADER)
-    await way.tryCall('quota.report', {}, 100)
+    await client.tryCall('quota.report', {}, 100)
     expect(lines).toHaveLength(2)
   })
 })
--- a/request/gateway/test/limitHarness.ts
+++ b/request/gateway/test/limitHarness.ts
@@ -53,14 +53,14 @@
    */
   worstExcess(): number {
     const from = this.namedAt + BINDS_AFTER_MS
-    const told = this.arrivals.filter(
+    const fromInformed = this.arrivals.filter(
       ({ at, entry }) => at >= (this.toldAt.get(entry) ?? Infinity) + TOLD_AFTER_MS,
     )
-    const excesses = told
+    const excesses = fromInformed
       .filter(({ at: end }) => end >= from)
       .map(
         ({ at: end }) =>
-          told.filter(({ at }) => at <= end && at > end - WINDOW_MS).length - this.allowed(end),
+          fromInformed.filter(({ at }) => at <= end && at > end - WINDOW_MS).length - this.allowed(end),
       )
     return Math.max(0, ...excesses)
   }
--- a/request/gateway/test/regions.test.ts
+++ b/request/gateway/test/regions.test.ts
@@ -40,8 +40,8 @@
     workspaces,
   )
   open.push(harness, ...workers)
-  const narrow = (regions: string[]) => harness.setWorkspaces(workspaces, [{ ...full, regions }])
-  return { harness, workers, narrow, seen: () => workers.map((worker) => worker.seen.length) }
+  const restrictTo = (regions: string[]) => harness.setWorkspaces(workspaces, [{ ...full, regions }])
+  return { harness, workers, restrictTo, seen: () => workers.map((worker) => worker.seen.length) }
 }
 
 const member = (regions?: string[]): Workspace => ({ name: 'w', keys: ['key-1'], priority: 0, regions })
@@ -107,12 +107,12 @@
 
 describe('a newer sheet with fewer regions', () => {
   it('applies to a place that was given before', async () => {
-    const narrows: Answerer = (request) => {
-      narrow(['west'])
+    const answerAndRestrict: Answerer = (request) => {
+      restrictTo(['west'])
       reads(request)
     }
-    const { harness, narrow, seen } = await start([
-      { zone: 'z', stage: 'prefill', answer: narrows },
+    const { harness, restrictTo, seen } = await start([
+      { zone: 'z', stage: 'prefill', answer: answerAndRestrict },
       { zone: 'e1', stage: 'decode', answer: streams },
     ])
     const answer = await harness.send('/p/', { body: 'x' })
@@ -122,15 +122,15 @@
 
   it('makes a request abandon a KV cache in a region that is no longer allowed, and run its prefill again', async () => {
     let reader = 0
-    const narrows: Answerer = (request) => {
+    const answerAndRestrict: Answerer = (request) => {
       if (request.line.startsWith('POST')) {
         reader += 1
-        narrow(['west'])
+        restrictTo(['west'])
       }
       reads(request)
     }
-    const { harness, workers, narrow } = await start([
-      { zone: 'e1', stage: 'prefill', answer: narrows },
+    const { harness, workers, restrictTo } = await start([
+      { zone: 'e1', stage: 'prefill', answer: answerAndRestrict },
       { zone: 'z', stage: 'decode', answer: streams },
     ])
     const back = harness.pool.get('i-0')!.endpoint
--- a/request/gateway/test/regionsRandom.test.ts
+++ b/request/gateway/test/regionsRandom.test.ts
@@ -16,12 +16,12 @@
   workspace: Homes
 }
 
-const homes: fc.Arbitrary<Homes> = fc.oneof(
+const regionSets: fc.Arbitrary<Homes> = fc.oneof(
   { weight: 3, arbitrary: fc.constant(undefined) },
   { weight: 6, arbitrary: fc.subarray(['west', 'east', 'south', 'nowhere'], { minLength: 2 }) },
   { weight: 1, arbitrary: fc.subarray(['west', 'nowhere']) },
 )
-const sheet: fc.Arbitrary<Sheet> = fc.record({ plain: homes, model: homes, workspace: homes })
+const sheet: fc.Arbitrary<Sheet> = fc.record({ plain: regionSets, model: regionSets, workspace: regionSets })
 /** What an endpoint does with a request. */
 const deed = fc.constantFrom('answer', 'answer', 'answer', 'cut', 'not-run', 'half')
 const step = fc.record({ deed, newSheet: fc.option(sheet, { nil: undefined, freq: 2 }) })
--- a/request/gateway/test/remotePlacer.test.ts
+++ b/request/gateway/test/remotePlacer.test.ts
@@ -46,7 +46,7 @@
   const silent = new Set<string>()
   const asked: string[] = []
   const asks: PlaceAsk[] = []
-  const told = {
+  const script = {
     leader: undefined as string | undefined,
     moves: [] as AnswerMove[],
     refusal: undefined as string | undefined,
@@ -56,15 +56,15 @@
       if (method !== PLACE.report) asked.push(address)
       if (method === PLACE.ask) asks.push((params as { ask: PlaceAsk }).ask)
       if (silent.has(address)) await new Promise(() => undefined)
-      if (method === PLACE.report) return { moves: told.moves.splice(0) } as Result
-      const { refusal } = told
+      if (method === PLACE.report) return { moves: script.moves.splice(0) } as Result
+      const { refusal } = script
       if (refusal !== undefined) return { type: 'refused', reason: refusal, retryAfterMs: 700 } as Result
       return { type: 'placed', decode: 'd1' } as Result
     },
     notify: () => undefined,
   }
   const options = { neighbours: () => [], peers, clock, logger, forwardableMethods: [] }
-  const leaderClient = new LeaderClient({ leader: () => told.leader, ...options })
+  const leaderClient = new LeaderClient({ leader: () => script.leader, ...options })
   const fallback = new LocalPlacer({ pool, kvTokens: () => kvTokens, entries: () => entries })
   const placer = new RemotePlacer({ entry: 'e', pool, fallback, leaderClient: leaderClient, clock, logger })
   return {
@@ -73,7 +73,7 @@
     fallback,
     pool,
     statements,
-    told,
+    script,
     asked,
     asks,
     hang: (address: string) => silent.add(address),
@@ -90,9 +90,9 @@
 
 describe('RemotePlacer', () => {
   it('tells the leader which engines are resting, and does not ask it where all are', async () => {
-    const { placer, told, asks, asked, pool, statements, clock } = createPlacers()
+    const { placer, script, asks, asked, pool, statements, clock } = createPlacers()
     pool.update([{ ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1' }])
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     await placer.place(WORK)
     statements.recordRetryAfter('d2', { type: 'rest', forMs: 3_000 }, 'another')
     await placer.place(WORK)
@@ -111,23 +111,23 @@
   })
 
   it('continues an answer that has begun although a newer sheet lacks its service', async () => {
-    const { placer, told } = createPlacers(1, 0)
-    told.leader = '10.0.0.9:1'
-    told.refusal = UNKNOWN_SERVICE
+    const { placer, script } = createPlacers(1, 0)
+    script.leader = '10.0.0.9:1'
+    script.refusal = UNKNOWN_SERVICE
     expect(await placer.place(WORK)).toMatchObject({ type: 'refused', reason: UNKNOWN_SERVICE })
     const begun = { ...WORK, isBegun: true, kvTokens: 10_000 }
     const first = await placer.place({ ...begun, request: 'r1' })
     const second = await placer.place({ ...begun, request: 'r2' })
     expect([first.type, second.type]).toEqual(['place', 'place'])
-    told.refusal = 'no room in time'
+    script.refusal = 'no room in time'
     expect(await placer.place(begun)).toMatchObject({ type: 'refused', reason: 'no room in time' })
   })
 
   it('waits for a leader that is being elected, and asks it', async () => {
-    const { clock, placer, told, asked } = createPlacers()
+    const { clock, placer, script, asked } = createPlacers()
     const answer = placer.place(WORK)
     await advance(clock, 60)
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     await advance(clock, 30)
     expect((await answer).type).toBe('place')
     expect(asked).toEqual(['10.0.0.9:1'])
@@ -146,9 +146,9 @@
   const away = { ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1', zone: 'e' }
 
   it('apply also where a leader that does not know them, or has another topology, places elsewhere', async () => {
-    const { clock, placer, pool, told } = createPlacers()
+    const { clock, placer, pool, script } = createPlacers()
     pool.update([away])
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     const answer = placer.place({ ...WORK, regions: ['east'] })
     await advance(clock, 50)
     expect(await answer).toMatchObject({ type: 'place', place: { decode: { endpoint: { id: 'd2' } } } })
@@ -156,16 +156,16 @@
   })
 
   it('apply to the migrations that a leader requests', async () => {
-    const { clock, placer, pool, told } = createPlacers()
+    const { clock, placer, pool, script } = createPlacers()
     pool.update([away, { ...away, id: 'd3', address: '10.0.0.3:1', zone: 'z' }])
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     placer.start()
     const asked = placer.place({ ...WORK, regions: ['west'] })
     await advance(clock, 50)
     const answer = await asked
     const moved: string[] = []
     if (answer.type === 'place') answer.place.moveTo = ({ endpoint }) => void moved.push(endpoint.id)
-    told.moves = [
+    script.moves = [
       { request: 'r', to: 'd2' },
       { request: 'r', to: 'd3' },
     ]
@@ -190,24 +190,24 @@
   })
 
   it('asks the next leader where the one that it asked loses its role before it has answered', async () => {
-    const { clock, placer, told, asked, hang } = createPlacers()
+    const { clock, placer, script, asked, hang } = createPlacers()
     hang('10.0.0.9:1')
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     const answer = placer.place(WORK)
     await advance(clock, 300)
-    told.leader = '10.0.0.8:1'
+    script.leader = '10.0.0.8:1'
     await advance(clock, 50)
     expect(await answer).toMatchObject({ type: 'place' })
     expect(asked).toEqual(['10.0.0.9:1', '10.0.0.8:1'])
   })
 
   it('places by itself where the leader that it asked is gone and no other is elected', async () => {
-    const { clock, placer, told, asked, hang } = createPlacers()
+    const { clock, placer, script, asked, hang } = createPlacers()
     hang('10.0.0.9:1')
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     const answer = placer.place(WORK)
     await advance(clock, 300)
-    told.leader = undefined
+    script.leader = undefined
     await advance(clock, 50)
     expect(await answer).toMatchObject({ type: 'place' })
     expect(asked).toEqual(['10.0.0.9:1'])
@@ -231,15 +231,15 @@
   })
 
   it('migrates an answer when the leader requests it, and counts it at the other engine afterwards', async () => {
-    const { clock, placer, pool, told } = createPlacers()
+    const { clock, placer, pool, script } = createPlacers()
     pool.update([{ ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1' }])
-    told.leader = '10.0.0.9:1'
+    script.leader = '10.0.0.9:1'
     placer.start()
     const answer = await placer.place(WORK)
     const { place } = answer as Extract<typeof answer, { type: 'place' }>
     const moved: string[] = []
     place.moveTo = (to) => void moved.push(to.endpoint.id)
-    told.moves = [
+    script.moves = [
       { request: 'r', to: 'd2' },
       { request: 'another', to: 'd2' },
       { request: 'r', to: 'nobody' },
