--- a/request/gateway/src/leaderClient.ts
+++ b/request/gateway/src/leaderClient.ts
@@ -27,7 +27,7 @@
   deadline: Millis
 }
 
-/** Thrown where neither the leader nor a neighbour that reaches it is known. */
+/** Thrown where neither the leader nor a neighbour that can reach it is known. */
 export class NoLeaderError extends ForkstageError {
   constructor(step: string) {
     super(
--- a/request/gateway/src/localPlacer.ts
+++ b/request/gateway/src/localPlacer.ts
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Returns the prefill engine with the fewest of this entry's tokens; undefined where its queue is too long for the
-   * request's target, so that the decode engine runs the prefill.
+   * Returns the prefill engine with the fewest of this entry's tokens; undefined where there is none or its queue is
+   * too long for the request's target, so that the decode engine runs the prefill.
    */
   private choosePrefill(work: ModelWork, decode: PooledEndpoint): AtHome<PooledEndpoint> | undefined {
     const { pool, entries } = this.options
--- a/request/gateway/src/permittedSends.ts
+++ b/request/gateway/src/permittedSends.ts
@@ -23,7 +23,7 @@
   /** @param permittedPerSecond the rate that the endpoint advertises, where the leader has counted the request. */
   record(id: InstanceId, now: Millis, permittedPerSecond?: number): void {
     const all = this.sent.get(id) ?? []
-    all.push({ at: now, permittedPerSecond: permittedPerSecond })
+    all.push({ at: now, permittedPerSecond })
     this.sent.set(id, all)
   }
 
@@ -47,7 +47,7 @@
     const since = Math.min(leaderHeardAt, now) - this.windowMs
     for (const [id, all] of this.sent) {
       const kept = all.filter(
-        ({ at, permittedPerSecond: permittedPerSecond }) =>
+        ({ at, permittedPerSecond }) =>
           at > now - this.windowMs || (permittedPerSecond !== undefined && at > since),
       )
       if (kept.length === 0 || !isBound(id)) this.sent.delete(id)
@@ -56,7 +56,7 @@
   }
 }
 
-function weightOf({ permittedPerSecond: permittedPerSecond }: SentRequest, perSecond: number): number {
+function weightOf({ permittedPerSecond }: SentRequest, perSecond: number): number {
   if (permittedPerSecond === undefined) return 0
   return permittedPerSecond > perSecond ? perSecond / permittedPerSecond : 1
 }
--- a/request/gateway/src/remotePlacer.ts
+++ b/request/gateway/src/remotePlacer.ts
@@ -115,7 +115,7 @@
 
   private async ask(ask: PlaceAsk): Promise<PlaceDecision | 'leader-changed' | undefined> {
     const { leaderClient, logger, clock } = this.options
-    // An election is over within moments.
+    // During an election a new leader is usually known within moments.
     const leader = await waitFor(clock, Math.max(0, ask.promptMs) * LEADER_WAIT_SHARE, () =>
       leaderClient.leader(),
     )
@@ -141,7 +141,10 @@
     limits?.addGrants(request, placed, askedAt)
   }
 
-  /** Resolves `changed` once another machine than `leader` leads, or none: the former leader will not answer. */
+  /**
+   * Resolves `changed` once another machine than `leader` leads, or none: a call to the former leader would wait in
+   * vain.
+   */
   private watchLeader(leader: Address | undefined): {
     changed: Promise<'leader-changed'>
     cancel: () => void
@@ -259,8 +262,8 @@
 }
 
 /**
- * Whether a refusal is due to a newer sheet without the request's service: an answer that has begun continues under the
- * sheet that admitted it.
+ * Whether a refusal only means that a newer sheet lacks the request's service: an answer that has begun continues under
+ * the sheet that admitted it.
  */
 function isOfOlderSheet({ isBegun }: PlaceAsk, { reason }: { reason: string }): boolean {
   return isBegun === true && reason === UNKNOWN_SERVICE
