--- a/request/gateway/test/advertisedRates.test.ts
+++ b/request/gateway/test/advertisedRates.test.ts
@@ -18,8 +18,8 @@
   streams(request)
 }
 
-/** What an entry believes after answers of one endpoint, given in turn. */
-async function believed(answers: ((request: SeenRequest) => void)[], stage?: Stage) {
+/** Returns the rate that an entry has recorded after answers of one endpoint, given in turn. */
+async function recordedRate(answers: ((request: SeenRequest) => void)[], stage?: Stage) {
   let next = 0
   const { world } = await startRelay([[stage, (request) => answers[next++]!(request)]], {
     kind: stage ? 'streaming' : 'unsafe',
@@ -29,28 +29,29 @@
   return world.rates.rateOf('i-0')
 }
 
-describe('what answers say of the rate that their endpoint takes', () => {
-  it('is believed from whole answers, from rejections and from streams', async () => {
-    expect(await believed([answering('x-takes: 3.5')])).toBe(3.5)
-    expect(await believed([full])).toBe(2)
-    expect(await believed([streaming], 'decode')).toBe(7)
+describe('the rate that an endpoint advertises in its answers', () => {
+  it('is recorded from complete answers, from rejections and from streams', async () => {
+    expect(await recordedRate([answering('x-takes: 3.5')])).toBe(3.5)
+    expect(await recordedRate([full])).toBe(2)
+    expect(await recordedRate([streaming], 'decode')).toBe(7)
   })
 
-  it('is believed until a success names none; what cannot be read, and a failure, say nothing', async () => {
-    expect(await believed([answering('x-takes: 3.5'), answering('x-takes: soon')])).toBe(3.5)
-    expect(await believed([answering('x-takes: 3.5'), failing])).toBe(3.5)
-    expect(await believed([answering('x-takes: 3.5'), answering()])).toBeUndefined()
+  it('is kept until a successful answer has none; an invalid value or a failure does not change it', async () => {
+    expect(await recordedRate([answering('x-takes: 3.5'), answering('x-takes: soon')])).toBe(3.5)
+    expect(await recordedRate([answering('x-takes: 3.5'), failing])).toBe(3.5)
+    expect(await recordedRate([answering('x-takes: 3.5'), answering()])).toBeUndefined()
   })
 
-  // Users' engines name no request in their answers to a prefill step: one that named 3.3 a second there got up to 98 in 4 s.
-  it('is believed from answers that name no request: to prompts, and from what is no answer to a request', async () => {
+  // Some engines send no request id in answers to a prefill step: one that advertised 3.3 per second there got up to 98
+  // requests in 4 s.
+  it('is recorded from answers without a request id, to prefill steps or of an unexpected form', async () => {
     const bare =
       (status: number, body: string, ...rows: string[]) =>
       ({ socket }: SeenRequest) =>
         void socket.end(
           [`HTTP/1.1 ${status} X`, ...rows, `Content-Length: ${body.length}`, '', body].join('\r\n'),
         )
-    const told = async (...answers: ((request: SeenRequest) => void)[]) => {
+    const rateAfterPrefills = async (...answers: ((request: SeenRequest) => void)[]) => {
       let next = 0
       const reader = (request: SeenRequest) =>
         request.line.startsWith('DELETE') ? bare(200, '')(request) : answers[next++]!(request)
@@ -62,15 +63,17 @@
         await world.send('/p/', { body: 'x', headers: { 'x-tokens': '10,10' } })
       return world.rates.rateOf('i-1')
     }
-    expect(await told(bare(200, 'handle1', 'x-takes: 3.3'))).toBe(3.3)
-    expect(await told(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, 'handle2'))).toBeUndefined()
-    expect(await told(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, ''))).toBe(3.3)
-    expect(await told(bare(500, '', 'x-takes: 4'))).toBe(4)
-    expect(await believed([bare(200, 'hello', 'x-takes: 5')])).toBe(5)
-    expect(await believed([bare(421, '', 'x-instance: other', 'x-takes: 5')])).toBeUndefined()
+    expect(await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'))).toBe(3.3)
+    expect(
+      await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, 'handle2')),
+    ).toBeUndefined()
+    expect(await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'), bare(200, ''))).toBe(3.3)
+    expect(await rateAfterPrefills(bare(500, '', 'x-takes: 4'))).toBe(4)
+    expect(await recordedRate([bare(200, 'hello', 'x-takes: 5')])).toBe(5)
+    expect(await recordedRate([bare(421, '', 'x-instance: other', 'x-takes: 5')])).toBeUndefined()
   })
 
-  it('goes on to the caller as it came', async () => {
+  it('is forwarded to the caller unchanged', async () => {
     const { world } = await startRelay([[undefined, answering('x-takes: 3.5')]])
     expect((await world.send('/p/', { body: 'x' })).headers['x-takes']).toBe('3.5')
   })
--- a/request/gateway/test/regions.test.ts
+++ b/request/gateway/test/regions.test.ts
@@ -40,8 +40,8 @@
     workspaces,
   )
   open.push(harness, ...workers)
-  const narrow = (regions: string[]) => harness.setWorkspaces(workspaces, [{ ...full, regions }])
-  return { harness, workers, narrow, seen: () => workers.map((worker) => worker.seen.length) }
+  const restrictTo = (regions: string[]) => harness.setWorkspaces(workspaces, [{ ...full, regions }])
+  return { harness, workers, restrictTo, seen: () => workers.map((worker) => worker.seen.length) }
 }
 
 const member = (regions?: string[]): Workspace => ({ name: 'w', keys: ['key-1'], priority: 0, regions })
@@ -51,14 +51,14 @@
   { zone: 'e1', answer: answers },
 ]
 
-describe('a request with homes', () => {
-  it("goes to endpoints of its route's regions only, however near others are", async () => {
+describe('a request that is limited to regions', () => {
+  it("goes only to endpoints within its route's regions, even if others are nearer", async () => {
     const { harness, seen } = await start(TWO, { regions: ['east'] })
     for (let times = 0; times < 4; times += 1) expect((await harness.send('/p/')).status).toBe(200)
     expect(seen()).toEqual([0, 4])
   })
 
-  it('is bound by its route and by its workspace, both together', async () => {
+  it('is limited to the regions that its route and its workspace have in common', async () => {
     const { harness, seen } = await start(TWO, { regions: ['west', 'south'] }, [member(['west', 'east'])])
     expect((await harness.send('/p/', WITH_KEY)).status).toBe(200)
     harness.setWorkspaces([member(['east'])])
@@ -66,7 +66,7 @@
     expect(seen()).toEqual([1, 0])
   })
 
-  it('is bound by its workspace also on a public route', async () => {
+  it("is limited to its workspace's regions on a public route too", async () => {
     const { harness, seen } = await start(TWO, { isPublic: true }, [member(['east'])])
     for (let times = 0; times < 4; times += 1) expect((await harness.send('/p/', WITH_KEY)).status).toBe(200)
     expect(seen()).toEqual([0, 4])
@@ -74,7 +74,7 @@
 
   it.each([
     ['an empty list', []],
-    ['a region that no failure domain bears', ['nowhere']],
+    ['a region that no failure domain belongs to', ['nowhere']],
     ['a region without endpoints', ['south']],
   ])('is refused at once as not run with %s', async (_, regions) => {
     const { harness, seen } = await start(TWO, { regions, targetMs: 60_000, timeoutMs: 60_000 })
@@ -85,7 +85,7 @@
     expect(seen()).toEqual([0, 0])
   })
 
-  it('is refused as not run while its region is cut off, and served again after', async () => {
+  it('is refused as not run while its region is cut off, and served again afterwards', async () => {
     const { harness, workers, seen } = await start(TWO, { regions: ['east'], targetMs: 300 })
     const { address } = workers[1]!
     const cutOff = { ...harness.pool.get('i-1')!.endpoint, address: '127.0.0.1:1' }
@@ -98,21 +98,21 @@
     expect(seen()).toEqual([0, 1])
   })
 
-  it('may not lie in a failure domain that nobody has given a region', async () => {
+  it('does not go to a failure domain without a region', async () => {
     const { harness, seen } = await start([{ zone: 'unnamed', answer: answers }], { regions: ['west'] })
     expect((await harness.send('/p/')).status).toBe(503)
     expect(seen()).toEqual([0])
   })
 })
 
-describe('a newer sheet that narrows homes', () => {
-  it('binds a place that was handed out before', async () => {
-    const narrows: Answerer = (request) => {
-      narrow(['west'])
+describe('a newer sheet with fewer regions', () => {
+  it('applies to a place that was given before', async () => {
+    const answerAndRestrict: Answerer = (request) => {
+      restrictTo(['west'])
       reads(request)
     }
-    const { harness, narrow, seen } = await start([
-      { zone: 'z', stage: 'prefill', answer: narrows },
+    const { harness, restrictTo, seen } = await start([
+      { zone: 'z', stage: 'prefill', answer: answerAndRestrict },
       { zone: 'e1', stage: 'decode', answer: streams },
     ])
     const answer = await harness.send('/p/', { body: 'x' })
@@ -120,17 +120,17 @@
     expect(seen()[1]).toBe(0)
   })
 
-  it('lets memory that waits in a region that is no home any more lie, and has the prompt read anew', async () => {
+  it('makes a request abandon a KV cache in a region that is no longer allowed, and run its prefill again', async () => {
     let reader = 0
-    const narrows: Answerer = (request) => {
+    const answerAndRestrict: Answerer = (request) => {
       if (request.line.startsWith('POST')) {
         reader += 1
-        narrow(['west'])
+        restrictTo(['west'])
       }
       reads(request)
     }
-    const { harness, workers, narrow } = await start([
-      { zone: 'e1', stage: 'prefill', answer: narrows },
+    const { harness, workers, restrictTo } = await start([
+      { zone: 'e1', stage: 'prefill', answer: answerAndRestrict },
       { zone: 'z', stage: 'decode', answer: streams },
     ])
     const back = harness.pool.get('i-0')!.endpoint
