--- a/placement/allocator/src/allocator.ts
+++ b/placement/allocator/src/allocator.ts
@@ -11,7 +11,7 @@
 import { HoldRegistry } from './holdRegistry'
 import { InstanceHealth } from './instanceHealth'
 import { LengthForecast } from './lengthForecast'
-import { MovePlanner } from './movePlanner'
+import { MigrationPlanner } from './migrationPlanner'
 import { StageOrderTracker } from './stageOrderTracker'
 import { REGION_REASON, REGION_RETRY_MS, COLD_REASON, refused, Refusals, UNKNOWN_SERVICE } from './refusals'
 import { isQueueDelay } from './isQueueDelay'
@@ -82,7 +82,7 @@
   private readonly orders = new StageOrderTracker()
   private readonly learned: LearnedModels
   private readonly choice: EngineChoice
-  private readonly moves: MovePlanner
+  private readonly moves: MigrationPlanner
   private readonly budgets: EngineBudgets
   private readonly barred: BarredEngines
   private readonly stages: StagePlanner
@@ -105,7 +105,7 @@
       pace: this.learned.pace,
       isChanging: (id, now) => this.isChanging(id, now),
     })
-    this.moves = new MovePlanner({
+    this.moves = new MigrationPlanner({
       holds: this.holds,
       choice: this.choice,
       engine: options.engine,
@@ -139,7 +139,7 @@
       this.stages.recordDemand(ask.service, ask.promptTokens, this.holds.forecastTokenSteps(ask), now)
     const refusal = this.refuseAtOnce(ask, now)
     if (refusal !== undefined) return resolve(refusal)
-    this.queue.add({ ask, since: now, isAdmitted: false, resolve })
+    this.queue.add({ ask, since: now, hasProspect: false, resolve })
     this.placeWaiting(now)
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** Answers of an entry that should go on at another engine from now on; what they hold counts there. */
-  planMoves(entry: string, now: Millis): AnswerMove[] {
+  planMigrations(entry: string, now: Millis): AnswerMove[] {
     return this.moves.plan(this.holds.runningOf(entry), now)
   }
 
--- a/placement/allocator/src/allocatorService.ts
+++ b/placement/allocator/src/allocatorService.ts
@@ -220,7 +220,7 @@
       holds.map((one) => this.sanitize(entry, one)),
       now,
     )
-    const moves = this.mayPlace() ? this.allocator.planMoves(entry, now) : []
+    const moves = this.mayPlace() ? this.allocator.planMigrations(entry, now) : []
     for (const { request, to } of moves)
       this.options.logger.info('answer.moves', { request, entry, endpoint: to })
     return { moves }
--- a/placement/allocator/src/coldBudget.ts
+++ b/placement/allocator/src/coldBudget.ts
@@ -79,13 +79,13 @@
   /** Counts the steps of a place that go to cold engines; undefined where there are none. */
   grant({ prefill, decode }: PlacedEngines, waitedMs: Millis, now: Millis): StepGrant | undefined {
     const decodesInMs = prefill === undefined ? SEND_WITHIN_MS : SEND_AFTER_PREFILL_MS
-    const isReaderCold = prefill !== undefined && this.countStep(prefill, SEND_WITHIN_MS, now)
-    const isDecoderCold = this.countStep(decode, decodesInMs, now)
-    if (!isReaderCold && !isDecoderCold) return undefined
+    const isPrefillCold = prefill !== undefined && this.countStep(prefill, SEND_WITHIN_MS, now)
+    const isDecodeCold = this.countStep(decode, decodesInMs, now)
+    if (!isPrefillCold && !isDecodeCold) return undefined
     return {
       waitedMs,
-      prefillMs: isReaderCold ? SEND_WITHIN_MS : undefined,
-      decodeMs: isDecoderCold ? decodesInMs : undefined,
+      prefillMs: isPrefillCold ? SEND_WITHIN_MS : undefined,
+      decodeMs: isDecodeCold ? decodesInMs : undefined,
     }
   }
 
--- a/placement/allocator/src/distanceCost.ts
+++ b/placement/allocator/src/distanceCost.ts
@@ -78,6 +78,6 @@
 }
 
 /** The same for an engine that far from the one that an answer leaves with its memory. */
-export function moveDistanceTokens(distance: Distance, engine: EnginePool): number {
+export function migrationDistanceTokens(distance: Distance, engine: EnginePool): number {
   return engine.kvTokens * DISTANCE_COSTS[distance].memoryShare
 }
--- a/placement/allocator/src/engineBudgets.ts
+++ b/placement/allocator/src/engineBudgets.ts
@@ -77,14 +77,14 @@
   }
 
   private spend({ prefill, decode }: PlacedEngines, waitedMs: Millis): StepGrant | undefined {
-    const isReaderLimited = prefill !== undefined && this.limits.spend(prefill.id)
-    const isDecoderLimited = this.limits.spend(decode.id)
-    if (!isReaderLimited && !isDecoderLimited) return undefined
+    const isPrefillLimited = prefill !== undefined && this.limits.spend(prefill.id)
+    const isDecodeLimited = this.limits.spend(decode.id)
+    if (!isPrefillLimited && !isDecodeLimited) return undefined
     const decodesInMs = prefill === undefined ? SEND_WITHIN_MS : SEND_AFTER_PREFILL_MS
     return {
       waitedMs,
-      prefillMs: isReaderLimited ? SEND_WITHIN_MS : undefined,
-      decodeMs: isDecoderLimited ? decodesInMs : undefined,
+      prefillMs: isPrefillLimited ? SEND_WITHIN_MS : undefined,
+      decodeMs: isDecodeLimited ? decodesInMs : undefined,
     }
   }
 }
--- a/placement/allocator/src/engineChoice.ts
+++ b/placement/allocator/src/engineChoice.ts
@@ -102,17 +102,17 @@
 
   /** The engines for a request; undefined where it has to wait. */
   choose(query: EngineQuery, now: Millis): EnginePick | undefined {
-    const readers = query.ask.isPrefilled ? [] : this.candidates(query.ask, 'prefill', now)
-    const decoders = this.fittingDecoders(query, readers, now)
+    const prefillEngines = query.ask.isPrefilled ? [] : this.candidates(query.ask, 'prefill', now)
+    const decoders = this.fittingDecoders(query, prefillEngines, now)
     const first = decoders[0]
     if (first === undefined) return undefined
     if (query.ask.isPrefilled) return { decode: first, readsInMs: 0, queuedMs: 0 }
     const caching = this.cache.decoderCaching(query, decoders, now)
     if (caching !== undefined) return { decode: caching, readsInMs: 0, queuedMs: 0, readTokens: 0 }
-    const separate = this.pickPrefillEngine(query, first, readers, now)
+    const separate = this.pickPrefillEngine(query, first, prefillEngines, now)
     if (separate !== undefined && !this.fitness.isSlowPrefill(separate.prefill!.id, now)) return separate
     // A slow reader is used where no decode engine is sooner.
-    const local = this.pickLocalPrefill(query, decoders, readers, now)
+    const local = this.pickLocalPrefill(query, decoders, prefillEngines, now)
     if (separate === undefined || local === undefined) return separate ?? local
     return local.readsInMs < separate.readsInMs ? local : separate
   }
@@ -121,23 +121,23 @@
   summarize(ask: PlaceAsk, now: Millis): EngineSummary {
     const { holds } = this.options
     const decoders = this.candidates(ask, 'decode', now)
-    const readers = this.candidates(ask, 'prefill', now)
+    const prefillEngines = this.candidates(ask, 'prefill', now)
     const peaks = decoders.map(({ id }) => ({
       endpoint: id,
       peak: Math.round(holds.peakWith(ask, id, Infinity, now)),
       running: holds.countAt(id),
     }))
-    const queues = readers.map(({ id }) => ({
+    const queues = prefillEngines.map(({ id }) => ({
       endpoint: id,
       queuedMs: Math.round(holds.prefillWaitMs(id, now)),
     }))
     return {
       decoders: decoders.length,
-      readers: readers.length,
+      readers: prefillEngines.length,
       roomiest: peaks.sort((left, right) => left.peak - right.peak)[0],
       soonest: queues.sort((left, right) => left.queuedMs - right.queuedMs)[0],
-      slow: this.fitness.slowEngines({ decode: decoders, prefill: readers }, now),
-      cold: this.options.budgets.summarize([...decoders, ...readers], now),
+      slow: this.fitness.slowEngines({ decode: decoders, prefill: prefillEngines }, now),
+      cold: this.options.budgets.summarize([...decoders, ...prefillEngines], now),
     }
   }
 
@@ -195,7 +195,7 @@
   /** Decode engines into whose memory to come the request fits, the least filled for their pace first. */
   private fittingDecoders(
     query: EngineQuery,
-    readers: RegisteredEndpoint[],
+    prefillEngines: RegisteredEndpoint[],
     now: Millis,
   ): AtHome<RegisteredEndpoint>[] {
     const { holds, health, budgets } = this.options
@@ -223,7 +223,7 @@
       (isGood ? 0 : POOR_PACE_COST) +
       (isCold ? limit * COLD_MEMORY_SHARE : 0) +
       peak * slowness +
-      this.distance.decodeCostTokens(ask, engine, endpoint, readers)
+      this.distance.decodeCostTokens(ask, engine, endpoint, prefillEngines)
     // Worked out once for each: the way to the nearest reader looks at all of them.
     const ranked = fitting.map((one) => ({ endpoint: one.endpoint, cost: costOf(one) }))
     ranked.sort((left, right) => left.cost - right.cost)
@@ -231,7 +231,7 @@
   }
 
   /** Engines that could go on with an answer that runs at another one: those that surely do well. */
-  moveTargets(ask: PlaceAsk, engine: EnginePool, now: Millis): AtHome<RegisteredEndpoint>[] {
+  migrationTargets(ask: PlaceAsk, engine: EnginePool, now: Millis): AtHome<RegisteredEndpoint>[] {
     const { holds, health, pace, budgets } = this.options
     return this.candidates(ask, 'decode', now).filter(
       ({ id }) =>
@@ -253,14 +253,14 @@
   private pickPrefillEngine(
     query: EngineQuery,
     decode: AtHome<RegisteredEndpoint>,
-    readers: AtHome<RegisteredEndpoint>[],
+    prefillEngines: AtHome<RegisteredEndpoint>[],
     now: Millis,
   ): EnginePick | undefined {
     const { holds, health, pace, budgets } = this.options
     const { promptTokens } = query.ask
     const prompt = { promptTokens, prefillMs: pace.prefillMs(promptTokens), engine: query.engine }
-    const uncached = (reader: RegisteredEndpoint) => this.cache.uncached(query.ask, reader)
-    const waits = readers
+    const uncached = (prefill: RegisteredEndpoint) => this.cache.uncached(query.ask, prefill)
+    const waits = prefillEngines
       .filter((endpoint) => !health.isFull(endpoint.id, now) && budgets.mayRead(endpoint, now))
       .map((prefill) => ({
         prefill,
@@ -296,13 +296,13 @@
   private pickLocalPrefill(
     query: EngineQuery,
     decoders: AtHome<RegisteredEndpoint>[],
-    readers: AtHome<RegisteredEndpoint>[],
+    prefillEngines: AtHome<RegisteredEndpoint>[],
     now: Millis,
   ): EnginePick | undefined {
     const { holds, health } = this.options
     // Engines that have just refused are back in a moment, unless they do nothing else.
-    const isAlone = readers.every(({ id }) => health.isBusy(id) || this.fitness.isSlowPrefill(id, now))
-    if (!isAlone && (!query.isInTime || readers.every((endpoint) => health.isFull(endpoint.id, now))))
+    const isAlone = prefillEngines.every(({ id }) => health.isBusy(id) || this.fitness.isSlowPrefill(id, now))
+    if (!isAlone && (!query.isInTime || prefillEngines.every((endpoint) => health.isFull(endpoint.id, now))))
       return undefined
     const ownMs = this.localPrefillMs(query.ask, now)
     const picks = decoders
--- a/placement/allocator/src/engineDistance.ts
+++ b/placement/allocator/src/engineDistance.ts
@@ -5,7 +5,7 @@
 import type { PlaceAsk } from './allocatorTypes'
 import {
   entryDistanceTokens,
-  moveDistanceTokens,
+  migrationDistanceTokens,
   remotePrefillCostMs,
   prefillDistanceTokens,
 } from './distanceCost'
@@ -25,17 +25,22 @@
     ask: PlaceAsk,
     engine: EnginePool,
     decode: RegisteredEndpoint,
-    readers: RegisteredEndpoint[],
+    prefillEngines: RegisteredEndpoint[],
   ): number {
-    const distances = readers.map(({ zone }) =>
+    const distances = prefillEngines.map(({ zone }) =>
       prefillDistanceTokens(this.topology.distance(zone, decode.zone), engine),
     )
     return this.entryCostTokens(ask, engine, decode) + (distances.length === 0 ? 0 : Math.min(...distances))
   }
 
   /** The same for an answer that moves there with its memory. */
-  moveCostTokens(ask: PlaceAsk, engine: EnginePool, from: FailureDomain, to: RegisteredEndpoint): number {
-    const distance = moveDistanceTokens(this.topology.distance(from, to.zone), engine)
+  migrationCostTokens(
+    ask: PlaceAsk,
+    engine: EnginePool,
+    from: FailureDomain,
+    to: RegisteredEndpoint,
+  ): number {
+    const distance = migrationDistanceTokens(this.topology.distance(from, to.zone), engine)
     return distance + this.entryCostTokens(ask, engine, to)
   }
 
--- a/placement/allocator/src/enginePace.ts
+++ b/placement/allocator/src/enginePace.ts
@@ -34,9 +34,9 @@
 export class EnginePace {
   private readonly prefillModel = new PrefillTimeModel()
   /** Time for each millisecond that the line foretells. */
-  private readonly readers: PeerPace
+  private readonly prefillEngines: PeerPace
   /** Time for each token of one answer. */
-  private readonly decoders: PeerPace
+  private readonly decodeEngines: PeerPace
 
   /**
    * @param isCold whether an engine was cold at a time: what it does then says nothing of its pace.
@@ -45,10 +45,10 @@
     onChange: OnEnginePaceChange = () => undefined,
     private readonly isCold: (engine: InstanceId, at: Millis) => boolean = () => false,
   ) {
-    this.readers = new PeerPace({ ms: 1, isGuess: false }, PREFILL_MEMORY_MS, (id, isSlow, view) =>
+    this.prefillEngines = new PeerPace({ ms: 1, isGuess: false }, PREFILL_MEMORY_MS, (id, isSlow, view) =>
       onChange(id, 'prefill', isSlow, view),
     )
-    this.decoders = new PeerPace(
+    this.decodeEngines = new PeerPace(
       { ms: PRIOR_MS_PER_TOKEN, isGuess: true },
       DECODING_MEMORY_MS,
       (id, isSlow, view) => onChange(id, 'decode', isSlow, view),
@@ -57,7 +57,7 @@
 
   /** Whether engines have shown how fast they make tokens; what is believed before may be far off. */
   get isKnown(): boolean {
-    return this.decoders.isKnown
+    return this.decodeEngines.isKnown
   }
 
   /** How long a prefill engine that is well is busy with a prompt, in milliseconds: the next one begins then. */
@@ -68,13 +68,13 @@
   /** The same of engines as they are now: when all are slow alike, the line follows by and by only. */
   typicalPrefillMs(promptTokens: number, now: Millis): Millis {
     // A single reader that is slow says nothing of the others.
-    const factor = this.readers.count < 2 ? 1 : Math.max(1, this.readers.typicalMs(now))
+    const factor = this.prefillEngines.count < 2 ? 1 : Math.max(1, this.prefillEngines.typicalMs(now))
     return this.prefillModel.busyMs(promptTokens) * factor
   }
 
   /** The same of one engine, by its own pace. */
   prefillMsAt(engine: InstanceId, promptTokens: number, now: Millis): Millis {
-    return this.prefillModel.busyMs(promptTokens) * this.readers.view(engine, now).ms
+    return this.prefillModel.busyMs(promptTokens) * this.prefillEngines.view(engine, now).ms
   }
 
   /** How much longer it takes until the entry hears of it, whatever the length: the engine reads on meanwhile. */
@@ -84,12 +84,12 @@
 
   /** How long an engine takes for one token of an answer; of one that has shown nothing yet, as its peers. */
   msPerToken(engine: InstanceId, now: Millis): Millis {
-    return this.decoders.view(engine, now).ms
+    return this.decodeEngines.view(engine, now).ms
   }
 
   /** The same of engines that are well. */
   typicalMsPerToken(now: Millis): Millis {
-    return this.decoders.typicalMs(now)
+    return this.decodeEngines.typicalMs(now)
   }
 
   /** An engine's pace at one part beside its peers'. */
@@ -109,28 +109,28 @@
     if (tokens === undefined || this.isCold(engine, now - tookMs)) return
     const expectedMs = this.prefillModel.busyMs(tokens) + (isAlone ? this.prefillModel.latencyMs() : 0)
     // What an engine had kept of a prompt it need not read: that says nothing of its pace.
-    this.readers.learn(engine, expectedMs, Math.max(tookMs, expectedMs * MIN_PREFILL_SHARE), now)
+    this.prefillEngines.learn(engine, expectedMs, Math.max(tookMs, expectedMs * MIN_PREFILL_SHARE), now)
     if (!isAlone || isGivenUp) return
     // The line says what engines do that are well; when all are slow alike it follows.
-    if (this.readers.view(engine, now).slowness < SLOW_FACTOR) this.prefillModel.learn(tokens, tookMs)
+    if (this.prefillEngines.view(engine, now).slowness < SLOW_FACTOR) this.prefillModel.learn(tokens, tookMs)
   }
 
   /** Learns from tokens of one answer that an engine made in a time, or from their lack. */
   learnDecoding(engine: InstanceId, tokens: number, tookMs: Millis, now: Millis): void {
     if (this.isCold(engine, now - tookMs)) return
-    this.decoders.learn(engine, tokens, tookMs, now)
+    this.decodeEngines.learn(engine, tokens, tookMs, now)
   }
 
   /** Drops what an engine has shown: it has started anew, and its pace is learned again. */
   forget(engine: InstanceId): void {
-    this.readers.forget(engine)
-    this.decoders.forget(engine)
+    this.prefillEngines.forget(engine)
+    this.decodeEngines.forget(engine)
   }
 
   /** Forgets engines that are not registered any more. */
   keepOnly(ids: ReadonlySet<InstanceId>): void {
-    this.readers.keepOnly(ids)
-    this.decoders.keepOnly(ids)
+    this.prefillEngines.keepOnly(ids)
+    this.decodeEngines.keepOnly(ids)
   }
 
   /** How many tokens an engine has read in its time; undefined where it is not clear what it had kept. */
@@ -149,6 +149,6 @@
   }
 
   private at(stage: Stage): PeerPace {
-    return stage === 'prefill' ? this.readers : this.decoders
+    return stage === 'prefill' ? this.prefillEngines : this.decodeEngines
   }
 }
--- a/placement/allocator/src/holdRegistry.ts
+++ b/placement/allocator/src/holdRegistry.ts
@@ -16,7 +16,7 @@
 /** An engine that reads a prompt itself still makes some tokens between its pieces; they count at least so much time. */
 const MIN_DECODING_SHARE = 0.2
 /** An answer whose entry still reports it where it was so long after it should have left has stayed there. */
-const MOVE_TIMEOUT_MS = 3_000
+const MIGRATION_TIMEOUT_MS = 3_000
 const NO_HOLDS: ReadonlySet<Hold> = new Set()
 
 /** Options of {@link HoldRegistry}. */
@@ -228,7 +228,7 @@
     const { leaves } = hold
     if (hold.decode === decode && leaves === undefined) return 'there'
     if (hold.decode !== decode) {
-      if (leaves?.from === decode && now - leaves.since < MOVE_TIMEOUT_MS) return 'leaving'
+      if (leaves?.from === decode && now - leaves.since < MIGRATION_TIMEOUT_MS) return 'leaving'
       this.reassign(hold, decode)
     }
     hold.leaves = undefined
@@ -236,7 +236,7 @@
   }
 
   /** Notes that an answer is to go on at another engine: what it holds counts there from now on. */
-  move(hold: Hold, to: InstanceId, now: Millis): void {
+  migrate(hold: Hold, to: InstanceId, now: Millis): void {
     hold.leaves = { from: hold.decode, since: now }
     this.reassign(hold, to)
   }
@@ -260,7 +260,7 @@
   }
 
   /** The most memory, in tokens, that an engine comes to hold with an answer that runs elsewhere. */
-  peakWithMoved(hold: Hold, decode: InstanceId, now: Millis): number {
+  peakWithMigrated(hold: Hold, decode: InstanceId, now: Millis): number {
     return peakMemory([...this.memoryForecast(decode, now).growing, this.forecastHold(hold, now)])
   }
 
--- a/placement/allocator/src/movePlanner.ts
+++ b/placement/allocator/src/migrationPlanner.ts
@@ -5,8 +5,8 @@
 import type { EngineChoice } from './engineChoice'
 import type { HoldRegistry } from './holdRegistry'
 
-/** Options of {@link MovePlanner}. */
-export interface MovePlannerOptions {
+/** Options of {@link MigrationPlanner}. */
+export interface MigrationPlannerOptions {
   holds: HoldRegistry
   choice: EngineChoice
   engine: (service: string) => EnginePool | undefined
@@ -25,8 +25,8 @@
  * leaves before they end, or changes its part as soon as they have ended. An answer that is cut has been read and made in
  * vain, and an engine that waits for answers to end does nothing else.
  */
-export class MovePlanner {
-  constructor(private readonly options: MovePlannerOptions) {}
+export class MigrationPlanner {
+  constructor(private readonly options: MigrationPlannerOptions) {}
 
   /** Plans moves of some answers and counts what they hold where they go. */
   plan(running: Hold[], now: Millis): AnswerMove[] {
@@ -35,7 +35,7 @@
     for (const hold of running) {
       const to = this.targetOf(hold, known, now)
       if (to === undefined) continue
-      this.options.holds.move(hold, to, now)
+      this.options.holds.migrate(hold, to, now)
       moves.push({ request: hold.ask.request, to })
     }
     return moves
@@ -58,12 +58,12 @@
     const isLeaving = known.get(decode)?.state !== 'ready' || isChanging(decode, now)
     if (!isLeaving && choice.fitness.assess(answer, engine, decode, now) !== 'slow') return undefined
     const targets = choice
-      .moveTargets(ask, engine, now)
+      .migrationTargets(ask, engine, now)
       .filter(({ id }) => id !== decode && choice.fitness.assess(answer, engine, id, now) === 'good')
       .map((target) => ({
         id: target.id,
-        peak: holds.peakWithMoved(hold, target.id, now),
-        distanceTokens: choice.distance.moveCostTokens(
+        peak: holds.peakWithMigrated(hold, target.id, now),
+        distanceTokens: choice.distance.migrationCostTokens(
           ask,
           engine,
           known.get(decode)?.zone ?? target.zone,
--- a/placement/allocator/src/placementQueue.ts
+++ b/placement/allocator/src/placementQueue.ts
@@ -7,7 +7,7 @@
   ask: PlaceAsk
   since: Millis
   /** Whether it has been decided that waiting on is worth it. */
-  isAdmitted: boolean
+  hasProspect: boolean
   resolve: (decision: PlaceDecision) => void
 }
 
@@ -99,12 +99,12 @@
   /** Requests that must hear now whether to go on waiting, and for which no place is in sight in time. */
   removeHopeless(now: Millis): WaitingRequest[] {
     const due = this.waiting.filter(
-      (one) => !one.isAdmitted && one.ask.promptMs > 0 && now - one.since >= one.ask.promptMs,
+      (one) => !one.hasProspect && one.ask.promptMs > 0 && now - one.since >= one.ask.promptMs,
     )
     if (due.length === 0) return []
     const order = this.inOrder(now)
-    due.forEach((one) => (one.isAdmitted = this.expectedWaitMs(one, order, now) <= this.slackOf(one, now)))
-    return this.removeWhere((one) => due.includes(one) && !one.isAdmitted)
+    due.forEach((one) => (one.hasProspect = this.expectedWaitMs(one, order, now) <= this.slackOf(one, now)))
+    return this.removeWhere((one) => due.includes(one) && !one.hasProspect)
   }
 
   private expectedWaitMs(one: WaitingRequest, order: WaitingRequest[], now: Millis): Millis {
--- a/placement/allocator/src/planStages.ts
+++ b/placement/allocator/src/planStages.ts
@@ -40,7 +40,7 @@
  * A second reader beside a single one must bring the fuller half down to this share: a decode engine first has to
  * end what runs there, and decode engines can read what one reader does not.
  */
-const SECOND_READER_RATIO = 0.55
+const SECOND_PREFILL_RATIO = 0.55
 /**
  * From here on requests are lost for want of decode engines. Only then does the last reader but one change its part:
  * without any reader every decode engine reads at half the pace, and a new one takes the time of its answers and more.
@@ -87,10 +87,10 @@
   const donor = stage === 'prefill' ? 'decode' : 'prefill'
   if (have.count[donor] < 2) return false
   const now = utilization[stage]
-  const isSecondReader = stage === 'prefill' && have.count.prefill === 1
-  if (isSecondReader) return Math.max(after.prefill, after.decode) <= now * SECOND_READER_RATIO
-  const isLastReader = donor === 'prefill' && have.count.prefill === 2
-  if (isLastReader && now < OVERLOADED_UTILIZATION) return false
+  const isSecondPrefill = stage === 'prefill' && have.count.prefill === 1
+  if (isSecondPrefill) return Math.max(after.prefill, after.decode) <= now * SECOND_PREFILL_RATIO
+  const leavesOnePrefill = donor === 'prefill' && have.count.prefill === 2
+  if (leavesOnePrefill && now < OVERLOADED_UTILIZATION) return false
   return after[donor] <= now * DONOR_RATIO
 }
 
--- a/placement/allocator/src/stageOrderTracker.ts
+++ b/placement/allocator/src/stageOrderTracker.ts
@@ -2,7 +2,7 @@
 import type { Millis } from '@forkstage/types'
 
 /** A part that an engine should have, and until when that is believed of it. */
-interface StageOrder {
+interface PendingStageOrder {
   to: Stage
   until: Millis
 }
@@ -10,9 +10,9 @@
 /** What became of orders to engines to change their part. */
 export class StageOrderTracker {
   /** Engines that change their part, until when they are left alone. */
-  private readonly changing = new Map<InstanceId, StageOrder>()
+  private readonly changing = new Map<InstanceId, PendingStageOrder>()
   /** Engines that may still carry out an order, or refused one: they work on, but get no other order. */
-  private readonly ordered = new Map<InstanceId, StageOrder>()
+  private readonly ordered = new Map<InstanceId, PendingStageOrder>()
 
   /** Gives an engine no work while it changes its part. */
   markChanging(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
--- a/placement/allocator/test/allocatorStages.test.ts
+++ b/placement/allocator/test/allocatorStages.test.ts
@@ -88,8 +88,8 @@
   it.each([1, 2])(
     'tells a reader to decode where no engine decodes any more, also the last one (%i left)',
     (count) => {
-      const readers = Array.from({ length: count }, (_, index) => engine(`p${index}`, 'prefill'))
-      const endpoints = [...readers, engine('d1', 'decode')]
+      const prefillEngines = Array.from({ length: count }, (_, index) => engine(`p${index}`, 'prefill'))
+      const endpoints = [...prefillEngines, engine('d1', 'decode')]
       const { allocator, place } = createAllocator(endpoints)
       showPace(allocator, 'd1', 0)
       for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
--- a/placement/allocator/test/distanceCost.test.ts
+++ b/placement/allocator/test/distanceCost.test.ts
@@ -110,7 +110,7 @@
       }
       all[0]!.state = 'draining'
       allocator.tick(810)
-      return allocator.planMoves('e', 820)
+      return allocator.planMigrations('e', 820)
     }
     expect(movesWith(8_000)).toEqual([{ request: 'a', to: 'd3' }])
     expect(movesWith(30_000)).toEqual([{ request: 'a', to: 'd2' }])
--- a/placement/allocator/test/evacuated.test.ts
+++ b/placement/allocator/test/evacuated.test.ts
@@ -73,10 +73,10 @@
     for (let now = 0; now <= 1_200; now += 400) report({ d0: 4, d1: 4, d2: 4 }, now)
     evacuated.add('a')
     allocator.tick(1_210)
-    expect(allocator.planMoves('runner', 1_210)).toEqual([])
+    expect(allocator.planMigrations('runner', 1_210)).toEqual([])
     expect(allocator.holdCount).toBe(3)
     for (let now = 1_600; now <= 2_800; now += 400) report({ d0: 4, d1: 25, d2: 4 }, now)
-    expect(allocator.planMoves('runner', 2_810)).toEqual([{ request: 'at-d1', to: 'd2' }])
+    expect(allocator.planMigrations('runner', 2_810)).toEqual([{ request: 'at-d1', to: 'd2' }])
   })
 
   it('keeps what was learned of engines there', () => {
--- a/placement/allocator/test/impatientCallers.test.ts
+++ b/placement/allocator/test/impatientCallers.test.ts
@@ -20,14 +20,14 @@
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => memory })
   const events: { at: number; run: () => void }[] = []
   const outcome: Outcome = { inTime: 0, late: 0, inVain: 0 }
-  let readerFreeAt = 0
+  let prefillFreeAt = 0
   let now = 0
   const start = (request: string, arrivedAt: number, decision: PlaceDecision) => {
     if (decision.type !== 'placed') return
     const placedAt = now
-    const startsAt = decision.prefill === undefined ? now : Math.max(now, readerFreeAt)
+    const startsAt = decision.prefill === undefined ? now : Math.max(now, prefillFreeAt)
     const readAt = startsAt + (12_000 / 40) * (decision.prefill === undefined ? 2 : 1)
-    if (decision.prefill !== undefined) readerFreeAt = readAt
+    if (decision.prefill !== undefined) prefillFreeAt = readAt
     const firstAt = readAt + 60
     const isGone = firstAt - arrivedAt > PATIENCE_MS
     if (isGone) outcome.inVain += 1
--- a/placement/allocator/test/limitedEngines.test.ts
+++ b/placement/allocator/test/limitedEngines.test.ts
@@ -80,6 +80,6 @@
     expect(decisions.get('r1')).toMatchObject({ decode: 'd1' })
     engines[0] = engine('d1', 'decode', { state: 'draining' })
     allocator.tick(100)
-    expect(allocator.planMoves('e1', 100)).toEqual([])
+    expect(allocator.planMigrations('e1', 100)).toEqual([])
   })
 })
--- a/placement/allocator/test/moves.test.ts
+++ b/placement/allocator/test/migrations.test.ts
@@ -30,36 +30,36 @@
   it('lets those at an engine that has turned too slow for them go on elsewhere, once', () => {
     const one = createAllocator(three())
     reportAnswers(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
-    expect(one.allocator.planMoves('runner', 1_210)).toEqual([
+    expect(one.allocator.planMigrations('runner', 1_210)).toEqual([
       { request: 'at-d0', to: expect.stringMatching(/^d[12]$/) },
     ])
-    expect(one.allocator.planMoves('runner', 1_220)).toEqual([])
+    expect(one.allocator.planMigrations('runner', 1_220)).toEqual([])
   })
 
   it('leaves them where all are slow alike, or where they end in a moment', () => {
     const alike = createAllocator(three())
     reportAnswers(alike, { d0: 25, d1: 25, d2: 25 }, { from: 0, until: 1_200 })
-    expect(alike.allocator.planMoves('runner', 1_210)).toEqual([])
+    expect(alike.allocator.planMigrations('runner', 1_210)).toEqual([])
     const ending = createAllocator(three())
     reportAnswers(ending, PEERS, { from: 0, until: 7_600 })
-    expect(ending.allocator.planMoves('runner', 7_610)).toEqual([])
+    expect(ending.allocator.planMigrations('runner', 7_610)).toEqual([])
   })
 
   it('lets those go on elsewhere whose engine leaves before they end', () => {
     const endpoints: RegisteredEndpoint[] = three()
     const one = createAllocator(endpoints)
     reportAnswers(one, PEERS, { from: 0, until: 800 })
-    expect(one.allocator.planMoves('runner', 810)).toEqual([])
+    expect(one.allocator.planMigrations('runner', 810)).toEqual([])
     endpoints[0] = engine('d0', 'decode', { state: 'draining' })
     one.allocator.tick(820)
-    expect(one.allocator.planMoves('runner', 830)).toMatchObject([{ request: 'at-d0' }])
+    expect(one.allocator.planMigrations('runner', 830)).toMatchObject([{ request: 'at-d0' }])
   })
 
   it('lets those go on elsewhere whose engine is to change its part, which it does once it is empty', () => {
     const one = createAllocator(three())
     reportAnswers(one, PEERS, { from: 0, until: 800 })
     one.allocator.markChanging('d1', 'prefill', 20_000, 810)
-    expect(one.allocator.planMoves('runner', 820)).toMatchObject([{ request: 'at-d1' }])
+    expect(one.allocator.planMigrations('runner', 820)).toMatchObject([{ request: 'at-d1' }])
   })
 
   it('counts what they hold where they go, and moves none that does not fit', () => {
@@ -69,7 +69,7 @@
     one.place(ask('large', { promptTokens: 6_500 }), 410)
     endpoints[0] = engine('d0', 'decode', { state: 'draining' })
     one.allocator.tick(420)
-    const moves = one.allocator.planMoves('runner', 430)
+    const moves = one.allocator.planMigrations('runner', 430)
     expect(moves).toHaveLength(one.decodeOf('large') === 'd1' ? 0 : 1)
     one.place(ask('next', { promptTokens: 6_500 }), 440)
     expect(one.decodeOf('next')).toBeUndefined()
@@ -78,10 +78,10 @@
   it('learns no pace from the time in which an answer moved, and takes it back where it stays', () => {
     const one = createAllocator(three())
     reportAnswers(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
-    const [move] = one.allocator.planMoves('runner', 1_210)
+    const [move] = one.allocator.planMigrations('runner', 1_210)
     // It goes on being reported where it was: the move has failed.
     reportAnswers(one, { ...PEERS, d0: 25 }, { from: 1_600, until: 4_800 })
-    expect(one.allocator.planMoves('runner', 4_810)).toMatchObject([{ request: move!.request }])
+    expect(one.allocator.planMigrations('runner', 4_810)).toMatchObject([{ request: move!.request }])
     const views = ['d1', 'd2'].map((id) =>
       one.allocator.summarize(ask('x'), 4_810).slow.some((s) => s.endpoint === id),
     )
@@ -105,7 +105,7 @@
       one.allocator.applyReport('e1', peers(now), now)
       one.allocator.applyReport('runner', [report('d0', now, now / 25)], now)
     }
-    const [move] = one.allocator.planMoves('runner', 2_010)
+    const [move] = one.allocator.planMigrations('runner', 2_010)
     // From here on it makes a token each 4 ms at its new engine, as its peers do.
     for (const now of [2_400, 2_800]) {
       one.allocator.applyReport('e1', peers(now), now)
--- a/placement/allocator/test/placementQueue.test.ts
+++ b/placement/allocator/test/placementQueue.test.ts
@@ -8,7 +8,7 @@
   const waiting = new PlacementQueue((one, now) => one.ask.targetMs - (now - one.since), 'returns-last')
   for (let at = -2_000; at <= 0; at += endsEveryMs) waiting.recordEnd('s', at)
   for (const request of names)
-    waiting.add({ ask: ask(request), since: 0, isAdmitted: false, resolve: () => undefined })
+    waiting.add({ ask: ask(request), since: 0, hasProspect: false, resolve: () => undefined })
   return waiting
 }
 
@@ -38,10 +38,10 @@
       waiting.add({
         ask: ask(request, { service: 'other' }),
         since: 0,
-        isAdmitted: false,
+        hasProspect: false,
         resolve: () => undefined,
       })
-    waiting.add({ ask: ask('a'), since: 10, isAdmitted: false, resolve: () => undefined })
+    waiting.add({ ask: ask('a'), since: 10, hasProspect: false, resolve: () => undefined })
     const sent = waiting.removeHopeless(170).map((one) => one.ask.request)
     expect(sent).not.toContain('a')
     expect(sent).toContain('x')
@@ -50,7 +50,7 @@
   it('lets those go first of their like whose sending failed: their prompt has most likely been read', () => {
     const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
-      waiting.add({ ask: ask(request, fields), since, isAdmitted: false, resolve: () => undefined })
+      waiting.add({ ask: ask(request, fields), since, hasProspect: false, resolve: () => undefined })
     add('late', { targetMs: -100 }, 0)
     add('new', {}, 1)
     add('back', { isReturn: true }, 2)
@@ -63,7 +63,7 @@
   it('lets those go first whose answer has begun, also late ones: nobody else can end it', () => {
     const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
-      waiting.add({ ask: ask(request, fields), since, isAdmitted: false, resolve: () => undefined })
+      waiting.add({ ask: ask(request, fields), since, hasProspect: false, resolve: () => undefined })
     add('new', {}, 0)
     add('read', { isPrefilled: true }, 1)
     add('begun', { targetMs: -4_000, promptMs: 0, isBegun: true }, 2)
--- a/placement/allocator/test/prefixCache.test.ts
+++ b/placement/allocator/test/prefixCache.test.ts
@@ -182,12 +182,14 @@
   let now = 0
   let inTime = 0
   const start = (asked: PlaceAsk, text: string, askedAt: number, { prefill, decode }: Placed) => {
-    const reader = prefill ?? decode
+    const prefillEngine = prefill ?? decode
     const msPerToken = prefill === undefined ? 1 / 20 : 1 / 40
-    const tokens = keeps.get(reader)!.has(text) ? 0 : 2_000 + (keeps.get(reader)!.size > 0 ? 0 : 1_000)
-    const readAt = Math.max(now, freeAt.get(reader)!) + tokens * msPerToken
-    freeAt.set(reader, readAt)
-    keeps.get(reader)!.add(text)
+    const tokens = keeps.get(prefillEngine)!.has(text)
+      ? 0
+      : 2_000 + (keeps.get(prefillEngine)!.size > 0 ? 0 : 1_000)
+    const readAt = Math.max(now, freeAt.get(prefillEngine)!) + tokens * msPerToken
+    freeAt.set(prefillEngine, readAt)
+    keeps.get(prefillEngine)!.add(text)
     keeps.get(decode)!.add(text)
     if (readAt + 60 - askedAt <= asked.targetMs) inTime += 1
     const tookMs = readAt - now
--- a/placement/allocator/test/regions.test.ts
+++ b/placement/allocator/test/regions.test.ts
@@ -109,7 +109,7 @@
                 [{ ...reported, ageMs: 500, decodingForMs: 400, madeTokens: 20 }],
                 now,
               )
-              for (const move of allocator.planMoves('e1', now)) {
+              for (const move of allocator.planMigrations('e1', now)) {
                 moved += 1
                 expectInRegions(move.request, move.to)
               }
--- a/placement/allocator/test/slowEngines.test.ts
+++ b/placement/allocator/test/slowEngines.test.ts
@@ -104,13 +104,13 @@
   it('sends prompts past a reader that takes longer than its peers', () => {
     const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
-    const readerOf = (name: string) => (one.decisions.get(name) as { prefill?: string }).prefill
+    const prefillOf = (name: string) => (one.decisions.get(name) as { prefill?: string }).prefill
     one.place(ask('first', { promptTokens: 2_000 }), 9_000)
-    const slow = readerOf('first')
+    const slow = prefillOf('first')
     one.allocator.recordPrefilled('first', 'ok', 500, 9_500)
     for (const name of ['next', 'after']) one.place(ask(name, { promptTokens: 2_000 }), 9_600)
-    expect(readerOf('next')).toMatch(/^p/)
-    expect(['next', 'after'].map(readerOf)).not.toContain(slow)
+    expect(prefillOf('next')).toMatch(/^p/)
+    expect(['next', 'after'].map(prefillOf)).not.toContain(slow)
   })
 
   it('lets nothing wait behind a prompt that is late already', () => {
@@ -119,8 +119,8 @@
     one.place(ask('stuck', { promptTokens: 2_000 }), 10_000)
     const stuck = one.decisions.get('stuck') as { prefill?: string }
     for (const name of ['a', 'b', 'c']) one.place(ask(name, { promptTokens: 500 }), 10_400)
-    const readers = ['a', 'b', 'c'].map((name) => (one.decisions.get(name) as { prefill?: string }).prefill)
-    expect(readers).not.toContain(stuck.prefill)
+    const prefills = ['a', 'b', 'c'].map((name) => (one.decisions.get(name) as { prefill?: string }).prefill)
+    expect(prefills).not.toContain(stuck.prefill)
   })
 
   it('lets a decode engine read where the only reader is slow and would be later', () => {
--- a/tools/bench/src/memoryRun.ts
+++ b/tools/bench/src/memoryRun.ts
@@ -157,7 +157,7 @@
     }))
     this.allocator.applyReport(ENTRY, holds, this.now)
     if (this.variant.withoutMoves === true) return
-    for (const { request, to } of this.allocator.planMoves(ENTRY, this.now)) this.move(request, to)
+    for (const { request, to } of this.allocator.planMigrations(ENTRY, this.now)) this.move(request, to)
   }
 
   private move(request: string, to: string): void {
