--- a/placement/allocator/src/allocator.ts
+++ b/placement/allocator/src/allocator.ts
@@ -19,7 +19,7 @@
 import { StagePlanner } from './stagePlanner'
 import { PlacementQueue, type WaitingRequest, type QueueOrder } from './placementQueue'
 
-/** What engines and callers have shown so far; it outlives a term, in which places are counted anew. */
+/** Models learned from engines and callers. They outlive a term; holds are counted anew in each term. */
 export interface LearnedModels {
   pace: EnginePace
   forecast: LengthForecast
@@ -28,32 +28,32 @@
 /** Options of {@link Allocator}. */
 export interface AllocatorOptions {
   endpoints: () => RegisteredEndpoint[]
-  /** What the engines of a service hold; undefined for a service that is not known. */
+  /** Returns the capacity of a service's engines; undefined if the service is unknown. */
   engine: (service: string) => EnginePool | undefined
-  /** Which region each failure domain belongs to; no region is known where left out. */
+  /** Region of each failure domain; without it no region is known. */
   topology?: Topology
-  /** Whether an instance must get nothing now, though it is registered; none where left out. */
+  /** Whether a registered instance must get no work now; by default none is barred. */
   isBarred?: (endpoint: RegisteredEndpoint) => boolean
-  /** Called when an instance is out for a while. */
+  /** Called when an instance is ejected for some time. */
   onEjected?: (id: InstanceId, outcome: UseOutcome, forMs: Millis) => void
   tuning?: Partial<AllocatorTuning>
-  /** What was learned before; nothing where left out. */
+  /** Models learned in earlier terms; empty by default. */
   learned?: LearnedModels
-  /** Which engines are cold and what they bear; none is where left out. */
+  /** Which engines are cold and how many requests they may get; by default none is cold. */
   cold?: ColdPolicy
-  /** Which engines name the rate that they take; none where left out. */
+  /** Which engines name a rate limit; by default none does. */
   limits?: LimitPolicy
 }
 
-/** What may be set for an experiment. */
+/** Parameters that experiments may override. */
 export interface AllocatorTuning {
-  /** How sure an answer's length forecast must be, from 0 to 1. */
+  /** Probability, from 0 to 1, with which an answer must stay within its forecast length. */
   lengthCertainty: number
   /** The share of an engine's memory that forecasts may fill. */
   memoryShare: number
-  /** The share that late requests may fill, so that those still in time find room. */
+  /** The share that late requests may fill, which leaves memory for requests that can still be in time. */
   lateMemoryShare: number
-  /** Which go first: callers that came back, or those that come first; or by age alone. */
+  /** Which waiting requests go first: retries, new ones, or the oldest. */
   order: QueueOrder
 }
 
@@ -65,13 +65,13 @@
 }
 
 const NO_ENGINE_RETRY_MS = 700
-/** Why a request is refused where every decode engine of its service must get nothing. */
+/** Refusal reason if every decode engine of the service is barred. */
 const EVACUATED_REASON = 'evacuated'
-/** In time waiting requests for each decode engine; more would wait in vain. */
+/** Waiting requests per decode engine that can be in time; any more could not be placed in time. */
 const MAX_WAITING_PER_ENGINE = 4
 /**
- * Decides for all entries where model requests go. Knows what every running answer holds and forecasts what
- * it will come to hold; places a request only where the peak to come fits, and holds it a while otherwise.
+ * Places the model requests of all entries. Tracks the memory that running answers hold and forecasts its growth;
+ * places a request only if the forecast peak fits, and queues it for a while otherwise.
  */
 export class Allocator {
   private readonly holds: HoldRegistry
@@ -133,7 +133,7 @@
     return this.holds.size
   }
 
-  /** Asks for a place; the answer comes at once or when there is room, at the latest after the hold time. */
+  /** Requests a placement. `resolve` gets the decision at once or later, at the latest after the hold time. */
   ask(ask: PlaceAsk, now: Millis, resolve: (decision: PlaceDecision) => void): void {
     if (!ask.isReturn && !ask.isPrefilled && ask.isBegun !== true)
       this.stages.recordDemand(ask.service, ask.promptTokens, this.holds.forecastTokenSteps(ask), now)
@@ -143,18 +143,18 @@
     this.placeWaiting(now)
   }
 
-  /** Gives up waiting; a place that was given meanwhile is free again. */
+  /** Removes a request from the queue; a placement made meanwhile is released. */
   withdraw(request: string, now: Millis): void {
     this.queue.removeWhere((one) => one.ask.request === request)
     this.release(request, 'cancelled', 0, now)
   }
 
-  /** The prompt has been read; decoding begins. */
+  /** Records that the prefill step of a request has ended. */
   recordPrefilled(request: string, outcome: UseOutcome, tookMs: Millis, now: Millis): void {
     const hold = this.holds.get(request)
     if (hold === undefined) return
     const isRead = outcome === 'ok'
-    // Without a sending that is left the decode engine reads it; otherwise the entry asks for another place.
+    // The entry has no attempt left, so the decode engine prefills; for other outcomes the entry asks again.
     const isLocal = outcome === 'cancelled'
     this.holds.recordDecoding(hold, isRead ? now : now + this.choice.localPrefillMs(hold.ask, now), isLocal)
     if (hold.prefill === undefined) return
@@ -166,11 +166,11 @@
   }
 
   /**
-   * Notes how a use of an instance ended or goes, apart from any hold.
-   * @param tookMs how long the use took, or has taken so far.
+   * Records how a use of an instance ended or progresses, independent of any hold.
+   * @param tookMs duration of the use so far, in milliseconds.
    */
   recordUse(id: InstanceId, outcome: UseOutcome, now: Millis, tookMs: Millis = 0): void {
-    // One that is cold is slow for a while, and no less well for that.
+    // A cold engine is slow for a while without being unhealthy.
     if (outcome === 'silent' && this.budgets.isCold(id, now - tookMs)) return
     const forMs = this.health.record(id, outcome, now, tookMs)
     this.choice.cache.recordUse(id, outcome)
@@ -178,14 +178,15 @@
     if (forMs > 0) this.options.onEjected?.(id, outcome, forMs)
   }
 
-  /** Answers of an entry that should go on at another engine from now on; what they hold counts there. */
+  /** Plans migrations of an entry's running answers; their memory counts at the new engines from now on. */
   planMigrations(entry: string, now: Millis): AnswerMove[] {
     return this.moves.plan(this.holds.runningOf(entry), now)
   }
 
   /**
-   * The request has ended at its decode engine, having made some tokens there.
-   * @param at the engine where it ended, which is another than it was placed at where it was moved.
+   * Releases the hold of a request whose answer has ended.
+   * @param madeTokens tokens that were generated.
+   * @param at the engine where the answer ended, which differs from the hold's engine if the answer has migrated.
    */
   release(request: string, outcome: UseOutcome, madeTokens: number, now: Millis, at?: InstanceId): void {
     const hold = this.holds.get(request)
@@ -195,25 +196,25 @@
     if (!isQueueDelay(hold, outcome)) this.recordUse(at ?? hold.decode, outcome, now)
     if (madeTokens > 0) this.choice.cache.recordDecode(hold.ask, at ?? hold.decode)
     this.queue.recordEnd(hold.ask.service, now)
-    // What a moved answer made since it was last heard of may have been made at two engines.
+    // Tokens of a migrated answer since its last report may come from two engines.
     if (outcome === 'ok' && madeTokens > 0 && hold.leaves === undefined)
       this.holds.learnAnswer(hold, madeTokens, now)
     this.placeWaiting(now)
   }
 
-  /** Takes what an entry says it holds: adopts what is not known here, drops what it no longer names. */
+  /** Applies an entry's report: adopts holds that are unknown here, removes those that it no longer names. */
   applyReport(entry: string, reported: ReportedHold[], now: Millis): void {
     this.choice.cache.applyReport(reported)
     for (const id of this.holds.applyReport(entry, reported, now)) this.health.recordProgress(id, now)
   }
 
-  /** Drops what an entry held that is gone. */
+  /** Removes the holds and the waiting requests of an entry that is gone. */
   removeEntry(entry: string): void {
     this.holds.removeEntry(entry)
     this.queue.removeWhere((one) => one.ask.entry === entry)
   }
 
-  /** Places what fits by now and refuses what has no hope or has waited too long. Called again and again. */
+  /** Periodically places waiting requests that fit, and refuses those without prospect or past their hold time. */
   tick(now: Millis): void {
     const endpoints = this.options.endpoints()
     const known = new Set(endpoints.map((endpoint) => endpoint.id))
@@ -236,34 +237,34 @@
     for (const { ask, resolve } of overdue) resolve(this.refuse('no room in time', ask, now))
   }
 
-  /** What a service's callers keep busy, in engines that are well; undefined where that is not known yet. */
+  /** Returns the demand on a service, in healthy engines per stage; undefined until enough has been observed. */
   needOf(service: string, now: Millis): StageNeed | undefined {
     return this.stages.needOf(service, now)
   }
 
-  /** The engine of a service that should change its part now, where one should. */
+  /** Returns the stage change that a service should make now; undefined if none. */
   planStage(service: string, now: Millis): StageChange | undefined {
     return this.stages.plan(service, now)
   }
 
-  /** Gives an engine no work while it changes its part. */
+  /** Gives an engine no work while it changes its stage. */
   markChanging(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
     this.orders.markChanging(id, to, forMs, now)
     this.choice.cache.forget(id)
     this.choice.refresh()
   }
 
-  /** Lets an engine work on, without another order, while it is not known what becomes of the last one. */
+  /** Keeps an engine in use, without another order, while the result of its last order is unknown. */
   markOrdered(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
     this.orders.markOrdered(id, to, forMs, now)
   }
 
-  /** What is believed of the engines that a request could use. */
+  /** Summarizes the engines that a request could use, for the log. */
   summarize(ask: PlaceAsk, now: Millis): EngineSummary {
     return this.choice.summarize(ask, now)
   }
 
-  /** An engine has started anew: what it kept of prompts is gone. */
+  /** Clears the prefix cache entries of an engine that has restarted. */
   clearPrefixCache(id: InstanceId): void {
     this.choice.cache.forget(id)
   }
@@ -301,7 +302,7 @@
     }
   }
 
-  /** How long a request may still wait so that its first event is there in time. */
+  /** Returns how long a request may still wait for its first event to be in time, in milliseconds; negative if late. */
   private slackOf({ ask, since }: WaitingRequest, now: Millis): Millis {
     const { pace } = this.learned
     const prefillMs = ask.isPrefilled ? 0 : pace.prefillMs(ask.promptTokens) + pace.prefillLatencyMs()
--- a/placement/allocator/src/allocatorService.ts
+++ b/placement/allocator/src/allocatorService.ts
@@ -25,7 +25,7 @@
 import type { StageChange } from './planStages'
 import { readPlaceAsk, readPlaceReport, type PlaceReport } from './readPlaceCalls'
 
-/** The methods that entries call at the machine that places. */
+/** Methods that entries call on the leader, which places requests. */
 export const PLACE = {
   ask: 'place.ask',
   withdraw: 'place.withdraw',
@@ -35,12 +35,17 @@
   report: 'place.report',
 } as const
 
-/** Raised where this machine does not place at the moment. */
+/** Thrown if this machine does not place requests at the moment. */
 export class NotPlacingError extends ForkstageError {
   constructor() {
-    super('FORKSTAGE_NOT_PLACING', 'This machine does not lead, so it places nothing.', 'Ask the leader.', {
-      step: 'place',
-    })
+    super(
+      'FORKSTAGE_NOT_PLACING',
+      'This machine is not the leader, so it places no requests.',
+      'Ask the leader.',
+      {
+        step: 'place',
+      },
+    )
   }
 }
 
@@ -50,29 +55,29 @@
   logger: Logger
   endpoints: () => RegisteredEndpoint[]
   engine: (service: string) => EnginePool | undefined
-  /** Whether an instance must get nothing now, though it is registered. */
+  /** Whether a registered instance must get no work now. */
   isBarred?: (endpoint: RegisteredEndpoint) => boolean
-  /** Whether this machine leads; only then it places. */
+  /** Whether this machine is the leader; only the leader places requests. */
   isLeader: () => boolean
-  /** Which term it leads in: a new one begins with what the entries report. */
+  /** The leader's term; a new term starts from what the entries report. */
   term: () => number
-  /** Which region each failure domain belongs to; no region is known where left out. */
+  /** Region of each failure domain; without it no region is known. */
   topology?: Topology
-  /** How many entries place through this machine, as far as it has counted them. */
+  /** Number of entries that place requests through this machine, as far as known. */
   entries: () => number
-  /** Which engines are cold and what they bear; none is where left out. */
+  /** Which engines are cold and how many requests they may get; by default none is cold. */
   cold?: ColdPolicy
-  /** Which engines name the rate that they take; none does where left out. */
+  /** Which engines name a rate limit; by default none does. */
   limits?: LimitPolicy
 }
 
 const TICK_MS = 25
-/** A new leader places once every entry has reported what runs, or after this time: an entry may be down. */
+/** A new leader places once all entries have reported, or after this time, since an entry may be down. */
 const REPORT_WAIT_MS = 300
 const REPORT_POLL_MS = 10
 const ENTRY_GONE_MS = 4_000
 
-/** Places for all entries while this machine leads; starts anew with what they report when it becomes leader. */
+/** Places requests for all entries while this machine leads; rebuilds its state from their reports in each term. */
 export class AllocatorService {
   private allocator: Allocator
   private readonly learned: LearnedModels = {
@@ -87,7 +92,7 @@
   private readonly lastHeardAt = new Map<string, Millis>()
   /** Entries that have reported in this term. */
   private readonly reportedEntries = new Set<string>()
-  /** Requests that wait for a decision of this machine, with what tells them that it places no more. */
+  /** Requests that wait for a decision, with the callback that rejects them when this machine stops placing. */
   private readonly pending = new Map<string, (error: Error) => void>()
   private cancelTick: CancelTimer = () => undefined
 
@@ -122,28 +127,28 @@
     }
   }
 
-  /** The engine of a service that should change its part, while this machine may say so. */
+  /** Returns the stage change that a service should make; undefined if none, or if this machine may not place. */
   planStage(service: string): StageChange | undefined {
     return this.mayPlace() ? this.allocator.planStage(service, this.options.clock.now()) : undefined
   }
 
-  /** Notes how a use of an engine ended that belongs to no request. */
+  /** Records the outcome of a use of an engine that belongs to no request. */
   recordUse(id: InstanceId, outcome: UseOutcome): void {
     this.allocator.recordUse(id, outcome, this.options.clock.now())
   }
 
-  /** An engine has turned cold: it has started anew, so what it showed before says nothing of it. */
+  /** Forgets what was learned about an engine that turned cold: it has restarted. */
   forgetEngine(id: InstanceId): void {
     this.learned.pace.forget(id)
     this.allocator.clearPrefixCache(id)
   }
 
-  /** Gives an engine no work while it changes its part. */
+  /** Gives an engine no work while it changes its stage. */
   markChanging(id: InstanceId, to: Stage, forMs: Millis): void {
     this.allocator.markChanging(id, to, forMs, this.options.clock.now())
   }
 
-  /** Lets an engine work on, without another order, while it is not known what becomes of the last one. */
+  /** Keeps an engine in use, without another order, while the result of its last order is unknown. */
   markOrdered(id: InstanceId, to: Stage, forMs: Millis): void {
     this.allocator.markOrdered(id, to, forMs, this.options.clock.now())
   }
@@ -172,7 +177,7 @@
     return decision.type === 'placed' ? addWait(decision, askedAt - arrivedAt) : decision
   }
 
-  /** A new leader lets requests wait while it hears what runs. */
+  /** Delays requests at a new leader until entries have reported what runs. */
   private async waitForReports(): Promise<void> {
     const { clock, isLeader } = this.options
     while (isLeader() && !this.hasReports()) await delay(clock, REPORT_POLL_MS)
@@ -196,7 +201,7 @@
     })
   }
 
-  /** Tells those that wait that another machine places now, or none. */
+  /** Rejects the waiting requests: this machine no longer places. */
   private rejectPending(): void {
     const rejects = [...this.pending.values()]
     this.pending.clear()
@@ -210,7 +215,7 @@
 
   private applyReport({ entry, holds, malformed }: PlaceReport): ReportAnswer {
     this.renewTerm()
-    const reason = `${malformed} of its rows are no places`
+    const reason = `${malformed} rows of the report are malformed`
     if (malformed > 0) this.options.logger.warn('place.report-refused', { entry, request: '', reason })
     const now = this.options.clock.now()
     this.lastHeardAt.set(entry, now)
@@ -226,7 +231,7 @@
     return { moves }
   }
 
-  /** Of what cannot be only the place itself is taken: it goes on being held, and says nothing of its engine. */
+  /** Reduces an implausible report to the hold itself: the hold is kept, but nothing is learned from the report. */
   private sanitize(entry: string, hold: ReportedHold): ReportedHold {
     const reason = checkReport(hold)
     if (reason === undefined) return hold
@@ -252,7 +257,7 @@
     return this.options.isLeader() && this.hasReports()
   }
 
-  /** What was known in an earlier term is out of date: whoever led meanwhile has placed since. */
+  /** Discards the state of an earlier term: another leader may have placed requests since. */
   private renewTerm(): void {
     const { term, clock } = this.options
     if (term() === this.term) return
@@ -310,7 +315,7 @@
       waitedMs: Math.round(waitedMs),
       holds: allocator.holdCount,
       waiting: allocator.waitingCount,
-      // As the engines stand right after the decision.
+      // State of the engines right after the decision.
       engines: allocator.summarize(ask, this.options.clock.now()),
       memory: this.options.engine(ask.service)?.kvTokens ?? 0,
       term: this.term,
@@ -318,7 +323,7 @@
   }
 }
 
-/** Entries count a grant's time from when they asked: what a new leader listens is waiting too. */
+/** Adds the wait for reports to a grant, whose time entries count from their call. */
 function addWait(placed: Placed, ms: Millis): Placed {
   const later = (grant: StepGrant | undefined) => grant && { ...grant, waitedMs: grant.waitedMs + ms }
   return { ...placed, cold: later(placed.cold), limited: later(placed.limited) }
--- a/placement/allocator/src/allocatorTypes.ts
+++ b/placement/allocator/src/allocatorTypes.ts
@@ -2,138 +2,141 @@
 import type { Homes } from '@forkstage/topology'
 import type { FailureDomain, Millis } from '@forkstage/types'
 
-/** A part of a prompt, which an engine that has read it may keep. */
+/** A part of a prompt. An engine that has prefilled a part may keep it in its prefix cache. */
 export interface PromptPart {
-  /** Names the part's content: the same id is the same text. */
+  /** Identifies the content of the part: equal ids mean equal text. */
   id: string
   tokens: number
 }
 
-/** A model request that wants a place. */
+/** A request to place one model request on engines. */
 export interface PlaceAsk {
   request: string
-  /** The entry that relays it. */
+  /** The entry that relays the request. */
   entry: string
-  /** The failure domain of that entry; absent where the entry does not tell it. */
+  /** The failure domain of that entry; absent if the entry does not report one. */
   entryDomain?: FailureDomain
   service: string
-  /** Requests of one class have answers of like length. */
+  /** Class for length forecasts: requests of one class have answers of similar length. */
   className: string
   promptTokens: number
   mostTokens: number
   hintTokens?: number
-  /** Rank of its route; 0 is the most urgent. */
+  /** Priority of its route; 0 is the most urgent. */
   priority: number
-  /** Time left until its first event should be there; below 0 for one that is late already. */
+  /** Time left until the first event is due; negative for a request that is already late. */
   targetMs: Millis
-  /** Whether its caller has come back after a refusal or a failure. */
+  /** Whether the caller retries after a refusal or a failure. */
   isReturn: boolean
-  /** By when it should hear that no place is in sight; 0 or less where it is too late for that. */
+  /** Time within which a request without a placement in sight is refused; 0 or less if it is too late for that. */
   promptMs: Millis
-  /** The longest it may be held for a place. */
+  /** The longest time that the request may wait for a placement. */
   holdMs: Millis
-  /** Time left until its caller gives up. */
+  /** Time left until the caller gives up. */
   leftMs: Millis
-  /** Time left until its caller gives up a stream that stays silent; absent where it waits on. */
+  /** Time left until the caller gives up on a silent stream; absent if the caller sets no such limit. */
   patienceMs?: Millis
-  /** The longest pause between events that still counts as in time; absent where none is set. */
+  /** The longest pause between events that still counts as in time; absent if no limit is set. */
   pauseMs?: Millis
   except: InstanceId[]
-  /** Engines that want nothing from its entry now, whatever is believed of them here; absent where there are none. */
+  /** Engines that accept nothing from this entry now, whatever their state here; absent if there are none. */
   avoid?: InstanceId[]
   isPrefilled: boolean
-  /** Whether its caller has a part of its answer, which goes on where it gets a place. */
+  /** Whether the caller already has a part of the answer, which continues at the new placement. */
   isBegun?: boolean
-  /** The regions that it may be served in; absent where any will do. Empty where none will. */
+  /** Regions that may serve the request; absent if any may. An empty list allows none. */
   regions?: Homes
-  /** The parts of its prompt in order; absent where its caller named none. */
+  /** The parts of the prompt in order; absent if the caller named none. */
   parts?: PromptPart[]
 }
 
-/** Where a request goes. */
+/** The engines on which a request was placed. */
 export interface Placed {
   type: 'placed'
-  /** Absent where the decode engine reads the prompt itself. */
+  /** Absent if the decode engine prefills the prompt itself. */
   prefill?: InstanceId
   decode: InstanceId
-  /** How long the prefill step is expected to take, what waits before it included, in milliseconds. */
+  /** Expected duration of the prefill step, including its time in the queue, in milliseconds. */
   readsInMs?: Millis
   /**
-   * After how long the prefill step should be given up, so that another engine can still read the prompt in time;
-   * absent where that is not possible anyway.
+   * Time after which to abandon the prefill step, in milliseconds, so that another engine can still prefill the
+   * prompt in time; absent if that is not possible.
    */
   readElsewhereInMs?: Millis
-  /** Tokens of its prompt that need not be read, as is believed; absent where there are none. */
+  /** Prompt tokens that are believed to be cached and need no prefill; absent if there are none. */
   keptTokens?: number
-  /** Present where an engine is cold: such a step was counted and may leave until then only. */
+  /** Present if an engine is cold: its step counts against a budget and may be sent only within the granted time. */
   cold?: StepGrant
-  /** Present where an engine names the rate that it takes: such a step was counted and may leave until then only. */
+  /**
+   * Present if an engine names a rate limit: its step counts against the limit and may be sent only within the
+   * granted time.
+   */
   limited?: StepGrant
 }
 
-/** Within how long of the decision steps that were counted leave. Clocks need not agree. */
+/** How soon after the decision counted steps must be sent. Durations, since clocks may differ. */
 export interface StepGrant {
-  /** How long the request had waited at whoever decided, so that its entry knows when that was at the earliest. */
+  /** How long the request had waited at the allocator: tells its entry the earliest time of the decision. */
   waitedMs: Millis
-  /** Absent where nothing binds the engine or there is no such step. */
+  /** Absent if the engine has neither budget nor limit, or if there is no such step. */
   prefillMs?: Millis
   decodeMs?: Millis
 }
 
-/** Why a request gets no place, and when to come back. */
+/** Why a request was not placed, and when its caller should retry. */
 export interface Refused {
   type: 'refused'
   reason: string
   retryAfterMs: Millis
 }
 
-/** What becomes of a request that asked. */
+/** The result of a placement request. */
 export type PlaceDecision = Placed | Refused
 
-/** A place that is taken. */
+/** A placement in force, which holds memory on its engines. */
 export interface Hold {
   ask: PlaceAsk
   prefill?: InstanceId
   decode: InstanceId
   placedAt: Millis
-  /** Whether its prompt is read without waiting for another, so that the time it takes tells the pace. */
+  /** Whether the prompt is prefilled without waiting for another, so that the duration shows the engine's pace. */
   isReadAlone?: boolean
-  /** Tokens of its prompt that have to be read where it is read, as is believed; absent where that is all of them. */
+  /** Prompt tokens that are believed not to be cached where the prompt is prefilled; absent if none are cached. */
   readTokens?: number
-  /** When decoding began, or will begin where the decode engine reads; absent while a prefill engine reads. */
+  /** When decoding began, or will begin after a local prefill; absent while a prefill engine has the prompt. */
   decodingAt?: Millis
-  /** Tokens made so far, as the entry said last: when that was heard, and how long decoding had gone on by its clock. */
+  /** Tokens generated as of the last report: when it arrived, and how long decoding had run by the entry's clock. */
   made?: { tokens: number; at: Millis; forMs: Millis }
-  /** Whether another one placed it, with another view of what waits at engines. */
+  /** Whether another allocator placed the request, with its own view of the engines' queues. */
   isAdopted?: boolean
-  /** The engine that it is to leave for `decode`, until its entry reports it there. */
+  /** The engine that the answer leaves for `decode`; absent once its entry reports the answer there. */
   leaves?: { from: InstanceId; since: Millis }
 }
 
-/** A running answer that should go on at another engine. */
+/** A running answer that should continue on another engine. */
 export interface AnswerMove {
   request: string
   to: InstanceId
 }
 
-/** What the leader answers to a report. */
+/** The leader's response to a report. */
 export interface ReportAnswer {
   moves: AnswerMove[]
 }
 
-/** A place as an entry reports it, with times as ages so that clocks need not agree. */
+/** A hold as an entry reports it. Times are sent as ages, since clocks may differ. */
 export interface ReportedHold {
   ask: PlaceAsk
   prefill?: InstanceId
   decode: InstanceId
   ageMs: Millis
   decodingForMs?: Millis
-  /** Tokens made so far; absent before the first. */
+  /** Tokens generated so far; absent before the first. */
   madeTokens?: number
 }
 
 /**
- * How the use of an instance ended. `silent`: it was given up here for want of an answer in time, which may as well
- * be the fault of a queue that was built here.
+ * How the use of an instance ended. `silent`: the entry gave up because no answer came in time, which a queue of our
+ * own requests may also have caused.
  */
 export type UseOutcome = 'ok' | 'failed' | 'silent' | 'unreachable' | 'other-instance' | 'full' | 'cancelled'
--- a/placement/allocator/src/checkReport.ts
+++ b/placement/allocator/src/checkReport.ts
@@ -1,22 +1,22 @@
 import type { ReportedHold } from './allocatorTypes'
 
-/** An entry's clock and its leader's differ in pace by less than this share, so that no age exceeds another by more. */
+/** The clocks of an entry and its leader differ in rate by less than this factor, so no age exceeds another by more. */
 const MAX_CLOCK_RATIO = 1.01
 
-/** An event holds several tokens, and the last one may be full where the answer is not. */
+/** Factor by which reported tokens may exceed the maximum: an event holds several, and the last one counts as full. */
 const MAX_TOKEN_RATIO = 2
 
-/** Why what an entry says of a running request cannot be; undefined where it can. */
+/** Returns why an entry's report of a hold is implausible; undefined if it is plausible. */
 export function checkReport({ ask, ageMs, decodingForMs, madeTokens }: ReportedHold): string | undefined {
-  if (!isTime(ageMs)) return 'the age of the place is no time that has passed'
+  if (!isTime(ageMs)) return 'the age of the hold is not a valid duration'
   if (decodingForMs !== undefined && !isTime(decodingForMs))
-    return 'the time of decoding is none that has passed'
-  if ((decodingForMs ?? 0) > ageMs * MAX_CLOCK_RATIO + 1) return 'it decodes for longer than it has its place'
+    return 'the decoding time is not a valid duration'
+  if ((decodingForMs ?? 0) > ageMs * MAX_CLOCK_RATIO + 1) return 'decoding began before the placement'
   if (madeTokens === undefined) return undefined
   const isCount = Number.isFinite(madeTokens) && madeTokens >= 0
-  if (!isCount) return 'the tokens made are no count'
+  if (!isCount) return 'the number of generated tokens is not a valid count'
   return madeTokens > ask.mostTokens * MAX_TOKEN_RATIO
-    ? 'it has made more tokens than were asked for'
+    ? 'more tokens were generated than requested'
     : undefined
 }
 
--- a/placement/allocator/src/coldBudget.ts
+++ b/placement/allocator/src/coldBudget.ts
@@ -4,60 +4,65 @@
 
 /** What is known of cold endpoints and their limits. */
 export interface ColdPolicy {
-  /** How much longer than `at` an endpoint is cold; 0 or less where it is warm then or not known. */
+  /**
+   * Returns how long after `at` an endpoint is still cold, in milliseconds; 0 or less if it is warm then or unknown.
+   */
   leftMs: (id: InstanceId, at: Millis) => Millis
   /** Requests that a cold endpoint of a service may get in any second from all entries together. */
   perSecond: (service: string) => number
 }
 
-/** What the decision line says of cold engines. */
+/** Cold engines as logged with a decision. */
 export interface ColdSummary {
-  /** Cold engines, and those of them that get nothing now since their budget is used. */
+  /** Numbers of cold engines, and of those that get no work now because their budget is used up. */
   engines: number
   withheld: number
 }
 
-/** Where no endpoint is ever cold. */
+/** Policy without cold endpoints. */
 const NEVER_COLD: ColdPolicy = { leftMs: () => 0, perSecond: () => Infinity }
 
-/** The bound holds for any span of this length. */
+/** The limit holds in any window of this length. */
 const WINDOW_MS: Millis = 1_000
-/** A step that leaves at once does so within this time of the decision: the way to the entry, and a moment's work there. */
+/**
+ * A step without a prefill before it is sent within this time of the decision: the network delay and some processing
+ * at the entry.
+ */
 export const SEND_WITHIN_MS: Millis = 250
-/** A decode step that follows a reading does so within this time; readings take 100 to 500 ms with their queue. */
+/** A decode step after a prefill is sent within this time; prefills take 100 to 500 ms including their queue. */
 export const SEND_AFTER_PREFILL_MS: Millis = 1_000
-/** The leader's part of what a cold engine may get: beside it stand two new leaders' and that of entries without one. */
+/** The leader's share of a cold engine's limit; the rest is for two new leaders and for entries without a leader. */
 const LEADER_SHARE = 0.5
-/** The part of a leader that does not know yet what its predecessor let go. */
+/** Share of a new leader, which does not know yet what its predecessor has granted. */
 const NEW_LEADER_SHARE = 0.2
-/** What a predecessor allowed has left after its longest time to leave and one window, and the way. */
+/** A predecessor's grants no longer count after the longest time to send, one window and the network delay. */
 const NEW_LEADER_MS: Millis = SEND_AFTER_PREFILL_MS + WINDOW_MS + SEND_WITHIN_MS
 
-/** The engines of a place. */
+/** The engines of a placement. */
 export interface PlacedEngines {
   prefill?: RegisteredEndpoint
   decode: RegisteredEndpoint
 }
 
-/** A step that leaves at some moment of a span. */
+/** A time span within which a step is sent. */
 interface StepWindow {
   from: Millis
   until: Millis
 }
 
 /**
- * Counts at the machine that places what cold engines get from all entries. A step counts in each second into which
- * it could fall, so that no second holds more than the leader's part, whenever within its span a step leaves.
+ * Counts at the leader what cold engines get from all entries. A step counts in each second into which it could fall,
+ * so that no second exceeds the leader's limit, whenever within its span a step is sent.
  */
 export class ColdBudget {
   private readonly steps = new Map<InstanceId, StepWindow[]>()
   private leadingSince: Millis | undefined
-  /** What was worked out for one time: asked for each waiting request. */
+  /** Answers computed for one time, reused for each waiting request. */
   private cachedAnswers: { at: Millis; answers: Map<string, boolean> } = { at: -Infinity, answers: new Map() }
 
   constructor(private readonly policy: ColdPolicy = NEVER_COLD) {}
 
-  /** Notes that this machine places. Called again and again; the first call counts. */
+  /** Records since when this machine has been placing requests. Called periodically; the first call counts. */
   markLeading(now: Millis): void {
     this.leadingSince ??= now
   }
@@ -66,7 +71,7 @@
     return this.policy.leftMs(id, now) > 0
   }
 
-  /** Whether an engine may read a prompt now. */
+  /** Whether an engine may get a prompt to prefill now. */
   mayRead(engine: RegisteredEndpoint, now: Millis): boolean {
     return this.isWithinBudget(engine, SEND_WITHIN_MS, now)
   }
@@ -76,7 +81,7 @@
     return this.isWithinBudget(engine, isPrefilled ? SEND_WITHIN_MS : SEND_AFTER_PREFILL_MS, now)
   }
 
-  /** Counts the steps of a place that go to cold engines; undefined where there are none. */
+  /** Counts the steps of a placement that go to cold engines; returns undefined if none is cold. */
   grant({ prefill, decode }: PlacedEngines, waitedMs: Millis, now: Millis): StepGrant | undefined {
     const decodesInMs = prefill === undefined ? SEND_WITHIN_MS : SEND_AFTER_PREFILL_MS
     const isPrefillCold = prefill !== undefined && this.countStep(prefill, SEND_WITHIN_MS, now)
@@ -89,13 +94,16 @@
     }
   }
 
-  /** Until one of some decode engines may take a request, where all are cold and none may now; else undefined. */
+  /**
+   * Returns the time until one of some decode engines may take a request, in milliseconds; undefined unless all are
+   * cold and at their limit.
+   */
   waitMs(engines: RegisteredEndpoint[], ask: PlaceAsk, now: Millis): Millis | undefined {
     if (engines.length === 0 || engines.some((one) => this.mayDecode(one, ask, now))) return undefined
     return Math.min(...engines.map((one) => this.availableInMs(one, now)))
   }
 
-  /** Whether a step that leaves within a time from now may go to an engine; one that is warm may always. */
+  /** Whether a step that is sent within a time from now may go to an engine; always true for a warm engine. */
   private isWithinBudget({ id, service }: RegisteredEndpoint, withinMs: Millis, now: Millis): boolean {
     if (!this.isCold(id, now)) return true
     if (this.cachedAnswers.at !== now) this.cachedAnswers = { at: now, answers: new Map() }
@@ -108,7 +116,7 @@
     return answer
   }
 
-  /** Counts a step; says whether its engine is cold, so that it needs to leave within the time. */
+  /** Counts a step; returns whether its engine is cold, so that the step must be sent in time. */
   private countStep({ id }: RegisteredEndpoint, withinMs: Millis, now: Millis): boolean {
     if (!this.isCold(id, now)) return false
     this.cachedAnswers.at = -Infinity
@@ -116,7 +124,7 @@
     return true
   }
 
-  /** Until an engine that may take nothing now may take something, in milliseconds. */
+  /** Returns the time until an engine at its limit may take a step again, in milliseconds. */
   private availableInMs({ id, service }: RegisteredEndpoint, now: Millis): Millis {
     const warmInMs = this.policy.leftMs(id, now)
     if (this.leaderLimit(service, now) < 1) return warmInMs
@@ -136,7 +144,7 @@
     for (const id of this.steps.keys()) if (!ids.has(id)) this.steps.delete(id)
   }
 
-  /** Requests that this machine may let an engine of a service have in any second. */
+  /** Returns how many requests this machine may send to a cold engine of a service in any second. */
   private leaderLimit(service: string, now: Millis): number {
     const isNew = this.leadingSince === undefined || now - this.leadingSince < NEW_LEADER_MS
     return Math.floor(this.policy.perSecond(service) * (isNew ? NEW_LEADER_SHARE : LEADER_SHARE))
@@ -146,7 +154,7 @@
     return (this.steps.get(id) ?? []).filter(({ until }) => until + WINDOW_MS > now)
   }
 
-  /** The most steps that may fall into one second together with a new one. */
+  /** Returns the largest number of counted steps that may fall into one second together with a new one. */
   private mostInSecond(id: InstanceId, step: StepWindow): number {
     // A step falls into the seconds that begin in this span.
     const spans = this.stepsOf(id, step.from).map(({ from, until }) => ({ from: from - WINDOW_MS, until }))
--- a/placement/allocator/src/distanceCost.ts
+++ b/placement/allocator/src/distanceCost.ts
@@ -2,28 +2,33 @@
 import type { Distance } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 
-/** What a distance costs beyond work in one failure domain. */
+/** Costs of a distance, compared with work in one failure domain. */
 interface DistanceCost {
-  /** One way over the network, in milliseconds. */
+  /** One-way network delay, in milliseconds. */
   hopMs: Millis
-  /** How many times longer a copy of memory takes (the engines' protocol says so). */
+  /** Factor by which a copy of memory takes longer, as the engines' protocol states. */
   copyFactor: number
-  /** What a copy of a prompt's memory is worth avoiding beside its time, as a share of the time to read the prompt. */
+  /** Cost of a copy of a prompt's memory beyond its duration, as a share of the prompt's prefill time. */
   copyShare: number
-  /** What an answer made that far from its caller's entry is worth avoiding, as a share of an engine's memory. */
+  /** Cost of generating an answer this far from the caller's entry, as a share of an engine's memory. */
   answerShare: number
-  /** The same for one made that far from where its prompt is read, or from the engine that it leaves. */
+  /**
+   * Cost of generating an answer this far from its prefill engine, or from the engine that it leaves, as a share of
+   * an engine's memory.
+   */
   memoryShare: number
 }
 
 /**
- * Hops: as operators state their links, 0.2 ms within a failure domain, 0.5 to 1.4 ms between two of a region, 8 ms between
- * regions. `copyShare`: 30 of 95 ms between domains, as tuned before regions were known, of which the copy itself takes 1 to
- * 2 ms: the rest is its price; copies between regions are priced up to one and a half times as high as those between
- * domains. `answerShare`: a prompt of 5,200 tokens is 0.07 of an engine
- * that holds 73,000, so that a second answer goes to an engine nearby before an empty one of another region, and a third does
- * not. `memoryShare`: above it, since that prompt's memory is 96 MB and more and the events of its answer are some kilobytes;
- * so an empty engine near the reader goes before one near the caller. Both 0 within a region.
+ * `hopMs`: operators state 0.2 ms within a failure domain, 0.5 to 1.4 ms between two of a region, 8 ms between
+ * regions.
+ * `copyShare`: 30 of 95 ms between domains, of which the copy itself takes 1 to 2 ms; copies between regions cost up
+ * to one and a half times as much as those between domains.
+ * `answerShare`: a prompt of 5,200 tokens is 0.07 of an engine that holds 73,000, so that a second answer goes to an
+ * engine nearby before an empty one of another region, and a third does not.
+ * `memoryShare`: higher, since the memory of that prompt is 96 MB and more while the events of its answer are some
+ * kilobytes, so that an empty engine near the prefill engine is preferred to one near the caller. Both are 0 within a
+ * region.
  */
 const DISTANCE_COSTS: Record<Distance, DistanceCost> = {
   'same-domain': { hopMs: 0.2, copyFactor: 1, copyShare: 0, answerShare: 0, memoryShare: 0 },
@@ -31,13 +36,16 @@
   'other-region': { hopMs: 8, copyFactor: 10, copyShare: 0.45, answerShare: 0.15, memoryShare: 0.2 },
 }
 
-/** A connection that is opened anew and one question: there and back, twice. */
+/** One-way delays of a call on a new connection: two round trips. */
 const HOPS_PER_CALL = 4
 const BITS_PER_BYTE = 8
-/** A megabit a second is so many bits a millisecond. */
+/** Bits per millisecond at 1 Mbit/s. */
 const BITS_PER_MS_PER_MBPS = 1_000
 
-/** What a copy of some tokens' memory takes on the link of an engine, in milliseconds; 0 where a sheet gives no speed. */
+/**
+ * Returns how long a copy of the memory of some tokens takes on an engine's link, in milliseconds; 0 if the sheet
+ * states no link speed.
+ */
 export function copyMs(tokens: number, engine: EnginePool, distance: Distance): Millis {
   if (!(engine.linkMbps > 0) || !(engine.kvBytesPerToken > 0)) return 0
   const bits = tokens * engine.kvBytesPerToken * BITS_PER_BYTE
@@ -45,9 +53,9 @@
 }
 
 /**
- * What it costs to read a prompt that far from the engine that decodes, in milliseconds that another reader may be later.
- * Between domains of one region the share holds all of it.
- * @param prefillMs how long reading the prompt takes.
+ * Returns the cost of a prefill this far from the decode engine, in milliseconds that another prefill engine may be
+ * later. Between domains of one region the share includes all of it.
+ * @param prefillMs how long the prefill takes.
  */
 export function remotePrefillCostMs(
   distance: Distance,
@@ -61,23 +69,23 @@
   return copyCostMs + extraCopyMs + extraCallMs(distance)
 }
 
-/** What a call to another region takes longer than one nearby, in milliseconds; 0 within a region. */
+/** Returns how much longer a call to another region takes than one nearby, in milliseconds; 0 within a region. */
 export function extraCallMs(distance: Distance): Millis {
   if (distance !== 'other-region') return 0
   return (DISTANCE_COSTS[distance].hopMs - DISTANCE_COSTS['other-domain'].hopMs) * HOPS_PER_CALL
 }
 
-/** Tokens that an engine nearby may hold more than one that far, and still be taken. */
+/** Returns how many more tokens an engine near the entry may hold than one this far away and still be preferred. */
 export function entryDistanceTokens(distance: Distance, engine: EnginePool): number {
   return engine.kvTokens * DISTANCE_COSTS[distance].answerShare
 }
 
-/** The same for an engine that far from the nearest reader of the prompt. */
+/** Returns the same for an engine this far from the nearest prefill engine of the prompt, in tokens. */
 export function prefillDistanceTokens(distance: Distance, engine: EnginePool): number {
   return engine.kvTokens * DISTANCE_COSTS[distance].memoryShare
 }
 
-/** The same for an engine that far from the one that an answer leaves with its memory. */
+/** Returns the same for an engine this far from the one that an answer leaves with its memory, in tokens. */
 export function migrationDistanceTokens(distance: Distance, engine: EnginePool): number {
   return engine.kvTokens * DISTANCE_COSTS[distance].memoryShare
 }
--- a/placement/allocator/src/engineBudgets.ts
+++ b/placement/allocator/src/engineBudgets.ts
@@ -10,19 +10,19 @@
   type PlacedEngines,
 } from './coldBudget'
 
-/** What engines that name the rate that they take may get; requests that go there are counted where they are placed. */
+/** Rate limits that engines name; requests count against them where they are placed. */
 export interface LimitPolicy {
   isLimited: (id: InstanceId) => boolean
   /** Whether an engine may get a request now. */
   mayTake: (id: InstanceId) => boolean
-  /** Counts a request; says whether its engine names a rate. */
+  /** Counts a request; returns whether its engine names a rate limit. */
   spend: (id: InstanceId) => boolean
 }
 
-/** Where no engine names a rate. */
+/** Policy without rate limits. */
 const NO_LIMITS: LimitPolicy = { isLimited: () => false, mayTake: () => true, spend: () => false }
 
-/** Counts at the machine that places what engines get that bear only so much: cold ones, and those that name a rate. */
+/** Enforces at the leader the limits of cold engines and of engines that name a rate limit. */
 export class EngineBudgets {
   private readonly cold: ColdBudget
 
@@ -33,7 +33,7 @@
     this.cold = new ColdBudget(cold)
   }
 
-  /** Notes that this machine places. Called again and again; the first call counts. */
+  /** Records since when this machine has been placing requests. Called periodically; the first call counts. */
   markLeading(now: Millis): void {
     this.cold.markLeading(now)
   }
@@ -42,12 +42,12 @@
     return this.cold.isCold(id, now)
   }
 
-  /** Whether an engine bears all that fits into it: only such ones are chosen where nothing must be. */
+  /** Whether an engine is neither cold nor rate-limited: optional work goes only to such engines. */
   isUnlimited(id: InstanceId, now: Millis): boolean {
     return !this.isCold(id, now) && !this.limits.isLimited(id)
   }
 
-  /** Whether an engine may read a prompt now. */
+  /** Whether an engine may get a prompt to prefill now. */
   mayRead(engine: RegisteredEndpoint, now: Millis): boolean {
     return this.limits.mayTake(engine.id) && this.cold.mayRead(engine, now)
   }
@@ -57,12 +57,15 @@
     return this.limits.mayTake(engine.id) && this.cold.mayDecode(engine, ask, now)
   }
 
-  /** Counts the steps of a place; says which of them were, and within how long they must leave. */
+  /** Counts the steps of a placement; returns which of them were counted, and how soon they must be sent. */
   grant(engines: PlacedEngines, waitedMs: Millis, now: Millis): Pick<Placed, 'cold' | 'limited'> {
     return { cold: this.cold.grant(engines, waitedMs, now), limited: this.spend(engines, waitedMs) }
   }
 
-  /** Until one of some decode engines may take a request, where all are cold and none may now; else undefined. */
+  /**
+   * Returns the time until one of some decode engines may take a request, in milliseconds; undefined unless all are
+   * cold and at their limit.
+   */
   waitMs(engines: RegisteredEndpoint[], ask: PlaceAsk, now: Millis): Millis | undefined {
     return this.cold.waitMs(engines, ask, now)
   }
--- a/placement/allocator/src/engineChoice.ts
+++ b/placement/allocator/src/engineChoice.ts
@@ -26,49 +26,49 @@
   health: InstanceHealth
   pace: EnginePace
   isChanging: (id: InstanceId, now: Millis) => boolean
-  /** What engines may get that bear only so much. */
+  /** Limits of cold and of rate-limited engines. */
   budgets: EngineBudgets
 }
 
-/** From the end of reading to the first event, with what the network takes: 23 to 46 ms seen (q10 to q90, two plays). */
+/** From the end of the prefill to the first event, network included: 23 to 46 ms (10th to 90th percentile). */
 export const STARTUP_MS = 60
-/** A late request waits for a reading queue of so many prompts like its own, itself included: 500 ms at 95 ms a prompt. */
+/** A late request joins a queue of at most this many prompts like its own, itself included: 500 ms at 95 ms each. */
 const MAX_LATE_PREFILLS = 5
-/** It waits no longer behind others, so that after it a new one is still in time: 900 ms less two long readings of 300. */
+/** Longest queueing of a late request, so that a new one is still in time: 900 ms less two prefills of 300 ms. */
 const MAX_LATE_QUEUE_MS = 250
-/** A decode engine reads at half the pace of a prefill engine (the platform's protocol says so). */
+/** A decode engine prefills at half the pace of a prefill engine, as the platform's protocol states. */
 const LOCAL_PREFILL_FACTOR = 2
-/** The share of its time that a decode engine may read beside prefill engines: a prompt of 190 ms each 0.7 s, as was tuned. */
+/** Share of time that a decode engine may prefill beside prefill engines: a prompt of 190 ms each 0.7 s. */
 const LOCAL_PREFILL_SHARE = 0.27
-/** Reading is late from so many times the time it should take: it varies with what else the way carries. */
+/** A prefill is late at this multiple of its expected time, which varies with the load of the network. */
 const PREFILL_LATE_FACTOR = 1.5
-/** The end of a reading is foreseen only within this share of its time. */
+/** The end of a prefill is predictable only to within this share of its duration. */
 const PREFILL_VARIATION = 0.25
-/** A single pause that is foreseen must leave this share of the longest that is in time. */
+/** A predicted pause must stay within this share of the longest pause that is in time. */
 const MAX_PAUSE_SHARE = 0.9
-/** A cold engine is taken as if this share of its memory were held: warm ones bear the load until they hold as much more. */
+/** A cold engine ranks as if this share of its memory were in use: warm engines fill up by that much first. */
 const COLD_MEMORY_SHARE = 0.5
-/** A cold prefill engine must be sooner by this many readings. */
+/** A cold prefill engine must be earlier than a warm one by the time of this many prefills. */
 const COLD_PENALTY_PREFILLS = 1
-/** More than any peak: an engine whose answers come late is taken only where no other has room. */
+/** Higher than any peak: an engine that makes answers late is used only if no other has room. */
 const POOR_PACE_COST = 1e12
 
-/** Engines that take part and do not change, by part and service, as read at one time for all waiting requests. */
+/** Available engines by stage and service, computed once for all requests that are placed at one time. */
 interface AvailableEngines {
   at: Millis
   engines: Map<string, RegisteredEndpoint[]>
 }
 
-/** Chooses the engines of a request by the memory they will come to need and by what waits to be read. */
+/** Chooses the engines of a request by their forecast memory and their prefill queues. */
 export class EngineChoice {
-  /** When each decode engine last began to read a prompt itself. */
+  /** When each decode engine last began a local prefill. */
   private readonly localPrefillAt = new Map<InstanceId, Millis>()
   private availableCache: AvailableEngines = { at: -Infinity, engines: new Map() }
-  /** What engines' paces mean for requests. */
+  /** Assesses whether engines are fast enough for requests. */
   readonly fitness: EngineFitness
-  /** What engines keep of prompts. */
+  /** Prompt parts that engines have cached. */
   readonly cache: PrefixCacheTracker
-  /** What ways between engines and entries count. */
+  /** Costs of the distances between engines and entries. */
   readonly distance: EngineDistance
 
   constructor(private readonly options: EngineChoiceOptions) {
@@ -77,30 +77,30 @@
     this.cache = new PrefixCacheTracker({ ...options, fitness: this.fitness })
   }
 
-  /** Engines of a service that take part, whether they are sound or not. */
+  /** Returns the ready engines of a service without barred ones, whether they are healthy or not. */
   usable(service: string, stage: Stage): RegisteredEndpoint[] {
     return this.registered(service, stage).filter((one) => !this.options.barred.has(one))
   }
 
-  /** Whether a service has decode engines and every one must get nothing now. */
+  /** Whether a service has decode engines and all of them are barred. */
   isFullyBarred(service: string): boolean {
     const decoders = this.registered(service, 'decode')
     return decoders.length > 0 && decoders.every((one) => this.options.barred.has(one))
   }
 
-  /** Engines of a service that take part, with those that must get nothing now. */
+  /** Returns the ready engines of a service, including barred ones. */
   registered(service: string, stage: Stage): RegisteredEndpoint[] {
     const { endpoints, health } = this.options
     const live = endpoints().filter((one) => one.service === service && !health.isGone(one.id))
     return newestPerAddress(live).filter((one) => one.stage === stage && one.state === 'ready')
   }
 
-  /** What is known of engines is read anew at the next choice. */
+  /** Drops the cached lists of engines, so that the next choice reads them again. */
   refresh(): void {
     this.availableCache.at = -Infinity
   }
 
-  /** The engines for a request; undefined where it has to wait. */
+  /** Returns the engines for a request; undefined if it has to wait. */
   choose(query: EngineQuery, now: Millis): EnginePick | undefined {
     const prefillEngines = query.ask.isPrefilled ? [] : this.candidates(query.ask, 'prefill', now)
     const decoders = this.fittingDecoders(query, prefillEngines, now)
@@ -111,13 +111,13 @@
     if (caching !== undefined) return { decode: caching, readsInMs: 0, queuedMs: 0, readTokens: 0 }
     const separate = this.pickPrefillEngine(query, first, prefillEngines, now)
     if (separate !== undefined && !this.fitness.isSlowPrefill(separate.prefill!.id, now)) return separate
-    // A slow reader is used where no decode engine is sooner.
+    // A slow prefill engine is used only if no decode engine is earlier.
     const local = this.pickLocalPrefill(query, decoders, prefillEngines, now)
     if (separate === undefined || local === undefined) return separate ?? local
     return local.readsInMs < separate.readsInMs ? local : separate
   }
 
-  /** What is believed of the engines that a request could use. */
+  /** Summarizes the engines that a request could use, for the log. */
   summarize(ask: PlaceAsk, now: Millis): EngineSummary {
     const { holds } = this.options
     const decoders = this.candidates(ask, 'decode', now)
@@ -141,12 +141,12 @@
     }
   }
 
-  /** Until a cold decode engine may take another request, where all are cold and none may now; else undefined. */
+  /** Milliseconds until a decode engine may take a request; undefined unless all are cold and at their limit. */
   coldWaitMs(ask: PlaceAsk, now: Millis): Millis | undefined {
     return this.options.budgets.waitMs(this.candidates(ask, 'decode', now), ask, now)
   }
 
-  /** Notes that a decode engine begins to read a prompt itself. */
+  /** Records that a decode engine begins a local prefill. */
   recordLocalPrefill(id: InstanceId, now: Millis): void {
     this.localPrefillAt.set(id, now)
   }
@@ -156,14 +156,14 @@
     for (const id of this.localPrefillAt.keys()) if (!ids.has(id)) this.localPrefillAt.delete(id)
   }
 
-  /** How long a decode engine takes to read a prompt, in milliseconds. */
+  /** Returns how long a local prefill takes on a decode engine, in milliseconds. */
   localPrefillMs(ask: PlaceAsk, now: Millis): Millis {
     return this.options.pace.typicalPrefillMs(ask.promptTokens, now) * LOCAL_PREFILL_FACTOR
   }
 
-  /** Engines that may get the request now or in a moment; unsound ones only where no other decodes. */
+  /** Returns engines that may get the request; unhealthy ones only if no other decodes. */
   candidates(ask: PlaceAsk, stage: Stage, now: Millis): AtHome<RegisteredEndpoint>[] {
-    // A reader whose answer was lost keeps the prompt: it answers at once.
+    // A prefill engine whose response was lost has cached the prompt and responds at once.
     const mayRetry = (one: RegisteredEndpoint) => stage === 'prefill' && this.cache.uncached(ask, one) === 0
     const mayUse = (one: RegisteredEndpoint) =>
       ask.avoid?.includes(one.id) !== true && (!ask.except.includes(one.id) || mayRetry(one))
@@ -172,7 +172,7 @@
     return healthy.length > 0 || stage === 'prefill' ? healthy : available
   }
 
-  /** How many decode engines that take part lie in the regions of a request. */
+  /** Returns how many usable decode engines lie in the regions of a request. */
   countInRegions(ask: PlaceAsk): number {
     return this.inRegions(ask, this.usable(ask.service, 'decode')).length
   }
@@ -181,7 +181,7 @@
     return withinHomes(this.options.topology, engines, ({ zone }) => zone, ask.regions)
   }
 
-  /** Read once for all requests that look for a place at one time. */
+  /** Computed once for all requests that are placed at one time. */
   private availableEngines(service: string, stage: Stage, now: Millis): RegisteredEndpoint[] {
     if (this.availableCache.at !== now) this.availableCache = { at: now, engines: new Map() }
     const key = `${stage} ${service}`
@@ -192,7 +192,7 @@
     return available
   }
 
-  /** Decode engines into whose memory to come the request fits, the least filled for their pace first. */
+  /** Returns decode engines with memory for the request, those least filled for their pace first. */
   private fittingDecoders(
     query: EngineQuery,
     prefillEngines: RegisteredEndpoint[],
@@ -204,7 +204,7 @@
     const engines = this.candidates(ask, 'decode', now)
     const fitness = this.fitness.assessAll(query, engines, now)
     const isSlow = (id: InstanceId) => fitness.get(id) === 'slow'
-    // One that can be in time rather waits for an engine that is well, and is late for certain at a slow one.
+    // A request that can be in time waits for a healthy engine rather than being late on a slow one.
     const waitsForOthers = query.isInTime && !ask.isPrefilled && engines.some(({ id }) => !isSlow(id))
     const fitting = engines
       .filter(({ id }) => !health.isFull(id, now) && !(waitsForOthers && isSlow(id)))
@@ -224,13 +224,13 @@
       (isCold ? limit * COLD_MEMORY_SHARE : 0) +
       peak * slowness +
       this.distance.decodeCostTokens(ask, engine, endpoint, prefillEngines)
-    // Worked out once for each: the way to the nearest reader looks at all of them.
+    // Computed once per engine, since the nearest prefill engine is searched among all of them.
     const ranked = fitting.map((one) => ({ endpoint: one.endpoint, cost: costOf(one) }))
     ranked.sort((left, right) => left.cost - right.cost)
     return ranked.map(({ endpoint }) => endpoint)
   }
 
-  /** Engines that could go on with an answer that runs at another one: those that surely do well. */
+  /** Returns engines that could continue an answer that runs elsewhere: only those known to be healthy and fast. */
   migrationTargets(ask: PlaceAsk, engine: EnginePool, now: Millis): AtHome<RegisteredEndpoint>[] {
     const { holds, health, pace, budgets } = this.options
     return this.candidates(ask, 'decode', now).filter(
@@ -244,12 +244,12 @@
     )
   }
 
-  /** How long an engine needs for some tokens of one answer. */
+  /** Returns how long an engine needs for some tokens of one answer, in milliseconds. */
   decodingMs(tokens: number, decode: InstanceId, now: Millis): Millis {
     return tokens * this.options.pace.msPerToken(decode, now)
   }
 
-  /** The prefill engine that comes to the prompt first, where that is soon enough. */
+  /** Picks the prefill engine that finishes the prompt first; undefined if none is in time. */
   private pickPrefillEngine(
     query: EngineQuery,
     decode: AtHome<RegisteredEndpoint>,
@@ -285,14 +285,14 @@
     return { decode, prefill, queuedMs, readsInMs, readElsewhereInMs, readTokens: uncached(prefill) }
   }
 
-  /** Until when another engine could still read it in time; absent where this one, being well, may need longer. */
+  /** Time after which no other engine could be in time, in milliseconds; undefined if this one may need longer. */
   private retryPrefillWithinMs({ ask, leftMs }: EngineQuery, readsInMs: Millis): Millis | undefined {
     const { pace } = this.options
     const maxMs = Math.floor(leftMs - STARTUP_MS - pace.prefillMs(ask.promptTokens) - pace.prefillLatencyMs())
     return maxMs >= readsInMs * PREFILL_LATE_FACTOR ? maxMs : undefined
   }
 
-  /** The decode engine that reads the prompt itself, where it comes to it soon enough. */
+  /** Picks the decode engine that prefills the prompt itself; undefined if none is in time. */
   private pickLocalPrefill(
     query: EngineQuery,
     decoders: AtHome<RegisteredEndpoint>[],
@@ -300,7 +300,7 @@
     now: Millis,
   ): EnginePick | undefined {
     const { holds, health } = this.options
-    // Engines that have just refused are back in a moment, unless they do nothing else.
+    // Prefill engines that have just refused are back in a moment, unless they refuse all the time.
     const isAlone = prefillEngines.every(({ id }) => health.isBusy(id) || this.fitness.isSlowPrefill(id, now))
     if (!isAlone && (!query.isInTime || prefillEngines.every((endpoint) => health.isFull(endpoint.id, now))))
       return undefined
@@ -316,30 +316,30 @@
   }
 
   /**
-   * Whether the answers that run at a decode engine would pause too long while it reads for so long: it makes one
-   * token of each for a piece of the prompt, and an event takes several.
+   * Whether a local prefill would pause a decode engine's running answers for too long: per chunk of the prompt the
+   * engine generates one token of each answer, and an event takes several.
    */
   private stallsAnswers(query: EngineQuery, decode: InstanceId, prefillForMs: Millis, now: Millis): boolean {
     const { holds, pace } = this.options
     const { ask, engine } = query
     if (ask.pauseMs === undefined || holds.countAt(decode) === 0) return false
     const eventMs = pace.msPerToken(decode, now) * engine.tokensPerEvent
-    // Answers have had no event since the last prompt that was read there, unless enough time has passed.
+    // Unless enough time has passed, answers have had no event since the last local prefill.
     const sinceLastMs = holds.localPrefills.sinceEndMs(decode, now)
     if (sinceLastMs < eventMs + this.localPrefillMs(ask, now) * PREFILL_VARIATION) return true
     return prefillForMs + eventMs > ask.pauseMs * MAX_PAUSE_SHARE
   }
 
   /**
-   * By when the prompt must have been read.
-   * @param aloneMs how long that takes where nothing waits before it, where that is not a prefill engine's time.
+   * Returns the time within which the prompt must be prefilled, in milliseconds.
+   * @param aloneMs its duration without a queue; by default that of a prefill engine.
    */
   private prefillLimitMs({ ask, isInTime, leftMs }: EngineQuery, aloneMs?: Millis): Millis {
     const { pace } = this.options
     if (isInTime) return leftMs - STARTUP_MS
     const ownMs = aloneMs ?? pace.prefillMs(ask.promptTokens)
     const lateMs = Math.min(ownMs * MAX_LATE_PREFILLS, ownMs + MAX_LATE_QUEUE_MS) + pace.prefillLatencyMs()
-    // Whose caller leaves before the first event is read in vain, and holds up others meanwhile.
+    // A prefill for a caller that leaves before the first event is wasted and delays others.
     const patienceMs = (ask.patienceMs ?? Infinity) - (ask.targetMs - leftMs)
     return Math.min(lateMs, (patienceMs - STARTUP_MS) / PREFILL_LATE_FACTOR)
   }
--- a/placement/allocator/src/engineDistance.ts
+++ b/placement/allocator/src/engineDistance.ts
@@ -10,17 +10,17 @@
   prefillDistanceTokens,
 } from './distanceCost'
 
-/** Weighs how far engines are from each other and from the entries of their requests. */
+/** Computes costs of the distances between engines and to the entries of their requests. */
 export class EngineDistance {
   constructor(private readonly topology: Topology) {}
 
-  /** What the way from a request's entry to a decode engine counts, in tokens of its memory. */
+  /** Returns the cost of the distance from a request's entry to a decode engine, in tokens of its memory. */
   entryCostTokens({ entryDomain }: PlaceAsk, engine: EnginePool, decode: RegisteredEndpoint): number {
     if (entryDomain === undefined) return 0
     return entryDistanceTokens(this.topology.distance(entryDomain, decode.zone), engine)
   }
 
-  /** The same with the way from the nearest of its readers, where there are any. */
+  /** Returns that cost plus the cost of the distance from the nearest prefill engine, if there is any, in tokens. */
   decodeCostTokens(
     ask: PlaceAsk,
     engine: EnginePool,
@@ -33,7 +33,7 @@
     return this.entryCostTokens(ask, engine, decode) + (distances.length === 0 ? 0 : Math.min(...distances))
   }
 
-  /** The same for an answer that moves there with its memory. */
+  /** Returns the cost of migrating an answer with its memory to an engine, in tokens. */
   migrationCostTokens(
     ask: PlaceAsk,
     engine: EnginePool,
@@ -44,7 +44,10 @@
     return distance + this.entryCostTokens(ask, engine, to)
   }
 
-  /** How much sooner a reader must be for its way to the decode engine, in milliseconds. */
+  /**
+   * Returns how much earlier a prefill engine must be to make up for its distance to the decode engine, in
+   * milliseconds.
+   */
   prefillCostMs(
     prefill: RegisteredEndpoint,
     decode: RegisteredEndpoint,
--- a/placement/allocator/src/engineFitness.ts
+++ b/placement/allocator/src/engineFitness.ts
@@ -6,10 +6,10 @@
 import type { HoldRegistry } from './holdRegistry'
 import { SLOW_FACTOR } from './peerPace'
 
-/** What an engine's pace means for a request there. */
+/** How an engine's pace suits an answer: `slow` if it is too slow and also slower than its peers. */
 export type Fitness = 'good' | 'poor' | 'slow'
 
-/** An engine that is slower than its peers: how many times, and how old that evidence is. */
+/** An engine that is slower than its peers, by which factor, and the age of that evidence. */
 export interface SlowEngine {
   endpoint: InstanceId
   stage: Stage
@@ -17,20 +17,20 @@
   ageMs: Millis
 }
 
-/** What is still to come of an answer. */
+/** The rest of an answer. */
 export interface RemainingAnswer {
   tokens: number
-  /** Within how long it must end, in milliseconds. */
+  /** Time within which the answer must end, in milliseconds. */
   endsWithinMs: Millis
-  /** The longest pause between events that still counts as in time; absent where none is set. */
+  /** The longest pause between events that still counts as in time; absent if no limit is set. */
   pauseMs?: Millis
 }
 
-/** A request whose answer is to be made at one of some engines. */
+/** A request for whose answer engines are compared. */
 export interface AnswerQuery {
   ask: PlaceAsk
   engine: EnginePool
-  /** Time left until its first event should be there, in milliseconds. */
+  /** Time left until the first event is due, in milliseconds. */
   leftMs: Millis
 }
 
@@ -40,22 +40,22 @@
   pace: EnginePace
 }
 
-/** A prompt that takes this many times what it should, and is not read yet, says that its engine is slow now. */
+/** A prompt still in progress at this multiple of its expected time shows that its engine is slow. */
 const MIN_OVERDUE_FACTOR = 2
-/** An answer's pauses vary around their mean: the mean must leave this share of the longest that is in time. */
+/** Pauses vary around their mean, so the mean must stay within this share of the longest pause that is in time. */
 const MAX_PAUSE_SHARE = 0.6
 /** The share of the time left within which an answer must be forecast to end. */
 const MAX_TIME_SHARE = 0.8
-/** Engines that differ less than this do the same: how many answers run there makes so much. */
+/** Engines whose paces differ by less than this factor count as equal: load alone causes as much. */
 const SAME_PACE_RATIO = 1.3
-/** At most so many slow engines are named in a line. */
+/** Slow engines in one log line at most. */
 const MAX_LISTED = 6
 
-/** What engines' paces mean for the requests that they have or could get. */
+/** Assesses from engines' paces whether they can serve requests in time. */
 export class EngineFitness {
   constructor(private readonly options: EngineFitnessOptions) {}
 
-  /** What a decode engine's pace means for what is to come of an answer. */
+  /** Assesses whether a decode engine is fast enough for the rest of an answer. */
   assess(answer: RemainingAnswer, engine: EnginePool, decode: InstanceId, now: Millis): Fitness {
     const { ms, slowness } = this.options.pace.view(decode, 'decode', now)
     const { tokens, endsWithinMs, pauseMs = Infinity } = answer
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Whether an answer at each decode engine's pace has its events in time and ends in time; `slow` where it has not and
-   * the engine is slower than its peers, so that another does better.
+   * Assesses for each decode engine whether an answer would have its events and its end in time; `slow` if not and
+   * the engine is slower than its peers, so that another one does better.
    */
   assessAll(
     { ask, engine, leftMs }: AnswerQuery,
@@ -80,31 +80,34 @@
     return new Map(engines.map(({ id }) => [id, this.assess(answer, engine, id, now)]))
   }
 
-  /** How many times slower than its peers a decode engine is, as far as that is more than a matter of its load. */
+  /** Returns how many times slower than its peers a decode engine is; 1 if load alone may be the cause. */
   slowness(decode: InstanceId, now: Millis): number {
     const { ms, peersMs } = this.options.pace.view(decode, 'decode', now)
     return ms / peersMs < SAME_PACE_RATIO ? 1 : ms / peersMs
   }
 
-  /** How many answers may run at a decode engine: one that was slow shows with a single one whether it is well. */
+  /**
+   * Returns how many answers may run on a decode engine; one that was slow gets a single one, which shows whether it
+   * has recovered.
+   */
   maxRunningAt(decode: InstanceId, engine: EnginePool, now: Millis): number {
     return this.options.pace.isUnproven(decode, 'decode', now) ? 1 : engine.slots
   }
 
-  /** Whether a prefill engine takes far longer than reading should take, by what it has read or is late with now. */
+  /** Whether a prefill engine is much too slow, judged by finished prompts or by a late one in progress. */
   isSlowPrefill(id: InstanceId, now: Millis): boolean {
     const { holds, pace } = this.options
     const { ms, build } = pace.view(id, 'prefill', now)
     return ms / build >= SLOW_FACTOR || holds.overdueFactor(id, now) >= MIN_OVERDUE_FACTOR
   }
 
-  /** Nothing waits behind a prompt that shows whether an engine is well, or that is late at one. */
+  /** Whether no prompt may queue behind the current one, which is late or shows whether the engine has recovered. */
   mustNotQueue(prefill: InstanceId, now: Millis): boolean {
     const { holds: book, pace } = this.options
     return pace.isUnproven(prefill, 'prefill', now) || book.overdueFactor(prefill, now) >= MIN_OVERDUE_FACTOR
   }
 
-  /** The engines that are slower than their peers, a few of them. */
+  /** Returns some of the engines that are slower than their peers. */
   slowEngines(engines: Record<Stage, RegisteredEndpoint[]>, now: Millis): SlowEngine[] {
     const views = (['decode', 'prefill'] as const).flatMap((stage) =>
       engines[stage].map(({ id }) => ({ id, stage, view: this.options.pace.view(id, stage, now) })),
--- a/placement/allocator/src/enginePace.ts
+++ b/placement/allocator/src/enginePace.ts
@@ -3,44 +3,42 @@
 import { PeerPace, SLOW_FACTOR, type PaceView } from './peerPace'
 import { PrefillTimeModel } from './prefillTimeModel'
 
-/** Believed until the first answer or report has told better; a step of a model takes some milliseconds. */
+/** Assumed until the first answer or report; a decode step takes some milliseconds. */
 const PRIOR_MS_PER_TOKEN = 3
-/** A prompt that was read in less than this share of the time foreseen was partly kept. */
+/** A prompt that took less than this share of its expected time was partly cached. */
 const MIN_PREFILL_SHARE = 0.8
-/** A prompt that took longer than this share of what was to be read of it was not kept as was believed. */
+/** A prompt that took more than this multiple of the time for its uncached tokens was not cached as believed. */
 const MAX_PREFILL_SHARE = 1.25
-/** A prompt ends each few hundred milliseconds at a reader that has work: a few of them decide. */
+/** A busy prefill engine finishes a prompt every few hundred milliseconds: the last few decide. */
 const PREFILL_MEMORY_MS = 1_000
-/** Entries report each answer's progress each 400 ms: an engine turns slow within a moment, and well again. */
+/** Entries report progress every 400 ms; an engine may turn slow, or recover, from one report to the next. */
 const DECODING_MEMORY_MS = 500
 
-/** Tells when an engine has turned slow at its part, or is well again. */
+/** Called when an engine turns slow at its stage, or has recovered. */
 export type OnEnginePaceChange = (id: InstanceId, stage: Stage, isSlow: boolean, view: PaceView) => void
 
-/** A prompt that was read, or was given up. */
+/** A prefill step that has finished or was abandoned. */
 export interface PrefillSample {
   promptTokens: number
-  /** The tokens that it had to read of them, as was believed; all where absent. */
+  /** Prompt tokens that were believed not to be cached; absent if none were cached. */
   readTokens?: number
-  /** From when the engine was free for it, or from its sending where it waited for no other. */
+  /** Time since the engine was free for the prompt, or since its sending if it did not wait. */
   tookMs: Millis
-  /** Whether it waited for no other, so that the time holds the way there and back. */
+  /** Whether the prompt waited for no other, so that the time includes the network round trip. */
   isAlone: boolean
-  /** Whether it was not read in that time: the engine takes longer still. */
+  /** Whether the step was abandoned: the engine would have taken longer. */
   isGivenUp: boolean
 }
 
-/** How fast engines read and make tokens, learned from what they do. Outlives a term, unlike places. */
+/** Learns how fast engines prefill and decode. Outlives a term, unlike holds. */
 export class EnginePace {
   private readonly prefillModel = new PrefillTimeModel()
-  /** Time for each millisecond that the line foretells. */
+  /** Actual time per millisecond that the prefill model predicts. */
   private readonly prefillEngines: PeerPace
-  /** Time for each token of one answer. */
+  /** Time per token of one answer, in milliseconds. */
   private readonly decodeEngines: PeerPace
 
-  /**
-   * @param isCold whether an engine was cold at a time: what it does then says nothing of its pace.
-   */
+  /** @param isCold whether an engine was cold at a time: its work at that time does not show its pace. */
   constructor(
     onChange: OnEnginePaceChange = () => undefined,
     private readonly isCold: (engine: InstanceId, at: Millis) => boolean = () => false,
@@ -55,73 +53,73 @@
     )
   }
 
-  /** Whether engines have shown how fast they make tokens; what is believed before may be far off. */
+  /** Whether engines have shown how fast they decode; the pace assumed before that may be far off. */
   get isKnown(): boolean {
     return this.decodeEngines.isKnown
   }
 
-  /** How long a prefill engine that is well is busy with a prompt, in milliseconds: the next one begins then. */
+  /** Returns how long a healthy prefill engine is busy with a prompt, in milliseconds; the next prompt starts then. */
   prefillMs(promptTokens: number): Millis {
     return this.prefillModel.busyMs(promptTokens)
   }
 
-  /** The same of engines as they are now: when all are slow alike, the line follows by and by only. */
+  /** Returns the same for the engines' current pace: if all are slow alike, the model follows only gradually. */
   typicalPrefillMs(promptTokens: number, now: Millis): Millis {
-    // A single reader that is slow says nothing of the others.
+    // A single slow prefill engine says nothing about others.
     const factor = this.prefillEngines.count < 2 ? 1 : Math.max(1, this.prefillEngines.typicalMs(now))
     return this.prefillModel.busyMs(promptTokens) * factor
   }
 
-  /** The same of one engine, by its own pace. */
+  /** Returns how long one engine is busy with a prompt by its own pace, in milliseconds. */
   prefillMsAt(engine: InstanceId, promptTokens: number, now: Millis): Millis {
     return this.prefillModel.busyMs(promptTokens) * this.prefillEngines.view(engine, now).ms
   }
 
-  /** How much longer it takes until the entry hears of it, whatever the length: the engine reads on meanwhile. */
+  /** Returns the delay until the entry learns of a finished prefill, in milliseconds; the engine goes on meanwhile. */
   prefillLatencyMs(): Millis {
     return this.prefillModel.latencyMs()
   }
 
-  /** How long an engine takes for one token of an answer; of one that has shown nothing yet, as its peers. */
+  /** Returns an engine's time per token of one answer, in milliseconds; that of its peers if it has shown none. */
   msPerToken(engine: InstanceId, now: Millis): Millis {
     return this.decodeEngines.view(engine, now).ms
   }
 
-  /** The same of engines that are well. */
+  /** Returns the time per token of healthy engines, in milliseconds. */
   typicalMsPerToken(now: Millis): Millis {
     return this.decodeEngines.typicalMs(now)
   }
 
-  /** An engine's pace at one part beside its peers'. */
+  /** Returns an engine's pace at one stage, compared with its peers. */
   view(engine: InstanceId, stage: Stage, now: Millis): PaceView {
     return this.at(stage).view(engine, now)
   }
 
-  /** Whether an engine was slow when last seen at a part, so long ago that it may be well again. */
+  /** Whether an engine was slow when last observed at a stage, long enough ago that it may have recovered. */
   isUnproven(engine: InstanceId, stage: Stage, now: Millis): boolean {
     return this.at(stage).isUnproven(engine, now)
   }
 
-  /** Learns from a prompt that an engine has read, or has not read in the time it was given. */
+  /** Learns from a prefill step that has finished or was abandoned. */
   learnPrefill(engine: InstanceId, read: PrefillSample, now: Millis): void {
     const { tookMs, isAlone, isGivenUp } = read
     const tokens = this.tokensRead(read)
     if (tokens === undefined || this.isCold(engine, now - tookMs)) return
     const expectedMs = this.prefillModel.busyMs(tokens) + (isAlone ? this.prefillModel.latencyMs() : 0)
-    // What an engine had kept of a prompt it need not read: that says nothing of its pace.
+    // Cached tokens need no prefill, so a short time does not show the pace.
     this.prefillEngines.learn(engine, expectedMs, Math.max(tookMs, expectedMs * MIN_PREFILL_SHARE), now)
     if (!isAlone || isGivenUp) return
-    // The line says what engines do that are well; when all are slow alike it follows.
+    // The model describes healthy engines; it follows if all are slow alike.
     if (this.prefillEngines.view(engine, now).slowness < SLOW_FACTOR) this.prefillModel.learn(tokens, tookMs)
   }
 
-  /** Learns from tokens of one answer that an engine made in a time, or from their lack. */
+  /** Learns from the tokens of one answer that an engine generated in a time, also if there were none. */
   learnDecoding(engine: InstanceId, tokens: number, tookMs: Millis, now: Millis): void {
     if (this.isCold(engine, now - tookMs)) return
     this.decodeEngines.learn(engine, tokens, tookMs, now)
   }
 
-  /** Drops what an engine has shown: it has started anew, and its pace is learned again. */
+  /** Forgets the pace of an engine that has restarted. */
   forget(engine: InstanceId): void {
     this.prefillEngines.forget(engine)
     this.decodeEngines.forget(engine)
@@ -133,7 +131,7 @@
     this.decodeEngines.keepOnly(ids)
   }
 
-  /** How many tokens an engine has read in its time; undefined where it is not clear what it had kept. */
+  /** Returns how many tokens an engine prefilled in the time; undefined if it is unclear how many were cached. */
   private tokensRead({
     promptTokens,
     readTokens = promptTokens,
@@ -142,7 +140,7 @@
   }: PrefillSample): number | undefined {
     if (readTokens >= promptTokens) return promptTokens
     const latencyMs = isAlone ? this.prefillModel.latencyMs() : 0
-    // Longer than the whole prompt should take: the engine is slow, whatever it had kept.
+    // Longer than the whole prompt should take: the engine is slow, whatever was cached.
     if (tookMs > this.prefillModel.busyMs(promptTokens) + latencyMs) return promptTokens
     const maxMs = this.prefillModel.busyMs(readTokens) * MAX_PREFILL_SHARE + latencyMs
     return readTokens > 0 && tookMs <= maxMs ? readTokens : undefined
--- a/placement/allocator/src/enginePick.ts
+++ b/placement/allocator/src/enginePick.ts
@@ -6,44 +6,47 @@
 import type { ColdSummary } from './coldBudget'
 import type { SlowEngine } from './engineFitness'
 
-/** Where a request would go, and when its prompt would have been read. */
+/** The engines chosen for a request, and when its prompt will be prefilled. */
 export interface EnginePick {
   decode: AtHome<RegisteredEndpoint>
-  /** Absent where the decode engine reads the prompt itself, or where it has been read. */
+  /** Absent if the decode engine prefills the prompt itself, or if no prefill is needed. */
   prefill?: AtHome<RegisteredEndpoint>
-  /** Until the prompt has been read, in milliseconds; 0 where it has been. */
+  /** Time until the prompt is prefilled, in milliseconds; 0 if it already is. */
   readsInMs: Millis
-  /** How long it waits behind other prompts of that. */
+  /** The part of that time spent waiting for other prompts, in milliseconds. */
   queuedMs: Millis
-  /** How long the prefill engine may take at most so that another can still read it in time. */
+  /** Time after which to abandon the prefill, in milliseconds, so that another engine can still do it in time. */
   readElsewhereInMs?: Millis
-  /** Tokens that have to be read, as is believed; absent where that is the whole prompt. */
+  /** Prompt tokens that are believed not to be cached; absent if none are cached. */
   readTokens?: number
 }
 
-/** A request that looks for a place, and what it may still wait for. */
+/** A request to be placed, and the limits for its placement. */
 export interface EngineQuery {
   ask: PlaceAsk
   engine: EnginePool
-  /** Whether its first event can still be in time. */
+  /** Whether the first event can still be in time. */
   isInTime: boolean
-  /** Time left until its first event should be there, in milliseconds; below 0 for one that is late. */
+  /** Time left until the first event is due, in milliseconds; negative for a late request. */
   leftMs: Millis
-  /** The share of an engine's memory that it may fill. */
+  /** The share of an engine's memory that may be filled. */
   memoryShare: number
 }
 
-/** What stood behind a decision, for its log line. */
+/** State of the engines at a decision, for its log line. */
 export interface EngineSummary {
-  /** Decode and prefill engines that take work. */
+  /** Numbers of decode and prefill engines that accept work. */
   decoders: number
   readers: number
-  /** The decode engine with the most room: tokens that it comes to hold with the request, and running answers. */
+  /**
+   * The decode engine with the most free memory: its forecast peak with the request, in tokens, and its running
+   * answers.
+   */
   roomiest?: { endpoint: InstanceId; peak: number; running: number }
   /** The prefill engine with the shortest queue. */
   soonest?: { endpoint: InstanceId; queuedMs: Millis }
-  /** Engines that are slower than their peers: how many times, and how old that evidence is. */
+  /** Engines that are slower than their peers, by which factor, and the age of that evidence. */
   slow: SlowEngine[]
-  /** Absent where none is cold. */
+  /** Absent if none is cold. */
   cold?: ColdSummary
 }
--- a/placement/allocator/src/holdIndex.ts
+++ b/placement/allocator/src/holdIndex.ts
@@ -1,17 +1,17 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { Hold } from './allocatorTypes'
 
-/** Holds by one of their engines. */
+/** Holds indexed by one of their engines. */
 export type HoldIndex = Map<InstanceId, Set<Hold>>
 
-/** Adds a hold at an engine. */
+/** Adds a hold to the index under an engine. */
 export function addHold(index: HoldIndex, id: InstanceId, hold: Hold): void {
   const holds = index.get(id) ?? new Set()
   index.set(id, holds)
   holds.add(hold)
 }
 
-/** Takes a hold out; an engine without holds is forgotten. */
+/** Removes a hold from the index; an engine without holds is removed too. */
 export function removeHold(index: HoldIndex, id: InstanceId, hold: Hold): void {
   const holds = index.get(id)
   holds?.delete(hold)
--- a/placement/allocator/src/holdRegistry.ts
+++ b/placement/allocator/src/holdRegistry.ts
@@ -7,27 +7,27 @@
 import { LocalPrefills } from './localPrefills'
 import { peakMemory, type GrowingAnswer } from './peakMemory'
 
-/** A hold that its entry does not name is dropped once it is this old: before that its place may be on its way. */
+/** A hold that its entry does not report is removed at this age; before that its placement may be in transit. */
 const UNREPORTED_HOLD_MS = 1_000
-/** What an answer made before it was first heard of counts as so much time. */
+/** The first report of an answer counts as this much decoding time at most. */
 const MAX_FIRST_REPORT_MS = 1_000
-/** Of a shorter time the way to the engine and the first event are too large a part. */
+/** First reports of less decoding time are ignored: network delay and the first event would distort the pace. */
 const MIN_FIRST_REPORT_MS = 800
-/** An engine that reads a prompt itself still makes some tokens between its pieces; they count at least so much time. */
+/** Least share of decoding time: during a local prefill an engine still generates some tokens between chunks. */
 const MIN_DECODING_SHARE = 0.2
-/** An answer whose entry still reports it where it was so long after it should have left has stayed there. */
+/** A migration has failed if the entry still reports the answer at its old engine after this time. */
 const MIGRATION_TIMEOUT_MS = 3_000
 const NO_HOLDS: ReadonlySet<Hold> = new Set()
 
 /** Options of {@link HoldRegistry}. */
 export interface HoldRegistryOptions {
-  /** How sure a forecast of a length must be, from 0 to 1. */
+  /** Probability, from 0 to 1, with which an answer must stay within its forecast length. */
   lengthCertainty: number
   pace: EnginePace
   forecast: LengthForecast
 }
 
-/** What a decode engine's answers hold and will come to hold, as forecast at one time. */
+/** Memory that a decode engine's answers hold and will need, as forecast at one time. */
 interface MemoryForecast {
   at: Millis
   growing: GrowingAnswer[]
@@ -35,18 +35,18 @@
   held: number
 }
 
-/** The places that are taken, and what they hold and will come to hold. */
+/** Holds of all placed requests, with the memory that they use and will need. */
 export class HoldRegistry {
   private readonly holds = new Map<string, Hold>()
   private readonly byDecode: HoldIndex = new Map()
   private readonly byPrefill: HoldIndex = new Map()
-  /** Forecasts are worked out once for all requests that look for a place at one time. */
+  /** Forecasts are computed once for all requests that are placed at one time. */
   private readonly forecasts = new Map<InstanceId, MemoryForecast>()
   private readonly asked = new WeakMap<PlaceAsk, { at: Millis; growing: GrowingAnswer }>()
 
-  /** What decode engines read themselves. */
+  /** Prefills that decode engines run themselves. */
   readonly localPrefills = new LocalPrefills()
-  /** When each prefill engine last ended a prompt. */
+  /** When each prefill engine last finished a prompt. */
   private readonly prefillEndedAt = new Map<InstanceId, Millis>()
 
   constructor(private readonly options: HoldRegistryOptions) {}
@@ -78,7 +78,7 @@
     this.forecasts.delete(hold.decode)
   }
 
-  /** Notes that a request's prompt has been read, or when its decode engine will have read it. */
+  /** Records when decoding begins: now, or when the decode engine will have prefilled the prompt. */
   recordDecoding(hold: Hold, at: Millis, isLocal: boolean): void {
     hold.decodingAt = at
     if (isLocal) this.localPrefills.extend(hold.decode, at)
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Takes what an entry says it holds: adopts what is not known here, drops what it no longer names.
-   * @returns decode engines that have made tokens since the last report.
+   * Applies an entry's report: adopts holds that are unknown here, removes those that it no longer names.
+   * @returns decode engines that have generated tokens since the last report.
    */
   applyReport(entry: string, reported: ReportedHold[], now: Millis): InstanceId[] {
     const named = new Set(reported.map((one) => one.ask.request))
@@ -98,7 +98,7 @@
     return reported.filter((one) => this.applyReportedHold(one, now)).map(({ decode }) => decode)
   }
 
-  /** Drops what an entry held that is gone. */
+  /** Removes the holds of an entry that is gone. */
   removeEntry(entry: string): void {
     this.removeWhere(({ ask }) => ask.entry === entry)
   }
@@ -113,7 +113,7 @@
     return this.holdsAt(decode).size
   }
 
-  /** How long an engine is forecast to be busy with what it has, in milliseconds. */
+  /** Returns how long an engine is forecast to be busy with its current work, in milliseconds. */
   freeInMs(id: InstanceId, now: Millis): Millis {
     const perToken = this.options.pace.msPerToken(id, now)
     const { growing } = this.memoryForecast(id, now)
@@ -121,10 +121,7 @@
     return Math.max(decodingMs, this.prefillWaitMs(id, now))
   }
 
-  /**
-   * The most memory, in tokens, that an engine comes to hold with one more request; Infinity where it is known to be
-   * more than `limit`.
-   */
+  /** Returns an engine's forecast peak with one more request, in tokens; Infinity if it is known to exceed `limit`. */
   peakWith(ask: PlaceAsk, decode: InstanceId, limit: number, now: Millis): number {
     const { growing, held } = this.memoryForecast(decode, now)
     const added = this.askForecast(ask, now)
@@ -132,7 +129,7 @@
     return peakMemory([...growing, added])
   }
 
-  /** How long a prompt waits at a prefill engine until it is its turn, in milliseconds. */
+  /** Returns how long a new prompt would wait in a prefill engine's queue, in milliseconds. */
   prefillWaitMs(prefill: InstanceId, now: Millis): Millis {
     const { pace } = this.options
     const msOf = ({ ask, readTokens }: Hold) => pace.prefillMsAt(prefill, readTokens ?? ask.promptTokens, now)
@@ -140,49 +137,52 @@
   }
 
   /**
-   * How many times longer than it should the prompt that a prefill engine reads now has taken already; 0 where it
-   * reads none. What is under way and late is the earliest sign of an engine that has turned slow.
+   * Returns the time spent on a prefill engine's current prompt as a multiple of the expected time; 0 if it has none.
+   * A late prompt in progress is the earliest sign of a slow engine.
    */
   overdueFactor(prefill: InstanceId, now: Millis): number {
     const { pace } = this.options
     const first = this.prefillingAt(prefill).sort((left, right) => left.placedAt - right.placedAt)[0]
-    // What another one placed may have waited behind what this one does not know.
+    // An adopted prompt may have waited behind prompts that are unknown here.
     if (first === undefined || first.isAdopted === true) return 0
     const since = Math.max(first.placedAt, this.prefillEndedAt.get(prefill) ?? -Infinity)
     return (now - since) / (pace.prefillMs(first.ask.promptTokens) + pace.prefillLatencyMs())
   }
 
   /**
-   * Notes that a prompt's step at its prefill engine has ended, and learns the engine's pace from it.
-   * @param tookMs from the sending of the prompt.
-   * @param isGivenUp whether it was not read in that time.
+   * Records the end of a prefill step, and learns the engine's pace from it.
+   * @param tookMs time since the prompt was sent, in milliseconds.
+   * @param isGivenUp whether the step was abandoned before it finished.
    */
   recordPrefillEnd(hold: Hold, tookMs: Millis, isGivenUp: boolean, now: Millis): void {
     const { prefill, isAdopted, ask } = hold
     if (prefill === undefined) return
     const busyMs = this.prefillTimeMs(hold, tookMs, now)
     this.prefillEndedAt.set(prefill, now)
-    // Another engine may have read it before this one, or this one itself: what it kept is not read again.
+    // A prompt that was sent before may be cached: its duration does not show the pace.
     if (isAdopted === true || ask.except.length > 0) return
     const isAlone = hold.isReadAlone === true
     const read = { promptTokens: ask.promptTokens, readTokens: hold.readTokens, isAlone, isGivenUp }
     this.options.pace.learnPrefill(prefill, { ...read, tookMs: busyMs }, now)
   }
 
-  /** How long a prefill engine was busy with a prompt at most: since its sending, or since the one before it ended. */
+  /**
+   * Returns the longest time an engine can have been busy with a prompt: since its sending or the end of the last
+   * one.
+   */
   prefillTimeMs({ prefill, isReadAlone }: Hold, tookMs: Millis, now: Millis): Millis {
     const freeForMs = now - (this.prefillEndedAt.get(prefill ?? '') ?? -Infinity)
     return isReadAlone === true ? tookMs : Math.min(tookMs, freeForMs)
   }
 
-  /** How many tokens an answer is forecast to have, as surely as forecasts must be. */
+  /** Returns the forecast length of an answer, in tokens, at the configured certainty. */
   forecastLength(ask: PlaceAsk): number {
     const { forecast, lengthCertainty } = this.options
     const prior = forecast.predict(ask.className, ask.hintTokens, ask.mostTokens)
     return lengthQuantile(prior, 0, ask.mostTokens, lengthCertainty)
   }
 
-  /** The memory that a request will hold, over the tokens that it makes meanwhile: tokens times tokens. */
+  /** Returns the memory that a request will hold, summed over its decode steps: tokens times steps. */
   forecastTokenSteps(ask: PlaceAsk): number {
     const { forecast } = this.options
     const prior = forecast.predict(ask.className, ask.hintTokens, ask.mostTokens)
@@ -190,14 +190,14 @@
     return (ask.promptTokens + length / 2) * length
   }
 
-  /** Learns from a whole answer. */
+  /** Learns from a complete answer. */
   learnAnswer(hold: Hold, madeTokens: number, now: Millis): void {
     this.options.forecast.learn(hold.ask.className, hold.ask.hintTokens, madeTokens)
     if (hold.made !== undefined) return this.learnProgress(hold, madeTokens, now - hold.made.at, now)
     if (hold.decodingAt !== undefined) this.learnProgress(hold, madeTokens, now - hold.decodingAt, now)
   }
 
-  /** Takes what is said of one request; says whether tokens have been made since the last time. */
+  /** Applies the report of one hold; returns whether tokens were generated since the last report. */
   private applyReportedHold(reported: ReportedHold, now: Millis): boolean {
     const { ask, prefill, decode, ageMs, decodingForMs, madeTokens } = reported
     const decodingAt = decodingForMs === undefined ? undefined : now - decodingForMs
@@ -214,15 +214,15 @@
     return hasMade
   }
 
-  /** The entry's own clock says what passed between its reports, however late they come. */
+  /** Learns from the time between reports by the entry's own clock, which late delivery does not change. */
   private learnReport(hold: Hold, madeTokens: number, decodingForMs: Millis, now: Millis): void {
     if (hold.made === undefined) return this.learnFirstReport(hold, madeTokens, decodingForMs, now)
     this.learnProgress(hold, madeTokens, decodingForMs - hold.made.forMs, now)
   }
 
   /**
-   * Follows an answer to the engine where its entry reports it. Only of one that was `there` before does its progress
-   * say something of that engine: what one that has `arrived` made since the last report was made at two.
+   * Assigns a hold to the engine where its entry reports the answer. Progress shows the engine's pace only if the
+   * answer was `there` before: once `arrived`, the tokens since the last report come from two engines.
    */
   private syncEngine(hold: Hold, decode: InstanceId, now: Millis): 'there' | 'arrived' | 'leaving' {
     const { leaves } = hold
@@ -235,7 +235,7 @@
     return 'arrived'
   }
 
-  /** Notes that an answer is to go on at another engine: what it holds counts there from now on. */
+  /** Records that an answer migrates to another engine, where its memory counts from now on. */
   migrate(hold: Hold, to: InstanceId, now: Millis): void {
     hold.leaves = { from: hold.decode, since: now }
     this.reassign(hold, to)
@@ -249,22 +249,22 @@
     this.forecasts.delete(decode)
   }
 
-  /** The running answers of an entry's requests. */
+  /** Returns the holds of an entry whose answers are running. */
   runningOf(entry: string): Hold[] {
     return [...this.holds.values()].filter(({ ask, made }) => ask.entry === entry && made !== undefined)
   }
 
-  /** How many tokens an answer is forecast to make yet. */
+  /** Returns how many more tokens an answer is forecast to generate. */
   remainingTokens(hold: Hold, now: Millis): number {
     return this.forecastHold(hold, now).remaining
   }
 
-  /** The most memory, in tokens, that an engine comes to hold with an answer that runs elsewhere. */
+  /** Returns the forecast peak memory of an engine, in tokens, if a running answer migrates there. */
   peakWithMigrated(hold: Hold, decode: InstanceId, now: Millis): number {
     return peakMemory([...this.memoryForecast(decode, now).growing, this.forecastHold(hold, now)])
   }
 
-  /** Learns from what an answer has made since it was last heard of. */
+  /** Learns the engine's pace from the tokens generated since the last report. */
   private learnProgress(hold: Hold, madeTokens: number, passedMs: Millis, now: Millis): void {
     const tokens = Math.max(0, madeTokens - (hold.made?.tokens ?? 0))
     const decodedMs = passedMs - this.localPrefillMsWithin(hold.decode, now - passedMs, now)
@@ -276,14 +276,14 @@
     )
   }
 
-  /** Of an answer that was not heard of before, its whole course counts as much as one report. */
+  /** Learns from the first report of an answer, which counts as much as any later report. */
   private learnFirstReport(hold: Hold, madeTokens: number, decodingForMs: Millis, now: Millis): void {
     if (decodingForMs < MIN_FIRST_REPORT_MS) return
     const share = Math.min(1, MAX_FIRST_REPORT_MS / decodingForMs)
     this.options.pace.learnDecoding(hold.decode, madeTokens * share, decodingForMs * share, now)
   }
 
-  /** How long a decode engine was busy reading prompts itself, in a span of time. */
+  /** Returns how long a decode engine was busy with local prefills in a time span, in milliseconds. */
   private localPrefillMsWithin(decode: InstanceId, from: Millis, until: Millis): Millis {
     let sum = 0
     for (const { prefill, ask, decodingAt, placedAt } of this.holdsAt(decode)) {
@@ -293,7 +293,7 @@
     return Math.min(sum, until - from)
   }
 
-  /** Whether a prompt is being read at a prefill engine. */
+  /** Whether a prefill engine has a prompt that is not finished. */
   isPrefilling(prefill: InstanceId): boolean {
     return this.prefillingAt(prefill).length > 0
   }
@@ -302,7 +302,7 @@
     return [...(this.byPrefill.get(prefill) ?? NO_HOLDS)].filter((hold) => hold.decodingAt === undefined)
   }
 
-  /** The places at a decode engine. */
+  /** Returns the holds on a decode engine. */
   holdsAt(decode: InstanceId): ReadonlySet<Hold> {
     return this.byDecode.get(decode) ?? NO_HOLDS
   }
@@ -333,7 +333,7 @@
     return this.forecastAsk(hold.ask, this.estimateMade(hold, now))
   }
 
-  /** Tokens that an answer has made: as its entry said last, and since then by its engine's pace. */
+  /** Estimates the tokens of an answer: those last reported, and since then by its engine's pace. */
   private estimateMade(hold: Hold, now: Millis): number {
     const rate = this.options.pace.msPerToken(hold.decode, now)
     if (hold.made !== undefined) return hold.made.tokens + (now - hold.made.at) / rate
--- a/placement/allocator/src/index.ts
+++ b/placement/allocator/src/index.ts
@@ -1,4 +1,4 @@
-/** Places model requests for all entries. */
+/** Places the model requests of all entries on engines. */
 export { Allocator } from './allocator'
 export { EnginePace } from './enginePace'
 export type { OnEnginePaceChange, PrefillSample } from './enginePace'
--- a/placement/allocator/src/instanceHealth.ts
+++ b/placement/allocator/src/instanceHealth.ts
@@ -3,21 +3,21 @@
 import type { UseOutcome } from './allocatorTypes'
 
 interface Health {
-  /** A moving share of failed uses. */
+  /** Moving average of the share of failed uses. */
   failureRate: number
-  /** Ejections since the last good use. */
+  /** Ejections since the last successful use. */
   ejections: number
   ejectedUntil: Millis
-  /** When a use last ended well, or went on well. */
+  /** When a use last succeeded, or made progress. */
   lastSuccessAt: Millis
-  /** Refused connections since the last good use. */
+  /** Refused connections since the last successful use. */
   unreachableCount: number
-  /** When the first of them was. */
+  /** When the first of these connections was refused. */
   unreachableSince: Millis
   isGone: boolean
-  /** Refusals in a row for want of room. */
+  /** Consecutive refusals for lack of capacity. */
   fullCount: number
-  /** Gets no work before this time, since it said that it has no room. */
+  /** The instance gets no work before this time, since it reported a lack of capacity. */
   fullUntil: Millis
 }
 
@@ -29,18 +29,18 @@
 const MAX_EJECTION_MS = 8_000
 const FAILURE_RATE_AFTER_EJECTION = 0.3
 const EJECTIONS_UNTIL_LOST = 3
-/** Where nobody listens the process has ended; a second refusal of the connection rules out a slip of the network. */
+/** If no process listens, it has ended; a second refused connection rules out a network glitch. */
 const UNREACHABLES_UNTIL_LOST = 2
-/** An instance that refused this often in a row is busy with something else than a moment's load. */
+/** Refusals in a row that have another cause than a short load peak. */
 const REFUSALS_UNTIL_BUSY = 3
 
-/** What is believed of instances from how their uses ended. */
+/** Tracks the health of instances by the outcomes of their uses. */
 export class InstanceHealth {
   private readonly known = new Map<InstanceId, Health>()
 
   /**
-   * Notes how a use ended; returns how long the instance is out now, or 0.
-   * @param tookMs how long the use took: an instance that answered another meanwhile was not silent but busy.
+   * Records the outcome of a use; returns for how long the instance is ejected now, in milliseconds, or 0.
+   * @param tookMs duration of the use: an instance that answered another one meanwhile was busy rather than silent.
    */
   record(id: InstanceId, outcome: UseOutcome, now: Millis, tookMs: Millis = 0): Millis {
     const health = this.known.get(id) ?? newHealth()
@@ -53,7 +53,10 @@
     return isFailure ? this.recordFailure(health, outcome, now) : 0
   }
 
-  /** Notes that answers go on there: their ends are seconds apart, and one that makes them is not silent. */
+  /**
+   * Records that answers make progress: their ends are seconds apart, and an instance that generates tokens is not
+   * silent.
+   */
   recordProgress(id: InstanceId, now: Millis): void {
     const health = this.known.get(id) ?? newHealth()
     this.known.set(id, health)
@@ -66,19 +69,21 @@
     return health === undefined || (!health.isGone && health.ejectedUntil <= now)
   }
 
-  /** Whether an instance said a moment ago that it has no room, whatever is believed of it here. */
+  /** Whether an instance reported a lack of capacity a moment ago, whatever is forecast here. */
   isFull(id: InstanceId, now: Millis): boolean {
     return (this.known.get(id)?.fullUntil ?? 0) > now
   }
 
-  /** Whether an instance has refused again and again with no good use between. */
+  /** Whether an instance has refused repeatedly without a successful use in between. */
   isBusy(id: InstanceId): boolean {
     return (this.known.get(id)?.fullCount ?? 0) >= REFUSALS_UNTIL_BUSY
   }
 
   /**
-   * Whether an instance was out again and again without a good use between: more than a moment's trouble.
-   * @param returnMs how long one whose process has ended may take to be back, so that nobody need take its part.
+   * Whether an instance was ejected repeatedly without a successful use in between, which is more than a passing
+   * fault.
+   * @param returnMs time in which an instance whose process has ended may return, in milliseconds, so that no other
+   * need take its stage.
    */
   isLost(id: InstanceId, now: Millis, returnMs: Millis): boolean {
     const health = this.known.get(id)
@@ -112,7 +117,7 @@
     if (health.ejectedUntil > now) return 0
     if (outcome !== 'unreachable' && health.failureRate <= EJECT_FAILURE_RATE) return 0
     const backoffMs = Math.min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2 ** health.ejections)
-    // Each further try costs a request whose prompt has been read.
+    // Each further attempt costs a request whose prompt has been prefilled.
     const forMs = health.unreachableCount >= UNREACHABLES_UNTIL_LOST ? MAX_EJECTION_MS : backoffMs
     health.ejections += 1
     health.failureRate = FAILURE_RATE_AFTER_EJECTION
@@ -140,7 +145,7 @@
   health.unreachableCount += 1
 }
 
-/** What is believed of its memory is wrong: waits longer with each refusal in a row. */
+/** Pauses an instance whose memory was forecast wrongly, longer with each refusal in a row. */
 function recordFull(health: Health, now: Millis): void {
   health.fullUntil = now + Math.min(MAX_FULL_PAUSE_MS, MIN_FULL_PAUSE_MS * 2 ** health.fullCount)
   health.fullCount += 1
--- a/placement/allocator/src/lengthForecast.ts
+++ b/placement/allocator/src/lengthForecast.ts
@@ -1,31 +1,31 @@
 import { normalCdf, normalQuantile } from './normalDistribution'
 
-/** What is known of one answer's length before it runs. */
+/** Prediction of an answer's length before it runs. */
 export interface LengthPrior {
   /** Mean of the logarithm of the length in tokens. */
   mu: number
-  /** Spread of the logarithm. */
+  /** Standard deviation of the logarithm. */
   sigma: number
 }
 
-/** Counts as this many answers seen, so that the first few do not decide alone. */
+/** The prior counts as this many answers, so that the first few do not decide alone. */
 const PRIOR_WEIGHT = 8
 const PRIOR_SLOPE = 0.7
 const PRIOR_SIGMA = 0.5
 const PRIOR_SHARE_OF_MAX = 0.35
 const MIN_SIGMA = 0.1
-/** Answers seen earlier count less: about the last two hundred decide. */
+/** Decay per answer: about the last two hundred decide. */
 const DECAY = 0.995
 
 /**
- * Learns how an answer's length follows from the caller's guess: a line through the logarithms, with the
- * spread around it, learned by class. A guess is right in the median and often far off, so the line lies
- * between the guess and the class's own mean.
+ * Learns per class how an answer's length depends on the caller's hint: a line through the logarithms, with the
+ * spread around it. A hint is right in the median and often far off, so the line lies between the hint and the mean
+ * of the class.
  */
 export class LengthForecast {
   private readonly classes = new Map<string, Sums>()
 
-  /** What to expect of an answer. */
+  /** Predicts the length of an answer. */
   predict(className: string, hint: number | undefined, maxTokens: number): LengthPrior {
     const sums = this.classes.get(className)
     if (sums === undefined) return priorPrediction(hint, maxTokens)
@@ -34,7 +34,7 @@
     return { mu: meanY + slope * (Math.log(Math.max(1, hint)) - meanX), sigma }
   }
 
-  /** Learns from a whole answer. */
+  /** Learns from a complete answer. */
   learn(className: string, hint: number | undefined, tokens: number): void {
     const y = Math.log(Math.max(1, tokens))
     const x = hint === undefined ? y : Math.log(Math.max(1, hint))
@@ -83,10 +83,7 @@
   return Math.max(MIN_SIGMA, Math.sqrt(Math.max(0, sums.yy / sums.n - meanY ** 2)))
 }
 
-/**
- * The length, in tokens, that an answer which has made `made` tokens already stays below with the given
- * probability.
- */
+/** Returns the length, in tokens, below which an answer with `made` tokens so far stays with the given probability. */
 export function lengthQuantile(
   prior: LengthPrior,
   made: number,
--- a/placement/allocator/src/migrationPlanner.ts
+++ b/placement/allocator/src/migrationPlanner.ts
@@ -11,7 +11,7 @@
   choice: EngineChoice
   engine: (service: string) => EnginePool | undefined
   endpoints: () => RegisteredEndpoint[]
-  /** Whether an engine changes its part: it first ends what runs there. */
+  /** Whether an engine is changing its stage; it first finishes its running answers. */
   isChanging: (id: InstanceId, now: Millis) => boolean
   /** The share of an engine's memory that forecasts may fill. */
   memoryShare: number
@@ -21,14 +21,14 @@
 const WORTHWHILE_MS = 800
 
 /**
- * Decides which running answers should go on at another engine: those whose engine has turned too slow for them,
- * leaves before they end, or changes its part as soon as they have ended. An answer that is cut has been read and made in
- * vain, and an engine that waits for answers to end does nothing else.
+ * Decides which running answers should migrate to another engine: those whose engine has become too slow for them,
+ * leaves before they end, or changes its stage as soon as they have ended. An answer that is cut off has wasted its
+ * prefill and decoding, and an engine that waits for answers to end does nothing else.
  */
 export class MigrationPlanner {
   constructor(private readonly options: MigrationPlannerOptions) {}
 
-  /** Plans moves of some answers and counts what they hold where they go. */
+  /** Plans migrations of answers, and counts their memory at the new engines. */
   plan(running: Hold[], now: Millis): AnswerMove[] {
     const known = new Map(this.options.endpoints().map((endpoint) => [endpoint.id, endpoint]))
     const moves: AnswerMove[] = []
@@ -52,7 +52,7 @@
     const tokens = holds.remainingTokens(hold, now)
     if (choice.decodingMs(tokens, hold.decode, now) < WORTHWHILE_MS) return undefined
     const { placedAt, decode } = hold
-    // What its entry had to leave alone when it asked says nothing of now.
+    // The engines to avoid when the request was made are out of date.
     const ask = { ...hold.ask, avoid: undefined }
     const answer = { tokens, endsWithinMs: ask.leftMs - (now - placedAt), pauseMs: ask.pauseMs }
     const isLeaving = known.get(decode)?.state !== 'ready' || isChanging(decode, now)
--- a/placement/allocator/src/peakMemory.ts
+++ b/placement/allocator/src/peakMemory.ts
@@ -1,12 +1,12 @@
-/** A running answer: what it holds now and how many tokens are still to come, at one token a step. */
+/** A running answer: the tokens that it holds now, and those that are still to be generated, one per step. */
 export interface GrowingAnswer {
   held: number
   remaining: number
 }
 
 /**
- * The most memory, in tokens, that a set of answers comes to hold: all grow alike, and each frees what it
- * holds when it ends, so that the peak lies just before one of the ends.
+ * Returns the peak memory of a set of answers, in tokens. All grow by one token per step, and each frees its memory
+ * when it ends, so the peak lies just before one of the ends.
  */
 export function peakMemory(answers: GrowingAnswer[]): number {
   const byEnd = [...answers].sort((left, right) => left.remaining - right.remaining)
--- a/placement/allocator/src/peerPace.ts
+++ b/placement/allocator/src/peerPace.ts
@@ -3,68 +3,68 @@
 import { WorkPace } from './workPace'
 
 /**
- * From so many times the time of its peers on an engine is slow. Engines that are well differ by a third at most, by
- * how many answers run there (0.58 to 0.77 ms a token were seen).
+ * An engine is slow from this multiple of its peers' time. Healthy engines differ by a third at most, depending on
+ * how many answers run there (0.58 to 0.77 ms per token).
  */
 export const SLOW_FACTOR = 1.8
-/** Below so many times the time of its peers a slow engine is well again. */
+/** A slow engine has recovered below this multiple of its peers' time. */
 const RECOVERED_FACTOR = 1.4
-/** So long after something was last seen of a slow engine it is tried again: each try may be an answer that is late. */
+/** A slow engine that was not observed for this time is tried again; each try may make an answer late. */
 const RETRY_AFTER_MS = 3_000
-/** Engines of one model differ by build by this factor at most, either way; a fleet of 1.0 and 1.3 was seen. */
+/** Engines of one model differ by hardware by at most this factor, either way; there are fleets of 1.0 and 1.3. */
 const MAX_BUILD_RATIO = 1.6
-/** The time in which the belief of an engine's build follows two thirds: longer than a fault or a peak of work lasts. */
+/** Time in which the build estimate covers two thirds of a change: longer than a fault or a load peak lasts. */
 const BUILD_MEMORY_MS = 30_000
-/** What was seen at one time speaks for so much time at most: an engine may have rested before. */
+/** One observation counts for this much time at most, since the engine may have been idle before. */
 const MAX_BUILD_STEP_MS = 500
-/** The peers' pace is worked out anew after this time: as often as whoever places looks at what waits. */
+/** The peers' pace is computed again after this time, which is as often as the allocator checks its queue. */
 const TYPICAL_INTERVAL_MS = 25
-/** The time in which the peers' pace comes two thirds of the way to a slower one: longer than a passing peak of work. */
+/** Time in which the peers' pace covers two thirds of a change to a slower one: longer than a passing load peak. */
 const RISE_MS = 3_000
 
-/** One engine's pace beside that of its peers. */
+/** An engine's pace compared with its peers. */
 export interface PaceView {
-  /** Milliseconds for a unit of work. */
+  /** Milliseconds per unit of work. */
   ms: Millis
-  /** The same of its peers: their lower median. */
+  /** Milliseconds per unit of work of its peers: their lower median. */
   peersMs: Millis
-  /** How many times its peers' time it takes while it is well. */
+  /** Its time as a multiple of its peers' while it is healthy. */
   build: number
-  /** How many times slower than its own past, beside what its peers do now. */
+  /** How many times slower it is than in the past, relative to its peers' current pace. */
   slowness: number
-  /** How long ago something was last seen of it; Infinity where nothing was. */
+  /** Time since it was last observed, in milliseconds; Infinity if it never was. */
   ageMs: Millis
 }
 
 interface EngineRecord {
   pace: WorkPace
-  /** Whether it was slow when something was last seen of it. */
+  /** Whether it was slow when last observed. */
   isSlow: boolean
-  /** Its pace when something was last seen of it. */
+  /** Its pace when last observed, in milliseconds per unit of work. */
   lastMs: Millis
-  /** How many times its peers' time it takes while it is well, as is believed. */
+  /** Estimate of its time as a multiple of its peers' while it is healthy. */
   build: number
 }
 
-/** Tells when an engine has turned slow, or is well again. */
+/** Called when an engine turns slow, or has recovered. */
 export type OnPaceChange = (id: InstanceId, isSlow: boolean, view: PaceView) => void
 
 /**
- * The pace of engines that do the same work. An engine is slow in comparison with its own past beside its peers only:
- * when all are slow alike, the work has changed, or there is too much of it.
+ * Tracks the pace of engines that do the same work. An engine is slow only relative to its own past and to its peers:
+ * if all are slow alike, the work has changed or there is too much of it.
  */
 export class PeerPace {
   private readonly known = new Map<InstanceId, EngineRecord>()
-  /** The peers' pace when it was last known. */
+  /** The peers' pace when last computed, in milliseconds per unit of work. */
   private peersMs: Millis
   private peersAt: Millis = -Infinity
   private hasSeen = false
   private readonly isInitialGuess: boolean
 
   /**
-   * @param first what is believed of a unit of work before anything was seen; `isGuess` where the first evidence is
-   *   better than that.
-   * @param memoryMs after this time what was seen counts for a third.
+   * @param first time per unit of work assumed before any observation; `isGuess` if the first observation replaces
+   * it.
+   * @param memoryMs age at which an observation counts for a third, in milliseconds.
    */
   constructor(
     first: { ms: Millis; isGuess: boolean },
@@ -80,12 +80,12 @@
     return this.hasSeen
   }
 
-  /** How many engines have shown something. */
+  /** Number of engines that have been observed. */
   get count(): number {
     return this.known.size
   }
 
-  /** Takes work that an engine did in a time, or the lack of it. */
+  /** Learns from the work that an engine did in a time, which may be none. */
   learn(id: InstanceId, work: number, tookMs: Millis, now: Millis): void {
     if (!(tookMs > 0) || !(work >= 0)) return
     const one = this.known.get(id) ?? {
@@ -104,7 +104,7 @@
     this.updateBuild(one, Math.min(restedMs, MAX_BUILD_STEP_MS), now)
   }
 
-  /** One engine's pace, as far as it is known. */
+  /** Returns an engine's pace; that of its peers if it was never observed. */
   view(id: InstanceId, now: Millis): PaceView {
     const peersMs = this.typicalMs(now)
     const one = this.known.get(id)
@@ -116,19 +116,19 @@
     return { ms, peersMs, build, slowness: ms / (peersMs * build), ageMs }
   }
 
-  /** Whether an engine was slow when last seen, so long ago that it may be well again. */
+  /** Whether an engine was slow when last observed, long enough ago that it may have recovered. */
   isUnproven(id: InstanceId, now: Millis): boolean {
     const one = this.known.get(id)
     return one?.isSlow === true && now - one.pace.lastSeenAt >= RETRY_AFTER_MS
   }
 
   /**
-   * The pace of engines that are well: the lower median, so that of two the faster one counts. One that was not seen
-   * lately counts as it was believed. It rises by and by, since a single engine that is known, or the only one at
-   * work, may be the slow one.
+   * Returns the pace of healthy engines, in milliseconds per unit of work: the lower median, so that of two engines
+   * the faster one counts. Without recent observations an engine's pace drifts back to the typical one. The value
+   * rises only gradually, since the only engine that is known or at work may be the slow one.
    */
   typicalMs(now: Millis): Millis {
-    // Asked for each engine and each request that looks for a place: worked out once in a while for all of them.
+    // Called for each engine and each waiting request, so the result is reused for a while.
     if (now - this.peersAt < TYPICAL_INTERVAL_MS) return this.peersMs
     const rates = [...this.known.values()].map(({ pace }) => pace.msPerUnit(this.peersMs, now))
     rates.sort((left, right) => left - right)
@@ -140,7 +140,7 @@
     return this.peersMs
   }
 
-  /** Forgets what one engine has shown. */
+  /** Forgets the observations of one engine. */
   forget(id: InstanceId): void {
     this.known.delete(id)
   }
@@ -150,13 +150,13 @@
     for (const id of this.known.keys()) if (!ids.has(id)) this.known.delete(id)
   }
 
-  /** The first evidence takes the place of a guess. */
+  /** Replaces a guessed pace by the first observation. */
   private setInitialPace(ms: Millis, now: Millis): void {
     if (this.isInitialGuess) this.peersMs = ms
     this.peersAt = now
   }
 
-  /** An engine that is well shows by and by how it is built. */
+  /** Updates the build estimate from the pace of a healthy engine. */
   private updateBuild(one: EngineRecord, forMs: Millis, now: Millis): void {
     if (one.isSlow || !one.pace.hasEnoughData(now)) return
     const ratio = one.pace.msPerUnit(this.peersMs, now) / this.typicalMs(now)
--- a/placement/allocator/src/placementQueue.ts
+++ b/placement/allocator/src/placementQueue.ts
@@ -2,37 +2,37 @@
 import type { PlaceAsk, PlaceDecision } from './allocatorTypes'
 import { FadingSum } from '@forkstage/rates'
 
-/** A request that waits for a place. */
+/** A request that waits for a placement. */
 export interface WaitingRequest {
   ask: PlaceAsk
   since: Millis
-  /** Whether it has been decided that waiting on is worth it. */
+  /** Whether a placement was found to be in sight, so that the request keeps waiting; decided once. */
   hasProspect: boolean
   resolve: (decision: PlaceDecision) => void
 }
 
-/** Which go first of those that can be in time. */
+/** Which requests go first among those that can be in time. */
 export type QueueOrder = 'returns-first' | 'by-age' | 'returns-last'
 
-/** Groups of one order: callers that came back, and those that come first. */
+/** Priority groups of each order: callers that retry, and those that come for the first time. */
 const GROUPS = {
   'returns-first': { back: 1, first: 2 },
   'by-age': { back: 1, first: 1 },
   'returns-last': { back: 2, first: 1 },
 } as const
 
-/** The time over which ends of uses are averaged. */
+/** The time over which the rate of ended requests is averaged. */
 const END_RATE_MEMORY_MS = 2_000
-/** An expected wait is taken this much longer: some ends do not make room enough for the next request. */
+/** Safety factor on the expected wait: some ended requests do not free enough memory for the next one. */
 const WAIT_FACTOR = 2
 
-/** Requests that wait for a place, in the order in which they get one, and what they may hope for. */
+/** Requests that wait for a placement, in the order in which they are placed, with their expected waits. */
 export class PlacementQueue {
   private waiting: WaitingRequest[] = []
-  /** Ends of uses by service: each makes room for about one request. */
+  /** Rate of ended requests by service: each makes room for about one request. */
   private readonly ends = new Map<string, FadingSum>()
 
-  /** @param slackOf time that a request may still wait and be in time, in milliseconds. */
+  /** @param slackOf returns how long a request may still wait and be in time, in milliseconds. */
   constructor(
     private readonly slackOf: (one: WaitingRequest, now: Millis) => Millis,
     private readonly order: QueueOrder,
@@ -46,23 +46,23 @@
     this.waiting.push(one)
   }
 
-  /** How many wait for the engines that a request could use, came for the first time and can still be in time. */
+  /** Returns how many waiting requests for the same engines came for the first time and can still be in time. */
   countNew({ service, regions }: PlaceAsk, now: Millis): number {
-    // Only those bound to the same regions surely wait for the same engines.
+    // Only requests bound to the same regions certainly wait for the same engines.
     const isSame = ({ ask }: WaitingRequest) =>
       ask.service === service && String(ask.regions) === String(regions)
     const isFirst = (one: WaitingRequest) => isSame(one) && !one.ask.isReturn
     return this.waiting.filter((one) => isFirst(one) && this.isInTime(one, now)).length
   }
 
-  /** Takes out what fits and returns it. */
+  /** Removes the matching requests and returns them. */
   removeWhere(isRemoved: (one: WaitingRequest) => boolean): WaitingRequest[] {
     const removed = this.waiting.filter(isRemoved)
     if (removed.length > 0) this.waiting = this.waiting.filter((one) => !removed.includes(one))
     return removed
   }
 
-  /** Takes out what waits for services that are told apart; each is asked for once. */
+  /** Removes the requests of matching services and returns them; each service is checked once. */
   removeServices(isRemoved: (service: string) => boolean): WaitingRequest[] {
     const services = new Set(this.waiting.map(({ ask }) => ask.service))
     const removed = new Set([...services].filter(isRemoved))
@@ -74,10 +74,11 @@
   }
 
   /**
-   * The order in which requests get places: those whose answer has begun, which nobody else can end, and those whose
-   * prompt is read already; those that can still be in time, whose
-   * sending failed, then new ones, then callers that came back, as the order says; late ones, whose sending failed
-   * first: an engine has most likely read their prompt and keeps it, and was paid for it. Then by rank and age.
+   * Returns the requests in the order in which they are placed. First come those whose answer has begun, which no
+   * other request can complete; then those whose prompt is prefilled, and those in time whose sending failed; then
+   * new requests and retries in time, in the configured order; then late ones, those whose sending failed first,
+   * since an engine has most likely prefilled and cached their prompt. Within a group they are ordered by priority
+   * and age.
    */
   inOrder(now: Millis): WaitingRequest[] {
     const groups = new Map(this.waiting.map((one) => [one, this.groupOf(one, now)]))
@@ -89,14 +90,17 @@
     )
   }
 
-  /** Notes that a use of a service's engines has ended. */
+  /** Records that a request of a service has ended. */
   recordEnd(service: string, now: Millis): void {
     const ends = this.ends.get(service) ?? new FadingSum(END_RATE_MEMORY_MS)
     this.ends.set(service, ends)
     ends.add(1, now)
   }
 
-  /** Requests that must hear now whether to go on waiting, and for which no place is in sight in time. */
+  /**
+   * Removes and returns requests that must be told now whether to keep waiting and have no placement in sight in
+   * time.
+   */
   removeHopeless(now: Millis): WaitingRequest[] {
     const due = this.waiting.filter(
       (one) => !one.hasProspect && one.ask.promptMs > 0 && now - one.since >= one.ask.promptMs,
--- a/placement/allocator/src/planStages.ts
+++ b/placement/allocator/src/planStages.ts
@@ -5,58 +5,59 @@
 export interface StagedEngine {
   id: InstanceId
   stage: Stage
-  /** How long what runs or is read there is forecast to take: an engine ends it before it changes, in milliseconds. */
+  /** Forecast duration of its current work, which it finishes before it changes its stage, in milliseconds. */
   freeInMs: Millis
-  /** Whether it is on its way to `stage` and does not work yet. */
+  /** Whether it is changing to `stage` and does not work yet. */
   isChanging: boolean
-  /** What it does of the work of an engine that is well, of the usual pace. */
+  /** Its supply, relative to a healthy engine of the usual pace. */
   supply: number
 }
 
-/** What a service's engines have to carry, in engines: how many each half would keep busy. */
+/** Demand or supply of a service, in healthy engines per stage. */
 export interface StageNeed {
   prefill: number
   decode: number
 }
 
-/** One engine that should change its part. */
+/** An engine that should change its stage. */
 export interface StageChange {
   id: InstanceId
   stage: Stage
-  /** What decided it. */
+  /** The demand that led to the change. */
   need: StageNeed
-  /** What the engines of each half do before the change, in engines that are well. */
+  /** The supply of each stage before the change. */
   have: StageNeed
 }
 
-/** The fuller half must be at least this full before an engine changes its part. */
+/** Utilization that the busier stage must reach before an engine changes its stage. */
 const MIN_FULL_UTILIZATION = 0.6
 /**
- * The half that gives an engine away must stay this much emptier than the fuller half was, since a change costs
- * seconds of an engine and demand moves.
+ * Without the engine, the donor stage's utilization must stay below this share of the busier stage's before the
+ * change, since a change costs seconds of an engine and demand shifts.
  */
 const DONOR_RATIO = 0.8
 /**
- * A second reader beside a single one must bring the fuller half down to this share: a decode engine first has to
- * end what runs there, and decode engines can read what one reader does not.
+ * A second prefill engine must bring the higher utilization down to this share: a decode engine first has to finish
+ * its answers, and decode engines can prefill what a single prefill engine does not.
  */
 const SECOND_PREFILL_RATIO = 0.55
 /**
- * From here on requests are lost for want of decode engines. Only then does the last reader but one change its part:
- * without any reader every decode engine reads at half the pace, and a new one takes the time of its answers and more.
+ * From this utilization on, requests are lost for lack of decode engines. Only then does the last prefill engine but
+ * one change its stage: without any prefill engine every decode engine prefills at half the pace, and a new one takes
+ * the time of its answers and more.
  */
 const OVERLOADED_UTILIZATION = 1
 
-/** Engines of each half, and what they do together in engines that are well. */
+/** Number of engines per stage, and their total supply in healthy engines. */
 interface StageTotals {
   count: Record<Stage, number>
   supply: StageNeed
 }
 
 /**
- * Decides whether an engine should change its part: when one half is full, and the other stays clearly emptier
- * without it. In a large pool one engine after the other moves until the halves are about equally full. A slow engine
- * is less supply where it works, and costs the half that it leaves less.
+ * Decides whether an engine should change its stage: if one stage is highly utilized, and the other stays clearly
+ * less so without the engine. In a large pool one engine after the other changes until both stages are about equally
+ * utilized. A slow engine is less supply where it works, and costs the stage that it leaves less.
  */
 export function planStages(engines: StagedEngine[], need: StageNeed): StageChange | undefined {
   const have = totalsOf(engines)
@@ -65,8 +66,8 @@
   if (utilization[stage] < MIN_FULL_UTILIZATION) return undefined
   const donor = stage === 'prefill' ? 'decode' : 'prefill'
   const working = engines.filter((engine) => engine.stage === donor && !engine.isChanging)
-  // What changes already counts where it goes; but a half is never left without an engine that works, unless nobody
-  // decodes: then all that read do so for nobody, and one that decodes reads too.
+  // Changing engines already count at their new stage. A stage is never left without a working engine, unless none
+  // decodes: then prefills are of no use, and an engine that decodes can prefill too.
   if (working.length < (hasNoDecoder(have) ? 1 : 2)) return undefined
   const worthwhile = working
     .map((engine) => ({ engine, after: utilizationOf(need, totalsOf(engines, engine.id)) }))
@@ -81,7 +82,7 @@
   return best === undefined ? undefined : { id: best.engine.id, stage, need, have: have.supply }
 }
 
-/** Whether one engine more in a half is worth what the other half loses. */
+/** Whether one more engine in a stage is worth what the other stage loses. */
 function isWorthwhile(utilization: StageNeed, after: StageNeed, have: StageTotals, stage: Stage): boolean {
   if (hasNoDecoder(have)) return stage === 'decode'
   const donor = stage === 'prefill' ? 'decode' : 'prefill'
@@ -94,12 +95,12 @@
   return after[donor] <= now * DONOR_RATIO
 }
 
-/** Whether no engine decodes, nor is on its way to. */
+/** Whether no engine decodes or is changing to decode. */
 function hasNoDecoder({ count }: StageTotals): boolean {
   return count.decode === 0
 }
 
-/** Both halves, as they stand or after one engine has changed its part. */
+/** Returns the totals of both stages, now or after one engine has changed its stage. */
 function totalsOf(engines: StagedEngine[], changed?: InstanceId): StageTotals {
   const totals: StageTotals = { count: { prefill: 0, decode: 0 }, supply: { prefill: 0, decode: 0 } }
   for (const { id, stage, supply } of engines) {
@@ -110,7 +111,10 @@
   return totals
 }
 
-/** How full each half is; without a prefill engine the decode engines read themselves, which no plan should seek. */
+/**
+ * Returns the utilization of each stage; without a prefill engine decode engines prefill themselves, which no plan
+ * should aim for.
+ */
 function utilizationOf(need: StageNeed, { supply }: StageTotals): StageNeed {
   return {
     prefill: supply.prefill === 0 ? Infinity : need.prefill / supply.prefill,
--- a/placement/allocator/src/prefillTimeModel.ts
+++ b/placement/allocator/src/prefillTimeModel.ts
@@ -1,31 +1,37 @@
 import type { Millis } from '@forkstage/types'
 
-/** Believed until prompts of different lengths have been read alone; large and small models read 33 to 55. */
+/**
+ * Assumed until prompts of different lengths have been prefilled alone; models prefill 33 to 55 tokens per
+ * millisecond.
+ */
 const PRIOR_MS_PER_TOKEN = 1 / 40
-/** Prompts read earlier count less: about the last fifty decide. */
+/** Decay per prompt: about the last fifty decide. */
 const DECAY = 0.98
-/** The belief of the beginning counts as so many prompts of a length that differs by so much from the mean. */
+/** The prior counts as much as this many prompts whose length differs from the mean by `PRIOR_SPREAD_TOKENS`. */
 const PRIOR_PROMPTS = 3
 const PRIOR_SPREAD_TOKENS = 1_000
-/** Engines are believed to be so much faster than the belief of the beginning at most. */
+/** Engines are assumed to be at most this many times faster than the prior. */
 const MAX_SPEEDUP = 10
 
-/** How long engines that are well take to read a prompt: a line through prompts that waited for no other. */
+/** Models the prefill time of healthy engines: a line through the lengths and times of prompts that did not queue. */
 export class PrefillTimeModel {
   private readonly sums = { n: 0, x: 0, y: 0, xx: 0, xy: 0 }
 
-  /** How long an engine is busy with a prompt, in milliseconds: the next one begins then. */
+  /** Returns how long an engine is busy with a prompt, in milliseconds; the next prompt starts then. */
   busyMs(promptTokens: number): Millis {
     return promptTokens * this.msPerToken()
   }
 
-  /** How much longer it takes until the entry hears of it, whatever the length: the engine reads on meanwhile. */
+  /**
+   * Returns the delay until the entry learns of a finished prefill, in milliseconds, whatever the prompt's length;
+   * the engine goes on meanwhile.
+   */
   latencyMs(): Millis {
     const { n, x, y } = this.sums
     return n === 0 ? 0 : Math.max(0, y / n - (this.msPerToken() * x) / n)
   }
 
-  /** Learns from a prompt that was read without waiting for another. */
+  /** Learns from a prompt that did not wait for another. */
   learn(promptTokens: number, tookMs: Millis): void {
     const { sums } = this
     for (const key of Object.keys(sums) as (keyof typeof sums)[]) sums[key] *= DECAY
@@ -36,14 +42,14 @@
     sums.xy += promptTokens * tookMs
   }
 
-  /** The slope of the line through what was read, drawn to the belief of the beginning while little was seen. */
+  /** Returns the slope of the line in milliseconds per token, drawn to the prior while there are few observations. */
   private msPerToken(): Millis {
     const { n, x, y, xx, xy } = this.sums
     const prior = PRIOR_PROMPTS * PRIOR_SPREAD_TOKENS ** 2
     if (n === 0) return PRIOR_MS_PER_TOKEN
     const spread = Math.max(0, xx - x ** 2 / n)
     const slope = (xy - (x * y) / n + prior * PRIOR_MS_PER_TOKEN) / (spread + prior)
-    // No line may fall, nor say that reading takes longer than it was seen to take.
+    // The line must rise, and must not predict longer times per token than those observed.
     return Math.min(Math.max(slope, PRIOR_MS_PER_TOKEN / MAX_SPEEDUP), y / x)
   }
 }
--- a/placement/allocator/src/prefixCacheIndex.ts
+++ b/placement/allocator/src/prefixCacheIndex.ts
@@ -1,19 +1,19 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { PromptPart } from './allocatorTypes'
 
-/** More parts than an engine keeps: 90,000 tokens in parts of 200. Bounds the book, whatever callers name. */
+/** More parts than an engine can cache: 90,000 tokens in parts of 200. Bounds the index, whatever callers name. */
 const MAX_PARTS = 450
 
-/** Which parts of prompts which engine keeps, as far as it was seen to read or fetch them. */
+/** Prompt parts that each engine is known to have prefilled or fetched, and has therefore cached. */
 export class PrefixCacheIndex {
-  /** Tokens by part, those unused longest first. */
+  /** Tokens by part id, the least recently used first. */
   private readonly engines = new Map<InstanceId, Map<string, number>>()
 
-  /** Notes that an engine has read, fetched or used a prompt: its parts are the last to give way. */
+  /** Records that an engine has prefilled, fetched or used a prompt: its parts are evicted last. */
   recordUse(engine: InstanceId, parts: PromptPart[]): void {
     const cached = this.engines.get(engine) ?? new Map<string, number>()
     this.engines.set(engine, cached)
-    // What comes later in a prompt is of no use without what comes before it, so it gives way first.
+    // A later part is of no use without the ones before it, so it is evicted first.
     for (const { id, tokens } of [...parts].reverse()) {
       cached.delete(id)
       cached.set(id, tokens)
@@ -24,7 +24,10 @@
     }
   }
 
-  /** How many tokens of a prompt an engine need not read: those of the parts that it keeps from the first one on. */
+  /**
+   * Returns how many tokens of a prompt an engine need not prefill: those of its cached parts up to the first missing
+   * one.
+   */
   cachedTokens(engine: InstanceId, parts: PromptPart[]): number {
     const cached = this.engines.get(engine)
     if (cached === undefined) return 0
@@ -37,9 +40,9 @@
   }
 
   /**
-   * Forgets what an engine's memory must have pushed out.
-   * @param room tokens that are left for parts that no running answer uses.
-   * @param inUse ids of the parts that running answers use: these do not give way.
+   * Removes the least recently used parts, which an engine must have evicted for lack of memory.
+   * @param room tokens left for parts that no running answer uses.
+   * @param inUse ids of the parts that running answers use; these are not evicted.
    */
   trim(engine: InstanceId, room: number, inUse: ReadonlySet<string>): void {
     const cached = this.engines.get(engine)
@@ -52,13 +55,15 @@
     }
   }
 
-  /** An engine has not read a prompt: of its parts the last one is its own. */
+  /**
+   * Removes the last part of a prompt that an engine has not prefilled; only that part belongs to this prompt alone.
+   */
   removeLastPart(engine: InstanceId, parts: PromptPart[]): void {
     const own = parts.at(-1)
     if (own !== undefined) this.engines.get(engine)?.delete(own.id)
   }
 
-  /** An engine keeps nothing any more. */
+  /** Removes all parts of an engine. */
   clear(engine: InstanceId): void {
     this.engines.delete(engine)
   }
@@ -68,7 +73,7 @@
     for (const id of this.engines.keys()) if (!ids.has(id)) this.engines.delete(id)
   }
 
-  /** The engines of which something is believed. */
+  /** Returns the engines with cached parts. */
   known(): InstanceId[] {
     return [...this.engines.keys()]
   }
--- a/placement/allocator/src/prefixCacheTracker.ts
+++ b/placement/allocator/src/prefixCacheTracker.ts
@@ -17,34 +17,34 @@
   fitness: EngineFitness
 }
 
-/** The share of an engine's memory that running answers and kept parts fill before parts give way, as is believed. */
+/** Share of an engine's memory that running answers and cached parts are assumed to fill before parts are evicted. */
 const MEMORY_SHARE = 0.9
-/** A decode engine that keeps a prompt is preferred while its memory to come fills less than this share of it. */
+/** A decode engine that has cached a prompt is preferred while its forecast peak is below this share of its memory. */
 const MAX_FILL_SHARE = 0.85
-/** A reading that failed after this share of the time that it takes had most likely ended at the engine. */
+/** A prefill that failed after this share of its expected time had most likely finished on the engine. */
 const MIN_READ_TIME_SHARE = 0.9
-/** Memory is looked through again after this time; answers grow by some hundred tokens meanwhile. */
+/** Interval between evictions; answers grow by some hundred tokens meanwhile. */
 const EVICT_INTERVAL_MS = 200
-/** After these an engine has restarted, or may have. */
+/** Outcomes after which an engine has restarted, or may have. */
 const RESTART_OUTCOMES = new Set<UseOutcome>(['unreachable', 'other-instance'])
 
-/** What engines keep of prompts, followed through our own placings, and what of a prompt they need not read. */
+/** Tracks from our own placements which prompt parts engines have cached, and so need not prefill again. */
 export class PrefixCacheTracker {
   private readonly index = new PrefixCacheIndex()
   private evictedAt: Millis = -Infinity
 
   constructor(private readonly options: PrefixCacheTrackerOptions) {}
 
-  /** How many tokens of a prompt an engine still has to read, as far as is known. */
+  /** Returns how many tokens of a prompt an engine still has to prefill, as far as known. */
   uncached({ parts, promptTokens }: PlaceAsk, { id, models }: RegisteredEndpoint): number {
-    // Parts are kept apart by model, and placings name none.
+    // Caches are separate per model, and placement requests name no model.
     if (parts === undefined || models.length > 1) return promptTokens
     return Math.max(0, promptTokens - this.index.cachedTokens(id, parts))
   }
 
   /**
-   * The decode engine that keeps the whole prompt, where it is well, reads nothing and has room to spare.
-   * @param fitting engines into whose memory to come the request fits, the best one first.
+   * Returns a decode engine that has cached the whole prompt, is healthy, runs no prefill and has memory to spare.
+   * @param fitting engines with memory for the request, the best one first.
    */
   decoderCaching<Engine extends RegisteredEndpoint>(
     query: AnswerQuery,
@@ -63,12 +63,12 @@
     return caching.find(({ id }) => fitnessById.get(id) === 'good')
   }
 
-  /** A prompt waits at a prefill engine: whatever comes after it there finds it read. */
+  /** Records a prompt in a prefill engine's queue: prompts after it will find it cached. */
   recordPlacement({ parts }: PlaceAsk, prefill: InstanceId): void {
     if (parts !== undefined) this.index.recordUse(prefill, parts)
   }
 
-  /** A prefill step has ended, or failed; `cancelled` where it was given up here. */
+  /** Records the end of a prefill step; `cancelled` if it was abandoned here. */
   recordPrefill(hold: Hold, outcome: UseOutcome, tookMs: Millis, now: Millis): void {
     const { pace, holds } = this.options
     const { ask, prefill, isReadAlone, readTokens } = hold
@@ -84,27 +84,30 @@
     else if (!wasCached || outcome === 'failed') this.index.removeLastPart(prefill, ask.parts)
   }
 
-  /** An answer has made tokens at an engine, which keeps its prompt. */
+  /** Records that an engine generated tokens of an answer, so that it has cached the prompt. */
   recordDecode({ parts }: PlaceAsk, decode: InstanceId): void {
     if (parts !== undefined) this.index.recordUse(decode, parts)
   }
 
-  /** Takes what an entry's running answers say of engines, also of those that an earlier leader placed. */
+  /** Learns from the reports of running answers, including those that an earlier leader placed. */
   applyReport(reported: ReportedHold[]): void {
     for (const { ask, decode, madeTokens = 0 } of reported) if (madeTokens > 0) this.recordDecode(ask, decode)
   }
 
-  /** How a use of an engine ended may say that it has restarted. */
+  /** Clears an engine's entries if the outcome of a use suggests that it has restarted. */
   recordUse(id: InstanceId, outcome: UseOutcome): void {
     if (RESTART_OUTCOMES.has(outcome)) this.index.clear(id)
   }
 
-  /** An engine that changes its part is believed to keep nothing. */
+  /** Clears the entries of an engine that has restarted or changes its stage. */
   forget(id: InstanceId): void {
     this.index.clear(id)
   }
 
-  /** Forgets engines that are gone or cold, and what others' memory must have pushed out. Called again and again. */
+  /**
+   * Removes engines that are gone or cold, and parts that must have been evicted for lack of memory. Called
+   * periodically.
+   */
   evict(now: Millis): void {
     if (now - this.evictedAt < EVICT_INTERVAL_MS) return
     this.evictedAt = now
--- a/placement/allocator/src/readPlaceCalls.ts
+++ b/placement/allocator/src/readPlaceCalls.ts
@@ -2,12 +2,12 @@
 import { ForkstageError } from '@forkstage/error'
 import type { PlaceAsk, ReportedHold } from './allocatorTypes'
 
-/** Raised for an ask or a report that is none: its sender decides by itself. */
+/** Thrown for a malformed placement request or report; the sender then decides by itself. */
 export class MalformedPlaceCallError extends ForkstageError {
   constructor(step: string) {
     super(
       'FORKSTAGE_MALFORMED_CALL',
-      'That is no ask for a place, and no report of places.',
+      'The message is neither a placement request nor a report of holds.',
       'Update the sender.',
       {
         step,
@@ -53,24 +53,24 @@
 })
 const reportSchema = z.object({ entry: name, holds: z.array(z.unknown()).max(100_000) })
 
-/** The places that an entry reports, and how many of its rows are none. */
+/** The holds that an entry reports, and the number of malformed rows. */
 export interface PlaceReport {
   entry: string
   holds: ReportedHold[]
   malformed: number
 }
 
-// Compiled by the schema library, unlike what is read seldom: a report names every place of its entry. Checking a place takes
-// 2.5 µs that way, parsing it 2.3 (128 places in a report, beside other work).
+// Compiled by the schema library, unlike what is read rarely, since a report names every hold of its entry. Checking
+// a hold takes 2.5 µs that way, parsing it 2.3 µs (128 holds in a report, beside other work).
 
-/** What an entry asks. @throws MalformedPlaceCallError for what is no ask. */
+/** Reads a placement request. @throws MalformedPlaceCallError if it is malformed. */
 export function readPlaceAsk(raw: unknown): PlaceAsk {
   const read = askSchema.safeParse((raw as { ask?: unknown } | null | undefined)?.ask)
   if (!read.success) throw new MalformedPlaceCallError('place')
   return read.data
 }
 
-/** What an entry reports; rows that are none are left out. @throws MalformedPlaceCallError for what is no report. */
+/** Reads a report without its malformed rows. @throws MalformedPlaceCallError if the report itself is malformed. */
 export function readPlaceReport(raw: unknown): PlaceReport {
   const read = reportSchema.safeParse(raw)
   if (!read.success) throw new MalformedPlaceCallError('report')
--- a/placement/allocator/src/stageOrderTracker.ts
+++ b/placement/allocator/src/stageOrderTracker.ts
@@ -1,25 +1,25 @@
 import type { InstanceId, Stage } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
 
-/** A part that an engine should have, and until when that is believed of it. */
+/** The stage that an engine was ordered to take, and until when the order counts as pending. */
 interface PendingStageOrder {
   to: Stage
   until: Millis
 }
 
-/** What became of orders to engines to change their part. */
+/** Tracks pending orders to engines to change their stage. */
 export class StageOrderTracker {
-  /** Engines that change their part, until when they are left alone. */
+  /** Engines that are changing their stage and get no work. */
   private readonly changing = new Map<InstanceId, PendingStageOrder>()
-  /** Engines that may still carry out an order, or refused one: they work on, but get no other order. */
+  /** Engines that may still carry out an order, or refused one: they stay in use, but get no other order. */
   private readonly ordered = new Map<InstanceId, PendingStageOrder>()
 
-  /** Gives an engine no work while it changes its part. */
+  /** Gives an engine no work while it changes its stage. */
   markChanging(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
     this.changing.set(id, { to, until: now + forMs })
   }
 
-  /** Lets an engine work on, without another order, while it is not known what becomes of the last one. */
+  /** Keeps an engine in use, without another order, while the result of its last order is unknown. */
   markOrdered(id: InstanceId, to: Stage, forMs: Millis, now: Millis): void {
     this.ordered.set(id, { to, until: now + forMs })
   }
@@ -28,7 +28,7 @@
     return (this.changing.get(id)?.until ?? 0) > now
   }
 
-  /** The part that an engine is on its way to, as far as is known. */
+  /** Returns the stage to which an engine is changing; undefined if no order is pending. */
   targetStage(id: InstanceId, now: Millis): Stage | undefined {
     const orders = [this.changing.get(id), this.ordered.get(id)]
     return orders.find((one) => one !== undefined && one.until > now)?.to
--- a/placement/allocator/src/stagePlanner.ts
+++ b/placement/allocator/src/stagePlanner.ts
@@ -22,21 +22,21 @@
   engine: (service: string) => EnginePool | undefined
 }
 
-/** Decides which engine should change its part, by what callers have asked for lately and what engines do. */
+/** Decides which engine should change its stage, by recent demand and the engines' supply. */
 export class StagePlanner {
   private readonly demand = new Map<string, DemandMeter>()
   private readonly supply = new SupplyMeter()
 
   constructor(private readonly options: StagePlannerOptions) {}
 
-  /** Notes a request that came in for the first time. */
+  /** Records a request that has arrived for the first time. */
   recordDemand(service: string, promptTokens: number, heldTokens: number, now: Millis): void {
     const meter = this.demand.get(service) ?? new DemandMeter()
     this.demand.set(service, meter)
     meter.record(promptTokens, heldTokens, now)
   }
 
-  /** What a service's callers keep busy, in engines that are well; undefined where that is not known yet. */
+  /** Returns the demand on a service, in healthy engines per stage; undefined until enough has been observed. */
   needOf(service: string, now: Millis): StageNeed | undefined {
     const { pace } = this.options
     const engine = this.options.engine(service)
@@ -45,7 +45,7 @@
     return meter.need(engine.kvTokens, pace, now)
   }
 
-  /** The engine of a service that should change its part now, where one should. */
+  /** Returns the stage change that a service should make now; undefined if none. */
   plan(service: string, now: Millis): StageChange | undefined {
     const { choice, barred, health } = this.options
     const engine = this.options.engine(service)
@@ -54,10 +54,10 @@
     const { stageChangeMs } = engine
     const staged = (['prefill', 'decode'] as const)
       .flatMap((stage) => choice.registered(service, stage))
-      // One that gets nothing for a moment, like one that is out for a moment, is back before another has changed.
+      // An engine that is barred or ejected for a moment is back before another one has changed its stage.
       .filter((one) => !barred.isBarredFor(one, stageChangeMs, now))
       .filter((one) => !health.isLost(one.id, now, stageChangeMs))
-      // A prefill engine that refuses whatever comes is carrying out an order that nobody here knows of.
+      // A prefill engine that refuses every request is carrying out an order that is unknown here.
       .filter((one) => one.stage !== 'prefill' || !health.isBusy(one.id))
       .map((one) => this.toStaged(one, now))
     return planStages(staged, need)
@@ -76,7 +76,7 @@
       id: endpoint.id,
       stage: targetStage ?? endpoint.stage!,
       freeInMs: holds.freeInMs(endpoint.id, now),
-      // One that must get nothing gets no order either.
+      // A barred engine gets no order either.
       isChanging: targetStage !== undefined || barred.has(endpoint),
       supply: this.supply.record(endpoint.id, view, now),
     }
--- a/placement/allocator/src/supplyMeter.ts
+++ b/placement/allocator/src/supplyMeter.ts
@@ -1,25 +1,25 @@
 import type { InstanceId } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
 
+/** A stage change takes as long as many a slowdown lasts, so supply is averaged over the same time as demand. */
+const MEMORY_MS = 8_000
 /**
- * A change of an engine's part takes as long as many a slowness lasts, so that what an engine does is averaged over
- * the same time as demand.
+ * Engines from this share of their peers' supply count as healthy: the difference comes from their load, not from
+ * their pace.
  */
-const MEMORY_MS = 8_000
-/** Engines that do this share of what their peers do differ by how many answers run there, not by their pace. */
 const FULL_SUPPLY_FROM = 0.7
 
-/** Builds that differ less than this count as the same: how many answers run at an engine makes as much. */
+/** Builds that differ by less than this factor count as the same: load alone causes as much. */
 const SAME_BUILD_RATIO = 1.15
 
-/** Averages what each engine does of the work of one that is well. */
+/** Averages the supply of each engine, relative to a healthy one. */
 export class SupplyMeter {
   private readonly known = new Map<InstanceId, { supply: number; at: Millis }>()
 
   /**
-   * Notes how many times slower than it should be an engine is now.
-   * @param build how many times its peers' time it takes while it is well.
-   * @returns its average supply, in engines of the usual pace that are well.
+   * Records how many times slower than it should be an engine is now.
+   * @param build its time as a multiple of its peers' while it is healthy.
+   * @returns its average supply, in healthy engines of the usual pace.
    */
   record(id: InstanceId, { slowness, build }: { slowness: number; build: number }, now: Millis): number {
     const supply = Math.min(1, 1 / slowness)
--- a/placement/allocator/src/workPace.ts
+++ b/placement/allocator/src/workPace.ts
@@ -1,39 +1,39 @@
 import type { Millis } from '@forkstage/types'
 import { FadingSum } from '@forkstage/rates'
 
-/** The belief without evidence counts as much as so much time of work that was seen. */
+/** The prior counts as much as this much observed work time. */
 const PRIOR_MS = 50
-/** Below this much time of work seen lately an engine's pace says nothing of it. */
+/** With less recent work time than this, an engine's pace cannot be judged. */
 const MIN_OBSERVED_MS = 250
 
-/** How much time one engine takes for a unit of work, by what was seen of it lately. */
+/** Estimates an engine's time per unit of work from recent observations. */
 export class WorkPace {
   private readonly time: FadingSum
   private readonly work: FadingSum
-  /** When something was last seen of it. */
+  /** When work was last observed. */
   lastSeenAt: Millis = -Infinity
 
-  /** @param memoryMs after this time what was seen counts for a third. */
+  /** @param memoryMs age at which an observation counts for a third, in milliseconds. */
   constructor(memoryMs: Millis) {
     this.time = new FadingSum(memoryMs)
     this.work = new FadingSum(memoryMs)
   }
 
-  /** Adds work done in a time; no work in a time is evidence too. */
+  /** Adds the work done in a time; a time without work counts as well. */
   add(work: number, tookMs: Millis, now: Millis): void {
     this.time.add(tookMs, now)
     this.work.add(work, now)
     this.lastSeenAt = now
   }
 
-  /** Whether enough was seen lately to compare it with its peers. */
+  /** Whether there are enough recent observations to compare the engine with its peers. */
   hasEnoughData(now: Millis): boolean {
     return this.time.total(now) >= MIN_OBSERVED_MS
   }
 
   /**
-   * Milliseconds for a unit of work; drawn to the belief without evidence, and back to it as evidence grows old.
-   * @param prior milliseconds for a unit, believed without evidence.
+   * Returns the milliseconds per unit of work, which move to the prior as observations age.
+   * @param prior milliseconds per unit of work, assumed without observations.
    */
   msPerUnit(prior: Millis, now: Millis): Millis {
     const priorWork = PRIOR_MS / prior
