--- a/placement/allocator/test/allocator.test.ts
+++ b/placement/allocator/test/allocator.test.ts
@@ -5,7 +5,7 @@
 const TWO = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
 
 describe('Allocator', () => {
-  it('spreads requests over decode engines by the memory they will come to need', () => {
+  it('spreads requests over decode engines by the memory that they will need', () => {
     const { place, decodeOf: decode } = createAllocator(TWO)
     place(ask('big', { promptTokens: 6_000 }))
     place(ask('small', { promptTokens: 500 }))
@@ -14,7 +14,7 @@
     expect(decode('next')).toBe(decode('small'))
   })
 
-  it('lets a request wait where memory to come would not suffice, and places it once another ends', () => {
+  it('queues a request whose forecast memory does not fit, and places it once another one ends', () => {
     const {
       allocator,
       place,
@@ -28,7 +28,7 @@
     expect(decode('two')).toBe('d1')
   })
 
-  it('refuses what has waited as long as it may, with a time to come back', () => {
+  it('refuses a request at the end of its hold time, with a retry time', () => {
     const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     place(ask('two', { promptTokens: 7_000, promptMs: 0 }))
@@ -38,13 +38,13 @@
     expect(decisions.get('two')).toMatchObject({ type: 'refused', retryAfterMs: expect.any(Number) })
   })
 
-  it('places one larger than any forecast alone on an empty engine', () => {
+  it('places a request that exceeds the memory share alone on an empty engine', () => {
     const { place, decodeOf: decode } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('huge', { promptTokens: 9_990 }))
     expect(decode('huge')).toBe('d1')
   })
 
-  it('prefers requests that can still be in time to those that are late', () => {
+  it('prefers requests that can still be in time to late ones', () => {
     const {
       allocator,
       place,
@@ -59,7 +59,7 @@
     expect(decisions.has('late')).toBe(false)
   })
 
-  it('refuses in good time where no place is in sight, and lets what has one in sight wait', () => {
+  it('refuses a request early if no placement is in sight, and keeps one that has a placement in sight', () => {
     const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     place(ask('two', { promptTokens: 7_000 }))
@@ -76,7 +76,7 @@
     expect(decisions.has('three')).toBe(false)
   })
 
-  it('places callers that came back after those who come first, and before late ones, in a target of their own', () => {
+  it('places retries after new requests and before late ones', () => {
     const {
       allocator,
       place,
@@ -94,7 +94,7 @@
     expect(decisions.has('late')).toBe(false)
   })
 
-  it('lets a request wait that comes first, however many late ones and returns wait', () => {
+  it('queues a new request however many late ones and retries wait', () => {
     const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     for (let index = 0; index < 10; index += 1)
@@ -103,7 +103,7 @@
     expect(decisions.has('fresh')).toBe(false)
   })
 
-  it('spreads the times at which callers come back over a share of the time they have', () => {
+  it('spreads retry times over a share of the callers’ time left', () => {
     const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     place(ask('one', { promptTokens: 7_000 }))
     const names = ['a', 'b', 'c', 'd']
@@ -114,7 +114,7 @@
     waits.forEach((wait) => expect(wait >= 2_400 && wait <= 3_200).toBe(true))
   })
 
-  it('gives no work to engines that drain, that are excepted, or that are gone', () => {
+  it('gives no work to engines that are draining, excluded or gone', () => {
     const endpoints = [
       engine('p1', 'prefill'),
       engine('d1', 'decode', { state: 'draining' }),
@@ -130,7 +130,7 @@
     expect(decode('two')).toBe('refused')
   })
 
-  it('waits for a moment where the only prefill engine has just refused, rather than read at the decode engine', () => {
+  it('waits if the only prefill engine has just refused, rather than prefill on the decode engine', () => {
     const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     allocator.recordUse('p1', 'full', 0)
     place(ask('one'), 10)
@@ -139,14 +139,14 @@
     expect(decisions.get('one')).toMatchObject({ type: 'placed', prefill: 'p1' })
   })
 
-  it('lets the decode engine read the prompt where no prefill engine is sound', () => {
+  it('lets the decode engine prefill if no prefill engine is healthy', () => {
     const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     allocator.recordUse('p1', 'unreachable', 0)
     place(ask('one'), 10)
     expect(decisions.get('one')).toEqual({ type: 'placed', prefill: undefined, decode: 'd1' })
   })
 
-  it('does not queue a prompt where it would be late: the decode engine reads one, the next waits', () => {
+  it('does not queue a prompt that would be late: the decode engine prefills one, the next one waits', () => {
     const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     for (const name of ['a', 'b', 'c', 'd', 'e'])
       place(ask(name, { promptTokens: 1_000, targetMs: 150, hintTokens: 10 }))
@@ -155,7 +155,7 @@
     ).toEqual(['p1', 'p1', 'p1', undefined])
   })
 
-  it('chooses the prefill engine near the memory that the prompt goes to', () => {
+  it('chooses the prefill engine near the decode engine', () => {
     const endpoints = [
       engine('p1', 'prefill', { zone: 'z1' }),
       engine('p2', 'prefill', { zone: 'z2' }),
@@ -166,7 +166,7 @@
     expect(decisions.get('one')).toMatchObject({ prefill: 'p2', decode: 'd2' })
   })
 
-  it('adopts what entries report, and drops what they name no more', () => {
+  it('adopts the holds that entries report, and removes those that they no longer name', () => {
     const {
       allocator,
       place,
@@ -182,7 +182,7 @@
     expect(decode('after')).toBe('d1')
   })
 
-  it('forgets what an entry held that is gone', () => {
+  it('removes the holds of an entry that is gone', () => {
     const { allocator, place } = createAllocator(TWO)
     place(ask('one'))
     place(ask('two', { entry: 'e2' }))
@@ -190,11 +190,11 @@
     expect(allocator.holdCount).toBe(1)
   })
 
-  it('does not let decode engines read whatever comes where no prefill engine is sound: who would be late waits', () => {
+  it('queues requests that would be late if only decode engines can prefill', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place, decisions } = createAllocator(endpoints)
     allocator.recordUse('p1', 'unreachable', 0)
-    // At 40 tokens a millisecond and half that pace, each prompt takes 100 ms at a decode engine.
+    // At 40 tokens per millisecond and half that pace, each prompt takes 100 ms on a decode engine.
     for (let index = 0; index < 12; index += 1)
       place(ask(`r${index}`, { promptTokens: 2_000 - index, targetMs: 370, hintTokens: 10 }), 1)
     const placed = [...decisions.values()].filter((decision) => decision.type === 'placed')
@@ -202,7 +202,7 @@
     expect(placed.filter(({ decode }) => decode === 'd1')).toHaveLength(3)
   })
 
-  it('holds a prefill step that was given up against no engine whose queue others have made', () => {
+  it('does not eject a prefill engine for a step abandoned in a queue that others built', () => {
     const { allocator, place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')])
     const held = ['a', 'b', 'c'].map((name) => ({
       ask: ask(name, { promptTokens: 500 }),
@@ -216,7 +216,7 @@
     expect(decisions.get('next')).toMatchObject({ prefill: 'p1' })
   })
 
-  it('sends nothing to an instance at whose address another one has registered since', () => {
+  it('sends nothing to an instance whose address another one has registered since', () => {
     const endpoints = [
       engine('p1', 'prefill'),
       engine('old', 'decode', { address: 'a:1' }),
@@ -227,7 +227,7 @@
     expect([decode('a'), decode('b')]).toEqual(['new', 'new'])
   })
 
-  it('learns from reports how fast engines are, so that a new leader need not wait for the first ends', () => {
+  it('learns engine paces from reports, so that a new leader need not wait for answers to end', () => {
     const pace = new EnginePace()
     const allocator = new Allocator({
       endpoints: () => [engine('d1', 'decode')],
@@ -240,7 +240,7 @@
     expect(pace.msPerToken('another', 2_000)).toBe(10)
   })
 
-  it('does not call an engine silent whose answers go on, though none has ended meanwhile', () => {
+  it('does not count an engine as silent while its answers progress, though none has ended', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place, decisions } = createAllocator(endpoints)
     const running = (madeTokens: number) => [
@@ -253,7 +253,7 @@
     for (const now of [2_100, 2_200, 2_300]) allocator.recordUse('d1', 'silent', now, 900)
     place(ask('next', { promptTokens: 500 }), 2_400)
     expect(decisions.get('next')).toMatchObject({ decode: 'd1' })
-    // The same answers without a token since are no progress.
+    // The same answers without a new token are no progress.
     allocator.applyReport('e1', running(300), 4_000)
     for (const now of [4_100, 4_200]) allocator.recordUse('d1', 'silent', now, 900)
     place(ask('after', { promptTokens: 500 }), 4_300)
--- a/placement/allocator/test/allocatorService.test.ts
+++ b/placement/allocator/test/allocatorService.test.ts
@@ -4,7 +4,7 @@
 import { AllocatorService, NotPlacingError, PLACE } from '../src'
 import { ask, engine, ENGINE } from './fixtures'
 
-/** Moves time on in steps, so that what waits for one timer can set the next. */
+/** Advances the clock in steps, so that the callback of one timer can set the next. */
 async function advance(clock: ManualClock, milliseconds: number): Promise<void> {
   for (let passed = 0; passed < milliseconds; passed += 10) {
     clock.advance(10)
@@ -12,7 +12,7 @@
   }
 }
 
-/** A service on a machine that leads until told otherwise. */
+/** Creates a service on a machine that leads until `lead` changes. */
 function createService(coldIds: string[] = []) {
   const clock = new ManualClock()
   const cold = new Set(coldIds)
@@ -37,20 +37,20 @@
 }
 
 describe('AllocatorService', () => {
-  it('says with a place at a cold engine how long the request had waited and within how long it must leave', async () => {
+  it('states for a cold engine how long the request waited and how soon it must be sent', async () => {
     const { clock, place } = createService(['d1'])
     await advance(clock, 400)
     expect(await place('r1')).toMatchObject({ decode: 'd1', cold: { waitedMs: 0, decodeMs: 250 } })
   })
 
-  it('lets requests wait while a new leader hears what runs, then places them', async () => {
+  it('delays requests at a new leader until reports are in, then places them', async () => {
     const { clock, place } = createService()
     const answer = place('r1')
     await advance(clock, 400)
     expect(await answer).toMatchObject({ type: 'placed', decode: 'd1' })
   })
 
-  it('tells those that wait as soon as it leads no more', async () => {
+  it('rejects waiting requests as soon as it is not the leader any more', async () => {
     const { clock, lead, place } = createService()
     const first = place('r1')
     await advance(clock, 400)
@@ -62,7 +62,7 @@
     expect(await second).toBeInstanceOf(NotPlacingError)
   })
 
-  it('tells those that wait when it leads again in another term', async () => {
+  it('rejects waiting requests when it leads in another term', async () => {
     const { clock, lead, place } = createService()
     const first = place('r1')
     await advance(clock, 400)
@@ -73,7 +73,7 @@
     expect(await second).toBeInstanceOf(NotPlacingError)
   })
 
-  it('places as soon as every entry has reported, and not before while one may still run requests', async () => {
+  it('places as soon as all entries have reported, and not before', async () => {
     const { clock, lead, service, place } = createService()
     lead.entries = 2
     const answer = place('r1')
--- a/placement/allocator/test/allocatorStages.test.ts
+++ b/placement/allocator/test/allocatorStages.test.ts
@@ -2,15 +2,15 @@
 import { Allocator } from '../src'
 import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
-/** Shows how fast an engine makes tokens: before that no engine is told to change its part. */
+/** Reports an answer so that the engine's pace is known; before that no stage change is planned. */
 function showPace(allocator: Allocator, decode: string, now: number): void {
   const running = { ask: ask('seen'), decode, ageMs: 900, decodingForMs: 800, madeTokens: 1_000 }
   allocator.applyReport('e9', [running], now)
   allocator.removeEntry('e9')
 }
 
-describe('Allocator, when engines should change their part', () => {
-  it('lets the decode engine read where the only prefill engine refuses whatever comes, and plans another', () => {
+describe('Allocator, when engines should change their stage', () => {
+  it('lets the decode engine prefill if the only prefill engine refuses everything, and plans another prefill engine', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place, decisions } = createAllocator(endpoints)
     showPace(allocator, 'd1', 0)
@@ -23,7 +23,7 @@
     expect(allocator.planStage('s', 3_020)?.stage).toBe('prefill')
   })
 
-  it('gives work, but no other order, to an engine of which it is not known what became of its order', () => {
+  it('gives work to an engine whose last order has an unknown result', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode')]
     const { allocator, place, decisions } = createAllocator(endpoints)
     allocator.markOrdered('p1', 'decode', 14_000, 0)
@@ -31,7 +31,7 @@
     expect(decisions.get('one')).toMatchObject({ prefill: 'p1', decode: 'd1' })
   })
 
-  it('does not turn a decode engine into a prefill engine because the only one is out for a moment', () => {
+  it('does not turn a decode engine into a prefill engine because the only one is ejected for a moment', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place } = createAllocator(endpoints)
     for (let index = 0; index < 200; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 20)
@@ -39,7 +39,7 @@
     expect(allocator.planStage('s', 4_100)?.stage).not.toBe('prefill')
   })
 
-  it('changes the part of an engine only once it has seen enough, and one at a time', () => {
+  it('changes stages only after enough observations, and one engine at a time', () => {
     const endpoints = [engine('p1', 'prefill'), engine('p2', 'prefill'), engine('d1', 'decode')]
     const { allocator, place } = createAllocator(endpoints)
     for (let index = 0; index < 40; index += 1) {
@@ -59,7 +59,7 @@
     expect(allocator.isChanging(change!.id, 8_400)).toBe(true)
   })
 
-  it('changes the part of the engine whose answers end first, not of the one with the fewest', () => {
+  it('changes the stage of the engine whose answers end first, not of the one with the fewest', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place } = createAllocator(endpoints)
     const running = (name: string, decode: string, madeTokens: number) => ({
@@ -80,13 +80,12 @@
   })
 
   /*
-   * Story. Callers of model requests were refused for the rest of a day ("no decode engine is known") while an engine stood idle. In order: both
-   * readers leave, so that one of three decode engines is told to read; the two others leave while it changes; the only engine
-   * that is left reads prompts for nobody. Cause: a half was never left without an engine, also where the other half had none. Evidence:
-   * 220 of 257 refusals with that reason, one engine registered as prefill, no order after the last decode engine had left.
+   * Guards against a pool without a decode engine. Both prefill engines leave, so one of three decode engines is told
+   * to prefill; the other two leave while it changes. If a stage may never lose its last engine, the only engine left
+   * prefills for nobody and every request is refused ("no decode engine is known"; 220 of 257 refusals in one run).
    */
   it.each([1, 2])(
-    'tells a reader to decode where no engine decodes any more, also the last one (%i left)',
+    'tells a prefill engine to decode if no engine decodes any more, even the last one (%i left)',
     (count) => {
       const prefillEngines = Array.from({ length: count }, (_, index) => engine(`p${index}`, 'prefill'))
       const endpoints = [...prefillEngines, engine('d1', 'decode')]
@@ -102,7 +101,7 @@
     },
   )
 
-  it('leaves the last reader where an engine is on its way to decode', () => {
+  it('keeps the last prefill engine while another engine is changing to decode', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'prefill')]
     const { allocator, place } = createAllocator(endpoints)
     showPace(allocator, 'd1', 0)
--- a/placement/allocator/test/avoidedEngines.test.ts
+++ b/placement/allocator/test/avoidedEngines.test.ts
@@ -8,8 +8,8 @@
   engine('d2', 'decode'),
 ]
 
-describe('Allocator, where an entry has heard that engines want nothing from it', () => {
-  it('places its requests elsewhere, and those of other entries as before', () => {
+describe('Allocator, if engines accept nothing from an entry', () => {
+  it('places the requests of that entry elsewhere, and those of other entries as before', () => {
     const { place, decisions } = createAllocator(POOL)
     for (let turn = 0; turn < 6; turn += 1)
       place(ask(`told ${turn}`, { promptTokens: 100, mostTokens: 100, avoid: ['p1', 'd1'] }), turn * 300)
@@ -21,7 +21,7 @@
     expect(of('other')).toContain('"d1"')
   })
 
-  it('does not go back to a reader that keeps the prompt', () => {
+  it('does not return to a prefill engine that has cached the prompt', () => {
     const one = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')])
     const parts = [{ id: 'a', tokens: 3_000 }]
     one.place(ask('first', { parts }), 0)
@@ -32,7 +32,7 @@
     expect(JSON.stringify(one.decisions.get('first'))).not.toContain('p1')
   })
 
-  it('refuses its request in time where all of them want none', () => {
+  it('refuses the request in time if no decode engine accepts it', () => {
     const { place, decisions, allocator } = createAllocator(POOL)
     place(ask('told', { avoid: ['d1', 'd2'] }))
     allocator.tick(150)
--- a/placement/allocator/test/cacheInvalidation.test.ts
+++ b/placement/allocator/test/cacheInvalidation.test.ts
@@ -3,8 +3,8 @@
 
 const PARTS = [{ id: 'text', tokens: 3_000 }]
 
-describe('Allocator, where beliefs about kept prompts must go', () => {
-  it('forgets what an engine kept as soon as it is said to have turned cold', () => {
+describe('Allocator, when cached prompts are lost', () => {
+  it('forgets the cached prompts of an engine that has turned cold', () => {
     const isKept = [false, true].map((turnsCold) => {
       const one = createAllocator([engine('p0', 'prefill'), engine('d0', 'decode')])
       one.place(ask('first', { parts: PARTS }), 0)
@@ -18,12 +18,12 @@
     expect(isKept).toEqual([true, false])
   })
 
-  it('does not believe that an engine read a prompt which never arrived there', () => {
+  it('does not count a prompt as cached by an engine that it never reached', () => {
     const one = createAllocator([engine('p0', 'prefill'), engine('p1', 'prefill'), engine('d0', 'decode')])
     one.place(ask('first', { parts: PARTS }), 0)
     const first = one.decisions.get('first')
     const dark = first?.type === 'placed' ? first.prefill! : ''
-    // No connection within 400 ms, of which the engine has had nothing.
+    // No connection within 400 ms: the engine has received nothing.
     one.allocator.recordPrefilled('first', 'failed', 0, 400)
     one.allocator.release('first', 'cancelled', 0, 400)
     one.place(ask('second', { parts: PARTS, except: [dark] }), 400)
@@ -33,7 +33,7 @@
 })
 
 describe('Allocator, without a prefill engine', () => {
-  it('lets a decode engine read a long prompt for a late request', () => {
+  it('lets a decode engine prefill a long prompt of a late request', () => {
     const one = createAllocator([engine('d0', 'decode')], {
       engine: () => ({ ...ENGINE, kvTokens: 40_000 }),
     })
--- a/placement/allocator/test/checkReport.test.ts
+++ b/placement/allocator/test/checkReport.test.ts
@@ -4,20 +4,20 @@
 
 const GOOD = { ask: ask('a'), decode: 'd', ageMs: 900, decodingForMs: 800, madeTokens: 300 }
 
-describe('whyNoReport', () => {
-  it('finds nothing wrong with what an entry can see', () => {
+describe('checkReport', () => {
+  it('accepts a report that an entry can make', () => {
     expect(checkReport(GOOD)).toBeUndefined()
     expect(checkReport({ ...GOOD, decodingForMs: undefined, madeTokens: undefined })).toBeUndefined()
   })
 
   it.each([
-    ['an age that lies ahead', { ageMs: -1 }],
-    ['an age that is none', { ageMs: NaN }],
-    ['decoding that begins ahead', { decodingForMs: -5 }],
-    ['decoding that began before the place was given', { decodingForMs: 2_000 }],
+    ['a negative age', { ageMs: -1 }],
+    ['an age that is not a number', { ageMs: NaN }],
+    ['a negative decoding time', { decodingForMs: -5 }],
+    ['decoding that began before the placement', { decodingForMs: 2_000 }],
     ['a negative count', { madeTokens: -1 }],
-    ['a count without end', { madeTokens: Infinity }],
-    ['far more tokens than were asked for', { madeTokens: 1_000_000 }],
+    ['an infinite count', { madeTokens: Infinity }],
+    ['far more tokens than requested', { madeTokens: 1_000_000 }],
   ])('refuses %s', (_what, fields) => {
     expect(checkReport({ ...GOOD, ...fields })).toEqual(expect.any(String))
   })
--- a/placement/allocator/test/coldBudget.test.ts
+++ b/placement/allocator/test/coldBudget.test.ts
@@ -6,10 +6,10 @@
 const REQUESTS_PER_SECOND = 50
 const LEADER_LIMIT = 25
 const NEW_LEADER_LIMIT = 10
-/** Long enough to have led, so that no earlier leader's places are out. */
+/** Long after the leader's start, when grants of earlier leaders have expired. */
 const ESTABLISHED_MS = 10_000
 
-/** The most of some times that fall into any second. */
+/** Returns the largest number of the times that fall into one second. */
 function mostInSecond(times: number[]): number {
   return Math.max(0, ...times.map((from) => times.filter((at) => at >= from && at < from + 1_000).length))
 }
@@ -21,7 +21,7 @@
 }
 
 describe('ColdBudget', () => {
-  it('lets no second hold more than the leader’s part, whenever in its span each step leaves', () => {
+  it('allows no second more than the leader’s limit, whenever within its span each step is sent', () => {
     const random = createSeededRandom(11)
     const engineOf = engine('d1', 'decode')
     const one = createBudget(-ESTABLISHED_MS)
@@ -31,14 +31,15 @@
       if (!one.mayDecode(engineOf, request, now)) continue
       const prefill = request.isPrefilled ? undefined : engine('warm', 'prefill')
       const grant = one.grant({ prefill, decode: engineOf }, 0, now)!
-      // Some leave at once, some as late as they may: the worst for a count that looks at decisions only.
+      // Some steps are sent at once and some as late as allowed: the worst case for a count that looks only at
+      // decisions.
       left.push(now + (random() < 0.5 ? 0 : grant.decodeMs!))
     }
     expect(left.length).toBeGreaterThan(100)
     expect(mostInSecond(left)).toBeLessThanOrEqual(LEADER_LIMIT)
   })
 
-  it('gives little for as long as an earlier leader’s places may be out', () => {
+  it('grants little while an earlier leader’s grants may still be in use', () => {
     const one = createBudget(0)
     const engineOf = engine('p1', 'prefill')
     const given: number[] = []
@@ -52,7 +53,7 @@
     expect(mostInSecond(given)).toBeGreaterThan(NEW_LEADER_LIMIT)
   })
 
-  it('bounds nothing of an engine that is warm, and counts nothing there', () => {
+  it('neither limits nor counts steps of a warm engine', () => {
     const one = new ColdBudget({ leftMs: () => 0, perSecond: () => 0 })
     expect(one.mayRead(engine('p1', 'prefill'), 0)).toBe(true)
     expect(one.grant({ decode: engine('d1', 'decode') }, 0, 0)).toBeUndefined()
@@ -63,7 +64,7 @@
   const domain = () => ['d1', 'd2', 'd3'].map((id) => engine(id, 'decode'))
   const tiny = { promptTokens: 100, mostTokens: 200, hintTokens: 100 }
 
-  it('spreads a burst over warm engines first, not over those with the least load', () => {
+  it('sends a burst to warm engines first rather than to those with the least load', () => {
     const { place, decisions } = createColdAllocator(
       [engine('p1', 'prefill'), ...domain()],
       ['d2', 'd3'],
@@ -75,7 +76,7 @@
     expect(decodes).toEqual(['d1', 'd1', 'd1'])
   })
 
-  it('lets cold ones join before warm ones are full, and says within how long each step must leave', () => {
+  it('uses cold engines before warm ones are full, and states how soon each step must be sent', () => {
     const { place, decisions } = createColdAllocator(
       [engine('p1', 'prefill'), ...domain()],
       ['p1', 'd2', 'd3'],
@@ -89,7 +90,7 @@
     expect(atCold.cold).toMatchObject({ prefillMs: 250, decodeMs: 1_000 })
   })
 
-  it('refuses as early and truthfully what exceeds the budget where cold ones are all there are', () => {
+  it('refuses at once, with a true retry time, what exceeds the budget if all engines are cold', () => {
     const { allocator, place, decisions } = createColdAllocator(
       [engine('p1', 'prefill'), engine('d1', 'decode')],
       ['d1'],
@@ -103,17 +104,17 @@
     expect(refused).toHaveLength(15)
     for (const one of refused) {
       expect(one).toMatchObject({ reason: 'cold engines get no more now' })
-      // What left within 250 ms leaves the second after 1,250 ms.
+      // Steps sent within 250 ms are out of the window after 1,250 ms.
       expect((one as { retryAfterMs: number }).retryAfterMs).toBeGreaterThanOrEqual(1_250)
     }
     expect(allocator.summarize(ask('x'), ESTABLISHED_MS).cold).toEqual({ engines: 1, withheld: 1 })
   })
 
-  it('serves thrice the usual load from its first moment on where every engine is unknown, as after a loss of all power', () => {
+  it('serves three times the usual load from the start if every engine is cold, as after a power loss', () => {
     const ids = Array.from({ length: 16 }, (_, index) => [`p${index}`, `d${index}`]).flat()
     const engines = ids.map((id) => engine(id, id.startsWith('p') ? 'prefill' : 'decode'))
     const { allocator, place, decisions } = createColdAllocator(engines, ids, 54.5)
-    // 22 letters a second are usual for 32 engines.
+    // 22 requests per second are usual for 32 engines.
     for (let now = 0; now < 2_000; now += 15) {
       allocator.tick(now)
       place(ask(`r${now}`, tiny), now)
@@ -123,7 +124,7 @@
     expect(decisions.size).toBe(134)
   })
 
-  it('goes on at a cold engine when the last warm one is lost, by its budget', () => {
+  it('continues on a cold engine within its budget when the last warm one is lost', () => {
     const { allocator, place, decisions } = createColdAllocator(
       [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')],
       ['d2'],
@@ -136,7 +137,7 @@
     expect(decodes).toEqual(Array(5).fill('d2'))
   })
 
-  it('believes neither an engine’s slowness nor its silence while it is cold', () => {
+  it('ejects no cold engine for being slow or silent', () => {
     const cold = createColdAllocator(
       [engine('p1', 'prefill'), engine('d1', 'decode')],
       ['p1', 'd1'],
@@ -155,7 +156,7 @@
     expect(cold.ejected).toEqual([])
   })
 
-  it('learns no pace from what a cold engine does, and forgets what it had shown', () => {
+  it('learns no pace from a cold engine, and forgets an engine’s pace', () => {
     const { pace, cold } = createColdAllocator(
       [engine('p1', 'prefill'), engine('p2', 'prefill')],
       [],
--- a/placement/allocator/test/decisionCost.test.ts
+++ b/placement/allocator/test/decisionCost.test.ts
@@ -4,7 +4,7 @@
 
 afterEach(() => void vi.restoreAllMocks())
 
-/** How often an engine's pace is worked out for one request that looks for a place among so many engines. */
+/** Returns how often engine paces are computed to place one request among a number of engines. */
 function countPaceReads(engines: number): number {
   const decoders = Array.from({ length: engines }, (_, index) => engine(`d${index}`, 'decode'))
   const one = createAllocator([engine('p', 'prefill'), ...decoders])
@@ -24,7 +24,7 @@
 }
 
 describe('a decision', () => {
-  it('costs as much more as there are engines more, not its square: the leader would lose its lease', () => {
+  it('costs time linear in the number of engines, since at quadratic cost the leader would lose its lease', () => {
     const [few, many] = [countPaceReads(60), countPaceReads(240)]
     expect(many / few).toBeLessThan(5)
     expect(many).toBeLessThan(240 * 8)
--- a/placement/allocator/test/distanceCost.test.ts
+++ b/placement/allocator/test/distanceCost.test.ts
@@ -7,7 +7,7 @@
 import { ask, engine, ENGINE } from './fixtures'
 
 const TOPOLOGY = new Topology({ w1: 'west', w2: 'west', e1: 'east', e2: 'east' })
-/** As large engines are: 5,200 tokens of 18.4 KB over 700 Gbit/s. */
+/** A large engine: 5,200 tokens of 18.4 KB over 700 Gbit/s. */
 const LARGE = { ...ENGINE, kvTokens: 73_530, kvBytesPerToken: 18_432, linkMbps: 700_000 }
 
 function createAllocator(endpoints: RegisteredEndpoint[], topology = TOPOLOGY) {
@@ -24,20 +24,20 @@
   return { allocator, place, decodes, reads }
 }
 
-describe('what distance costs', () => {
-  it('is the time of copies as the protocol says: twice between domains, ten times between regions', () => {
+describe('the cost of a distance', () => {
+  it('is the copy time as the protocol states it: twice between failure domains, ten times between regions', () => {
     const near = copyMs(5_200, LARGE, 'same-domain')
     expect(near).toBeCloseTo(1.095, 3)
     expect(copyMs(5_200, LARGE, 'other-domain')).toBeCloseTo(near * 2)
     expect(copyMs(5_200, LARGE, 'other-region')).toBeCloseTo(near * 10)
   })
 
-  it('is none for copies where a sheet gives no speed', () => {
+  it('is 0 for copies if the sheet states no link speed', () => {
     for (const linkMbps of [0, undefined as unknown as number, Number.NaN])
       expect(copyMs(5_200, { ...LARGE, linkMbps }, 'other-region')).toBe(0)
   })
 
-  it('rises with the distance, and within a region is what it was', () => {
+  it('rises with the distance, and is confined to copies within a region', () => {
     expect(remotePrefillCostMs('same-domain', 5_200, 95, LARGE)).toBe(0)
     expect(remotePrefillCostMs('other-domain', 5_200, 95, LARGE)).toBeCloseTo(28.5)
     expect(remotePrefillCostMs('other-region', 5_200, 95, LARGE)).toBeGreaterThan(60)
@@ -56,7 +56,7 @@
     engine('dw', 'decode', { zone: 'w2' }),
   ]
 
-  it('is decoded there, and read there', () => {
+  it('is prefilled and decoded there', () => {
     const { place, decodes, reads } = createAllocator(engines)
     place('a', 'w1')
     place('b', 'e2')
@@ -64,26 +64,26 @@
     expect(reads()).toEqual(['pw', 'pe'])
   })
 
-  it('goes to another region where the engines of its own have much more to hold', () => {
+  it('goes to another region if the engines of its own are much fuller', () => {
     const { place, decodes } = createAllocator(engines)
     for (const request of ['a', 'b', 'c']) place(request, 'w1')
     expect(decodes()).toEqual(['dw', 'dw', 'de'])
   })
 
-  it('is decoded where it is read rather than where its caller is', () => {
+  it('is decoded near its prefill engine rather than near its caller', () => {
     const { place, decodes, reads } = createAllocator(engines.filter(({ id }) => id !== 'pw'))
     place('a', 'w1')
     expect([decodes(), reads()]).toEqual([['de'], ['pe']])
   })
 
-  it('is read in another region only where readers of its own come too late', () => {
+  it('is prefilled in another region only if prefill engines of its own are too late', () => {
     const { place, reads } = createAllocator(engines.filter(({ id }) => id !== 'de'))
     for (const request of ['a', 'b', 'c', 'd']) place(request, 'w1')
     expect(reads()[0]).toBe('pw')
     expect(reads()).toContain('pe')
   })
 
-  it('moves within its region where another engine there has room', () => {
+  it('migrates within its region if another engine there has room', () => {
     const movesWith = (lightElsewhere: number) => {
       const all = [
         engine('d1', 'decode', { zone: 'w1' }),
@@ -118,7 +118,7 @@
 })
 
 describe('a deployment with one region', () => {
-  it('is placed as where nobody knows of regions', () => {
+  it('is placed as without knowledge of regions', () => {
     const domains = fc.constantFrom('a', 'b', 'c')
     const stage = fc.constantFrom<'prefill' | 'decode'>('prefill', 'decode')
     const one = new Topology({ a: 'only', b: 'only', c: 'only' })
--- a/placement/allocator/test/enginePace.test.ts
+++ b/placement/allocator/test/enginePace.test.ts
@@ -2,13 +2,13 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { EnginePace, type PrefillSample } from '../src'
 
-/** A prompt that was read without waiting for another. */
+/** A prefill that did not wait for another. */
 function alone(promptTokens: number, tookMs: number): PrefillSample {
   return { promptTokens, tookMs, isAlone: true, isGivenUp: false }
 }
 
 describe('EnginePace', () => {
-  it('tells how long an engine is busy with a prompt from the time that passes whatever the length', () => {
+  it('separates the time that an engine is busy with a prompt from the constant delay', () => {
     const random = createSeededRandom(3)
     const pace = new EnginePace()
     for (let index = 0; index < 60; index += 1) {
@@ -20,7 +20,7 @@
     expect(pace.prefillLatencyMs()).toBeLessThan(60)
   })
 
-  it('keeps near its first belief while prompts have one length, and never beyond what was seen', () => {
+  it('stays near its prior while all prompts have one length, and never predicts more than was observed', () => {
     const pace = new EnginePace()
     expect(pace.prefillMs(4_000)).toBe(100)
     for (let index = 0; index < 20; index += 1) pace.learnPrefill('p', alone(4_000, 150), index * 200)
@@ -30,7 +30,7 @@
     expect(pace.prefillMs(4_000)).toBeLessThan(42)
   })
 
-  it('takes the pace of its peers, by their lower median, for an engine that has shown nothing', () => {
+  it('assumes the lower median of its peers’ paces for an engine without observations', () => {
     const pace = new EnginePace()
     pace.learnDecoding('a', 100, 400, 0)
     pace.learnDecoding('b', 100, 420, 0)
@@ -44,8 +44,8 @@
   })
 })
 
-describe('EnginePace, of a reader', () => {
-  it('does not take a prompt that was kept for the pace of engines that are well', () => {
+describe('EnginePace, of a prefill engine', () => {
+  it('does not take the time of a cached prompt for the pace of healthy engines', () => {
     const pace = new EnginePace()
     pace.learnPrefill('a', alone(4_000, 6), 0)
     for (let index = 1; index < 6; index += 1) {
--- a/placement/allocator/test/evacuated.test.ts
+++ b/placement/allocator/test/evacuated.test.ts
@@ -4,7 +4,7 @@
 
 const PAUSED = { promptTokens: 500, pauseMs: 300, hintTokens: 1_000, mostTokens: 2_000, leftMs: 20_000 }
 
-/** Engines of two domains, of which one is evacuated at will. */
+/** Creates engines of two failure domains, of which any can be evacuated. */
 function createDomains(endpoints?: RegisteredEndpoint[]) {
   const evacuated = new Set<string>()
   const both = endpoints ?? [
@@ -16,8 +16,8 @@
   return { evacuated, ...createAllocator(both, { isBarred: ({ zone }) => evacuated.has(zone) }) }
 }
 
-describe('Allocator, while a domain is evacuated', () => {
-  it('places nothing there, reads nothing there, and does so again once it is withdrawn', () => {
+describe('Allocator, while a failure domain is evacuated', () => {
+  it('neither prefills nor decodes there until the evacuation is withdrawn', () => {
     const { evacuated, allocator, place, decisions } = createDomains()
     evacuated.add('a')
     allocator.tick(0)
@@ -31,7 +31,7 @@
     expect(decisions.get('r4')).toMatchObject({ decode: 'd1' })
   })
 
-  it('refuses by the capacity that is left', () => {
+  it('refuses requests by the remaining capacity', () => {
     const { evacuated, allocator, place, decisions } = createDomains()
     evacuated.add('a')
     allocator.tick(0)
@@ -41,7 +41,7 @@
     expect(decisions.get('waits')).toMatchObject({ type: 'refused', reason: 'no room in sight' })
   })
 
-  it('refuses at once where every domain is evacuated, also what waits already', () => {
+  it('refuses new and waiting requests at once if every failure domain is evacuated', () => {
     const { evacuated, allocator, place, decisions } = createDomains()
     for (const id of ['one', 'two', 'three']) place(ask(id, { promptTokens: 7_000 }))
     expect(decisions.has('three')).toBe(false)
@@ -52,7 +52,7 @@
     expect(decisions.get('four')).toMatchObject({ type: 'refused', reason: 'evacuated' })
   })
 
-  it('lets running answers end there, and moves none into it', () => {
+  it('lets running answers end there, and migrates none into it', () => {
     const { evacuated, allocator } = createDomains([
       engine('d0', 'decode', { zone: 'a' }),
       engine('d1', 'decode', { zone: 'b' }),
@@ -79,7 +79,7 @@
     expect(allocator.planMigrations('runner', 2_810)).toEqual([{ request: 'at-d1', to: 'd2' }])
   })
 
-  it('keeps what was learned of engines there', () => {
+  it('keeps the paces of engines there', () => {
     const { evacuated, allocator, place, decisions } = createDomains()
     const readAt = (request: string, now: number) => {
       place(ask(request, { promptTokens: 500 }), now)
@@ -96,7 +96,7 @@
   })
 })
 
-describe('Allocator, when engines should change their part while a domain is evacuated', () => {
+describe('Allocator, when engines should change their stage while a failure domain is evacuated', () => {
   const CHANGE_MS = 6_000
 
   function createLoaded() {
@@ -114,7 +114,7 @@
     return one
   }
 
-  it('plans none for what is back before a change would be done, and then without its engines', () => {
+  it('plans no change for a short evacuation, and then changes other engines', () => {
     const { evacuated, allocator } = createLoaded()
     expect(allocator.planStage('s', 4_000)?.stage).not.toBe('prefill')
     evacuated.add('a')
@@ -127,7 +127,7 @@
     })
   })
 
-  it('orders none of its engines', () => {
+  it('orders no change of an evacuated engine', () => {
     const { evacuated, allocator } = createLoaded()
     evacuated.add('b')
     allocator.tick(4_000)
--- a/placement/allocator/test/failedSends.test.ts
+++ b/placement/allocator/test/failedSends.test.ts
@@ -3,17 +3,20 @@
 import { Allocator, type PlaceAsk, type Placed } from '../src'
 import { ask, engine, ENGINE } from './fixtures'
 
-/** What became of the requests of a load. */
+/** Results of a simulated load. */
 interface Outcome {
   asked: number
-  /** First events in time. */
+  /** First events that came in time. */
   inTime: number
-  /** Requests whose sending failed once their prompt had been read, and those of them that got an answer. */
+  /** Requests whose sending failed after the prefill, and those of them that were answered. */
   failed: number
   failedAnswered: number
 }
 
-/** Twice as many requests as engines can hold, for ten seconds; a third of the sendings fail as they begin. */
+/**
+ * Simulates ten seconds with twice as many requests as engines can hold; a third of the sendings fail after the
+ * prefill.
+ */
 function simulate(seed: number): Outcome {
   const random = createSeededRandom(seed)
   const decoders = ['d0', 'd1', 'd2'].map((id) => engine(id, 'decode'))
@@ -67,8 +70,8 @@
   return outcome
 }
 
-describe('Allocator, when sendings fail under more load than engines can hold', () => {
-  it('answers most of those whose prompt has been read, and serves as many in time', () => {
+describe('Allocator, when sendings fail under overload', () => {
+  it('answers most requests whose prompt was prefilled, without serving fewer in time', () => {
     const seeds = [1, 2, 3, 4]
     const all = seeds.map(simulate)
     const sum = (key: keyof Outcome) => all.reduce((total, one) => total + one[key], 0)
--- a/placement/allocator/test/fixtures.ts
+++ b/placement/allocator/test/fixtures.ts
@@ -30,7 +30,7 @@
   return { id, stage, state: 'ready', ...base, ...fields }
 }
 
-/** A request for a place that can be in time. */
+/** A placement request that can be in time. */
 export function ask(request: string, fields: Partial<PlaceAsk> = {}): PlaceAsk {
   return {
     request,
@@ -52,7 +52,7 @@
   }
 }
 
-/** An allocator over some engines, and the decisions it has given. */
+/** Creates an allocator over some engines, and collects its decisions. */
 export function createAllocator(endpoints: RegisteredEndpoint[], options: Partial<AllocatorOptions> = {}) {
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => ENGINE, ...options })
   const decisions = new Map<string, PlaceDecision>()
@@ -61,7 +61,10 @@
   return { allocator, decisions, place, decodeOf: (request: string) => decodeOf(decisions.get(request)) }
 }
 
-/** An allocator that leads since time 0, over engines of which some are cold and get so many requests a second. */
+/**
+ * Creates an allocator that has led since time 0, over engines of which some are cold and limited to a rate per
+ * second.
+ */
 export function createColdAllocator(endpoints: RegisteredEndpoint[], coldIds: string[], perSecond: number) {
   const cold = new Set(coldIds)
   const policy = { leftMs: (id: string) => (cold.has(id) ? 60_000 : 0), perSecond: () => perSecond }
--- a/placement/allocator/test/forecast.test.ts
+++ b/placement/allocator/test/forecast.test.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { LengthForecast, lengthQuantile, peakMemory, planStages, type GrowingAnswer } from '../src'
 
-/** The peak by playing every step. */
+/** Computes the peak by simulating every step. */
 function simulatedPeak(answers: GrowingAnswer[]): number {
   let peak = 0
   const last = Math.max(0, ...answers.map((answer) => answer.remaining))
@@ -18,7 +18,7 @@
 }
 
 describe('peakMemory', () => {
-  it('is what playing every step gives', () => {
+  it('equals the peak of a step by step simulation', () => {
     const answers = fc.array(fc.record({ held: fc.nat(500), remaining: fc.nat(60) }), {
       minLength: 1,
       maxLength: 8,
@@ -39,7 +39,7 @@
     expect(lengthQuantile(prior, 0, 10_000, 0.9)).toBeGreaterThan(lengthQuantile(prior, 0, 10_000, 0.6))
   })
 
-  it('is always more than what was made, and never more than the most', () => {
+  it('always exceeds the tokens generated so far, and never exceeds the maximum', () => {
     const made = fc.integer({ min: 0, max: 20_000 })
     fc.assert(
       fc.property(made, fc.double({ min: 0.05, max: 0.95, noNaN: true }), (tokens, probability) => {
@@ -52,7 +52,7 @@
 })
 
 describe('LengthForecast', () => {
-  it('learns how far guesses are off, and comes nearer than the guess itself', () => {
+  it('learns the error of hints, and predicts better than the hint itself', () => {
     const random = createSeededRandom(7)
     const normal = () => Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random())
     const forecast = new LengthForecast()
@@ -90,11 +90,11 @@
     })),
   ]
 
-  it('leaves engines alone while neither half is full', () => {
+  it('plans no change while neither stage is busy', () => {
     expect(planStages(engines(2, 4), { prefill: 0.7, decode: 2.5 })).toBeUndefined()
   })
 
-  it('moves the engine that is free first from the emptier to the fuller half', () => {
+  it('moves the engine that is free first from the less busy to the busier stage', () => {
     expect(planStages(engines(2, 2), { prefill: 0.6, decode: 2.2 })).toMatchObject({
       id: 'p0',
       stage: 'decode',
@@ -105,7 +105,7 @@
     })
   })
 
-  it('counts what changes already where it goes, and never leaves a half without an engine that works', () => {
+  it('counts changing engines at their new stage, and leaves no stage without a working engine', () => {
     const [first, ...rest] = engines(3, 1)
     const onItsWay = [{ ...first!, stage: 'decode' as const, isChanging: true }, ...rest]
     expect(planStages(onItsWay, { prefill: 0.6, decode: 3.3 })).toMatchObject({ id: 'p1', stage: 'decode' })
@@ -114,18 +114,18 @@
     expect(planStages(back, { prefill: 0.2, decode: 3.3 })).toBeUndefined()
   })
 
-  it('takes a second reader from the decode engines only where reading holds up far more than they could read', () => {
+  it('adds a second prefill engine only if prefills exceed what decode engines could take over', () => {
     expect(planStages(engines(1, 5), { prefill: 1.2, decode: 3.6 })).toBeUndefined()
     expect(planStages(engines(0, 5), { prefill: 0.4, decode: 3.6 })).toMatchObject({ stage: 'prefill' })
   })
 
-  it('leaves two readers where decode engines are full but not overfull, since one may drain or crash', () => {
+  it('keeps two prefill engines unless decode engines are overloaded, since one may drain or crash', () => {
     expect(planStages(engines(2, 4), { prefill: 0.64, decode: 3.86 })).toBeUndefined()
     expect(planStages(engines(2, 4), { prefill: 0.64, decode: 4.1 })).toMatchObject({ stage: 'decode' })
     expect(planStages(engines(3, 3), { prefill: 0.62, decode: 2.9 })).toMatchObject({ stage: 'decode' })
   })
 
-  it('moves one engine after the other in a large pool until the halves are about equally full', () => {
+  it('moves one engine after the other in a large pool until both stages are about equally busy', () => {
     const need = { prefill: 5.8, decode: 31 }
     const pool = engines(23, 40)
     const moved: string[] = []
@@ -140,7 +140,7 @@
     expect(5.8 / prefill).toBeLessThanOrEqual(0.8 * (31 / (63 - prefill)) + 0.01)
   })
 
-  it('changes nothing where both halves are full, and never empties one', () => {
+  it('changes nothing if both stages are busy, and never empties one', () => {
     expect(planStages(engines(2, 4), { prefill: 1.9, decode: 4.2 })).toBeUndefined()
     expect(planStages(engines(1, 1), { prefill: 0.1, decode: 5 })).toBeUndefined()
   })
--- a/placement/allocator/test/impatientCallers.test.ts
+++ b/placement/allocator/test/impatientCallers.test.ts
@@ -5,15 +5,18 @@
 const TARGET_MS = 900
 const PATIENCE_MS = 3_600
 
-/** What became of the requests of a load. */
+/** Results of a simulated load. */
 interface Outcome {
   inTime: number
   late: number
-  /** Prompts that were read for callers that had left when the first event was there. */
+  /** Prompts that were prefilled for callers that had left before the first event. */
   inVain: number
 }
 
-/** Long prompts, more than one reader can read, for six seconds; a caller leaves after four targets of silence. */
+/**
+ * Simulates six seconds of long prompts, more than one prefill engine can take. A caller leaves after four targets of
+ * silence.
+ */
 function simulate(): Outcome {
   const endpoints = [engine('p0', 'prefill'), ...['d0', 'd1', 'd2', 'd3'].map((id) => engine(id, 'decode'))]
   const memory = { ...ENGINE, kvTokens: 80_000 }
@@ -48,7 +51,7 @@
     const arrivedAt = now
     const request = `r${now}`
     const tokens = { promptTokens: 12_000, hintTokens: 200, mostTokens: 400 }
-    // Some have spent their time with a sending that failed.
+    // Some requests have spent part of their time on a sending that failed.
     const spentMs = now % 300 === 0 ? 0 : 700
     const times = { targetMs: TARGET_MS - spentMs, promptMs: 0, holdMs: 3_060 - spentMs, pauseMs: 300 }
     const patienceMs = PATIENCE_MS - spentMs
@@ -59,21 +62,21 @@
   return outcome
 }
 
-describe('Allocator, whose callers leave a stream that stays silent', () => {
-  it('reads no prompt for a caller that will have left, and keeps new ones in time beside late ones', () => {
+describe('Allocator, with callers that leave a silent stream', () => {
+  it('prefills no prompt for a caller that will have left, and serves new requests in time beside late ones', () => {
     const { inTime, late, inVain } = simulate()
     expect(inVain).toBe(0)
     expect(inTime).toBeGreaterThanOrEqual(18)
     expect(inTime + late).toBeGreaterThanOrEqual(25)
   })
 
-  it('places no late request whose caller leaves before the first event, and one that is just late enough', () => {
+  it('places a late request only if its caller stays until the first event', () => {
     const placed = (patienceMs: number) => {
       const one = createAllocator([engine('p0', 'prefill'), engine('d0', 'decode')])
       one.place(ask('late', { promptTokens: 8_000, mostTokens: 300, targetMs: -1_000, patienceMs }), 0)
       return one.decisions.get('late')?.type
     }
-    // 200 ms of reading, and half of that for what varies.
+    // 200 ms of prefill, and half of that for its variation.
     expect(placed(340)).toBeUndefined()
     expect(placed(380)).toBe('placed')
   })
--- a/placement/allocator/test/instanceHealth.test.ts
+++ b/placement/allocator/test/instanceHealth.test.ts
@@ -2,7 +2,7 @@
 import { InstanceHealth } from '../src/instanceHealth'
 
 describe('InstanceHealth', () => {
-  it('takes an instance out at once that refuses connections, for longer each time', () => {
+  it('ejects an instance that refuses a connection at once, for longer each time', () => {
     const health = new InstanceHealth()
     expect(health.record('i', 'unreachable', 0)).toBe(1_500)
     expect(health.isHealthy('i', 1_499)).toBe(false)
@@ -11,7 +11,7 @@
     expect(health.isHealthy('i', 9_599)).toBe(false)
   })
 
-  it('forgives a single failure, and takes one out that fails most of the time', () => {
+  it('tolerates a single failure, and ejects an instance that fails most of the time', () => {
     const health = new InstanceHealth()
     expect(health.record('i', 'failed', 0)).toBe(0)
     expect(health.record('i', 'failed', 1)).toBe(1_500)
@@ -20,7 +20,7 @@
     expect(outcomes.map((outcome, index) => grey.record('i', outcome, index))).toEqual([0, 0, 0, 0, 0, 0])
   })
 
-  it('calls one lost only after it was out several times without a good use between', () => {
+  it('counts an instance as lost only after several ejections without a successful use in between', () => {
     const health = new InstanceHealth()
     const ejections: number[] = []
     for (let now = 0; ejections.length < 3; now += 500) {
@@ -32,7 +32,7 @@
     expect(health.isLost('i', 20_000, 0)).toBe(false)
   })
 
-  it('calls one lost where nobody listened twice, once it could have been back: its process has ended', () => {
+  it('counts an instance as lost after two refused connections, once it could have returned', () => {
     const health = new InstanceHealth()
     health.record('i', 'unreachable', 0)
     expect(health.isLost('i', 9_000, 6_000)).toBe(false)
@@ -46,7 +46,7 @@
     expect(health.isLost('i', 30_000, 6_000)).toBe(false)
   })
 
-  it('holds a use that was given up against an instance only if it answered nobody meanwhile', () => {
+  it('counts an abandoned use against an instance only if it answered no other meanwhile', () => {
     const busy = new InstanceHealth()
     busy.record('i', 'ok', 1_000)
     const givenUp = [1_100, 1_200, 1_300, 1_400, 1_500].map((now) => busy.record('i', 'silent', now, 800))
@@ -57,7 +57,7 @@
     expect(silent.record('i', 'silent', 2_010, 800)).toBe(1_500)
   })
 
-  it('pauses one that has no room, longer with each refusal in a row', () => {
+  it('pauses an instance without capacity, longer with each refusal in a row', () => {
     const health = new InstanceHealth()
     health.record('i', 'full', 0)
     expect([health.isFull('i', 199), health.isFull('i', 200)]).toEqual([true, false])
--- a/placement/allocator/test/interruptedAnswers.test.ts
+++ b/placement/allocator/test/interruptedAnswers.test.ts
@@ -3,15 +3,15 @@
 import { Allocator, type PlaceAsk, type Placed } from '../src'
 import { ask, engine, ENGINE } from './fixtures'
 
-/** What became of the requests of a load. */
+/** Results of a simulated load. */
 interface Outcome {
   asked: number
-  /** First events in time. */
+  /** First events that came in time. */
   inTime: number
-  /** Answers that had begun when their engine ended, and those of them that ended whole before their caller had gone. */
+  /** Answers that had begun when their engine ended, and those of them that were completed before their caller left. */
   begun: number
   begunWhole: number
-  /** How long these heard nothing, in milliseconds, each. */
+  /** How long each of these was silent, in milliseconds. */
   pauses: number[]
 }
 
@@ -22,8 +22,8 @@
 const ENDS_AT = [3_000, 6_000]
 
 /**
- * Twice as many requests as three engines can hold, for ten seconds; at two moments an engine ends under its answers, and is
- * back a second later. Those that had begun ask again until their caller has gone.
+ * Simulates ten seconds with twice as many requests as three engines can hold. At two times an engine ends with its
+ * answers and returns a second later; begun answers ask again until their caller leaves.
  */
 function simulate(seed: number, isBegun: true | undefined): Outcome {
   const random = createSeededRandom(seed)
@@ -118,10 +118,11 @@
   }
 }
 
-describe('Allocator, when engines end under answers that have begun, with more work than they can hold', () => {
-  // Six seeds: of 24 begun answers 24 end whole, the median after 1,025 ms of silence; placed like new requests 3 of 30 do,
-  // after 1,540 ms. Of new requests 31.3 in 100 begin in time, 34.4 otherwise: the places are the same ones.
-  it('lets nearly all of them end whole, for a few in a hundred fewer that begin in time', () => {
+describe('Allocator, when engines end with begun answers under overload', () => {
+  // Over six seeds 24 of 24 begun answers are completed, after a median silence of 1,025 ms; placed like new
+  // requests, 3 of 30 are, after 1,540 ms. Of new requests 31.3 in 100 begin in time, otherwise 34.4, since both need
+  // the same engines.
+  it('completes nearly all of them, at the cost of a few percent fewer first events in time', () => {
     const first = simulateAll(true)
     const likeNew = simulateAll(undefined)
     expect(Math.min(first.begun, likeNew.begun)).toBeGreaterThan(20)
--- a/placement/allocator/test/limitedEngines.test.ts
+++ b/placement/allocator/test/limitedEngines.test.ts
@@ -2,7 +2,7 @@
 import type { LimitPolicy, Placed } from '../src'
 import { ask, ENGINE, engine, createAllocator } from './fixtures'
 
-/** Engines that name a rate and may still get so many requests. */
+/** Creates a limit policy for engines that may still get a number of requests. */
 function limits(left: Record<string, number>): LimitPolicy {
   return {
     isLimited: (id) => id in left,
@@ -17,8 +17,8 @@
 
 const small = { promptTokens: 100, mostTokens: 200, hintTokens: 100 }
 
-describe('Allocator, with engines that name the rate that they take', () => {
-  it('counts each step at such an engine, and says within how long it must leave', () => {
+describe('Allocator, with engines that name a rate limit', () => {
+  it('counts each step on such an engine, and states how soon it must be sent', () => {
     const left = { p1: 1, d1: 1 }
     const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')], {
       limits: limits(left),
@@ -32,7 +32,7 @@
     expect(left).toEqual({ p1: 0, d1: 0 })
   })
 
-  it('says nothing of engines that name none', () => {
+  it('states nothing for engines without a rate limit', () => {
     const { place, decisions } = createAllocator([engine('p1', 'prefill'), engine('d1', 'decode')], {
       limits: limits({}),
     })
@@ -40,7 +40,7 @@
     expect((decisions.get('r1') as Placed).limited).toBeUndefined()
   })
 
-  it('places at others while one may get nothing, for reading and for decoding', () => {
+  it('uses other engines for prefill and decode while one is at its limit', () => {
     const engines = ['p1', 'p2', 'd1', 'd2'].map((id) =>
       engine(id, id.startsWith('p') ? 'prefill' : 'decode'),
     )
@@ -52,7 +52,7 @@
     expect(placed.some(({ prefill }) => prefill === 'p1')).toBe(false)
   })
 
-  it('lets a request wait for what the rate allows, and refuses it within its time where that does not come', () => {
+  it('queues a request until the rate limit allows it, and refuses it at the end of its time otherwise', () => {
     const left = { d1: 1 }
     const { allocator, place, decisions } = createAllocator(
       [engine('p1', 'prefill'), engine('d1', 'decode')],
@@ -70,7 +70,7 @@
     expect(decisions.get('r3')).toMatchObject({ type: 'refused' })
   })
 
-  it('moves no running answer to such an engine', () => {
+  it('migrates no running answer to such an engine', () => {
     const engines = [engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place, decisions } = createAllocator(engines, {
       limits: limits({ d2: 5 }),
--- a/placement/allocator/test/migrations.test.ts
+++ b/placement/allocator/test/migrations.test.ts
@@ -4,7 +4,7 @@
 
 const PAUSED = { promptTokens: 500, pauseMs: 300, hintTokens: 1_000, mostTokens: 2_000, leftMs: 20_000 }
 
-/** Reports answers of one entry, one at each engine named, at a pace of its own. */
+/** Reports answers of one entry, one on each named engine, at its own pace. */
 function reportAnswers(
   { allocator }: ReturnType<typeof createAllocator>,
   msPerToken: Record<string, number>,
@@ -26,8 +26,8 @@
 const three = () => ['d0', 'd1', 'd2'].map((id) => engine(id, 'decode'))
 const PEERS = { d0: 4, d1: 4, d2: 4 }
 
-describe('Allocator, for answers that run', () => {
-  it('lets those at an engine that has turned too slow for them go on elsewhere, once', () => {
+describe('Allocator, for running answers', () => {
+  it('migrates answers from an engine that has become too slow for them, once', () => {
     const one = createAllocator(three())
     reportAnswers(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
     expect(one.allocator.planMigrations('runner', 1_210)).toEqual([
@@ -36,7 +36,7 @@
     expect(one.allocator.planMigrations('runner', 1_220)).toEqual([])
   })
 
-  it('leaves them where all are slow alike, or where they end in a moment', () => {
+  it('migrates none if all engines are slow alike, or if the answers end in a moment', () => {
     const alike = createAllocator(three())
     reportAnswers(alike, { d0: 25, d1: 25, d2: 25 }, { from: 0, until: 1_200 })
     expect(alike.allocator.planMigrations('runner', 1_210)).toEqual([])
@@ -45,7 +45,7 @@
     expect(ending.allocator.planMigrations('runner', 7_610)).toEqual([])
   })
 
-  it('lets those go on elsewhere whose engine leaves before they end', () => {
+  it('migrates answers whose engine leaves before they end', () => {
     const endpoints: RegisteredEndpoint[] = three()
     const one = createAllocator(endpoints)
     reportAnswers(one, PEERS, { from: 0, until: 800 })
@@ -55,14 +55,14 @@
     expect(one.allocator.planMigrations('runner', 830)).toMatchObject([{ request: 'at-d0' }])
   })
 
-  it('lets those go on elsewhere whose engine is to change its part, which it does once it is empty', () => {
+  it('migrates answers whose engine is to change its stage, which has to be empty for that', () => {
     const one = createAllocator(three())
     reportAnswers(one, PEERS, { from: 0, until: 800 })
     one.allocator.markChanging('d1', 'prefill', 20_000, 810)
     expect(one.allocator.planMigrations('runner', 820)).toMatchObject([{ request: 'at-d1' }])
   })
 
-  it('counts what they hold where they go, and moves none that does not fit', () => {
+  it('counts the memory of migrated answers at their new engine, and migrates none that does not fit', () => {
     const endpoints: RegisteredEndpoint[] = [engine('d0', 'decode'), engine('d1', 'decode')]
     const one = createAllocator(endpoints)
     reportAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 400 })
@@ -75,11 +75,11 @@
     expect(one.decodeOf('next')).toBeUndefined()
   })
 
-  it('learns no pace from the time in which an answer moved, and takes it back where it stays', () => {
+  it('learns no pace while an answer migrates, and assigns it back if it stays', () => {
     const one = createAllocator(three())
     reportAnswers(one, { ...PEERS, d0: 25 }, { from: 0, until: 1_200 })
     const [move] = one.allocator.planMigrations('runner', 1_210)
-    // It goes on being reported where it was: the move has failed.
+    // It is still reported at its old engine: the migration has failed.
     reportAnswers(one, { ...PEERS, d0: 25 }, { from: 1_600, until: 4_800 })
     expect(one.allocator.planMigrations('runner', 4_810)).toMatchObject([{ request: move!.request }])
     const views = ['d1', 'd2'].map((id) =>
@@ -88,9 +88,9 @@
     expect(views).toEqual([false, false])
   })
 
-  it('teaches the engine that an answer has moved to nothing of the one it left', () => {
+  it('does not count the pace of the old engine for the new one', () => {
     const others = ['d1', 'd2', 'd3']
-    // The idle one has the most room, and no other answer there tells its pace.
+    // The idle engine has the most memory, and no other answer shows its pace.
     const one = createAllocator(['d0', ...others, 'idle'].map((id) => engine(id, 'decode')))
     const report = (decode: string, now: number, madeTokens: number) => ({
       ask: ask('moved', { ...PAUSED, entry: 'runner', mostTokens: 4_000 }),
@@ -106,7 +106,7 @@
       one.allocator.applyReport('runner', [report('d0', now, now / 25)], now)
     }
     const [move] = one.allocator.planMigrations('runner', 2_010)
-    // From here on it makes a token each 4 ms at its new engine, as its peers do.
+    // From here on the answer gets a token every 4 ms at its new engine, as on its peers.
     for (const now of [2_400, 2_800]) {
       one.allocator.applyReport('e1', peers(now), now)
       one.allocator.applyReport('runner', [report(move!.to, now, 80 + (now - 2_010) / 4)], now)
--- a/placement/allocator/test/mixedEngines.test.ts
+++ b/placement/allocator/test/mixedEngines.test.ts
@@ -8,7 +8,7 @@
   until: number
 }
 
-/** Engines that make tokens at a pace each, which varies by a tenth with what runs there. */
+/** Lets engines decode, each at its own pace, which varies by a tenth with its load. */
 function learnDecoding(pace: EnginePace, msPerToken: Record<string, number>, { from, until }: Span): void {
   const random = createSeededRandom(from + 1)
   for (let now = from; now < until; now += 400)
@@ -16,7 +16,7 @@
       pace.learnDecoding(id, 400 / (ms * (0.9 + 0.2 * random())), 400, now)
 }
 
-/** Collects which engines were found slow. */
+/** Collects which engines are slow, and which ever were. */
 function watchPace() {
   const slow = new Set<string>()
   const ever = new Set<string>()
@@ -28,17 +28,17 @@
   return { pace, slow, ever }
 }
 
-describe('EnginePace, of engines that differ by build', () => {
-  it('does not take an engine that is slower by build for slow, also where it runs more answers than others', () => {
+describe('EnginePace, of engines with different hardware', () => {
+  it('does not count an engine with slower hardware as slow, even if it runs more answers than others', () => {
     const { pace, ever } = watchPace()
     learnDecoding(pace, { a: 4, b: 4, c: 4, old: 5.6 }, { from: 0, until: 60_000 })
     learnDecoding(pace, { a: 4, b: 4, c: 4, old: 5.6 * 1.4 }, { from: 60_000, until: 66_000 })
     expect([...ever]).toEqual([])
-    // It is believed as slow as it is all the same.
+    // Its own pace is known all the same.
     expect(pace.msPerToken('old', 66_000)).toBeGreaterThan(7)
   })
 
-  it('finds a fast engine that lost its lead and more', () => {
+  it('detects a fast engine that has become slower than its peers', () => {
     const { pace, slow } = watchPace()
     learnDecoding(pace, { a: 4, b: 4, c: 4, fast: 3 }, { from: 0, until: 60_000 })
     learnDecoding(pace, { a: 4, b: 4, c: 4, fast: 6.4 }, { from: 60_000, until: 64_000 })
@@ -47,13 +47,13 @@
     expect([...slow]).toEqual([])
   })
 
-  it('finds an engine that has been slow from its first word on, and goes on finding it', () => {
+  it('detects an engine that has been slow from the start, permanently', () => {
     const { pace, slow } = watchPace()
     learnDecoding(pace, { a: 4, b: 4, c: 4, ill: 9 }, { from: 0, until: 120_000 })
     expect([...slow]).toEqual(['ill'])
   })
 
-  it('finds an engine that grows slow by little steps once it is beyond what builds differ by', () => {
+  it('detects an engine that slows down in small steps once it is beyond the differences of hardware', () => {
     const { pace, slow } = watchPace()
     for (let step = 0; step <= 40; step += 1)
       learnDecoding(
@@ -64,7 +64,7 @@
     expect([...slow]).toEqual(['ill'])
   })
 
-  it('takes none for slow while all slow down alike, whatever their build', () => {
+  it('counts no engine as slow while all slow down alike, whatever their hardware', () => {
     const { pace, ever } = watchPace()
     learnDecoding(pace, { a: 4, b: 4, fast: 3 }, { from: 0, until: 60_000 })
     for (let step = 1; step <= 20; step += 1) {
@@ -76,8 +76,8 @@
   })
 })
 
-describe('Allocator, with engines that differ by build', () => {
-  it('counts capacity in paces: faster decode engines are more supply', () => {
+describe('Allocator, with engines with different hardware', () => {
+  it('weighs capacity by pace: faster decode engines are more supply', () => {
     const allocatorWith = (fastMs: number) => {
       const endpoints = [
         engine('p0', 'prefill'),
@@ -104,7 +104,7 @@
     expect(supplyOf(allocatorWith(2.8))).toBeGreaterThan(5.5)
   })
 
-  it('gives less work to an engine that is slower by build, and does not pass it over', () => {
+  it('gives less work to an engine with slower hardware, but some', () => {
     const endpoints = [
       engine('p0', 'prefill'),
       engine('d0', 'decode'),
--- a/placement/allocator/test/placementQueue.test.ts
+++ b/placement/allocator/test/placementQueue.test.ts
@@ -3,7 +3,7 @@
 import { PlacementQueue } from '../src/placementQueue'
 import { ask } from './fixtures'
 
-/** A room with requests that all asked at time 0, and ends of uses at an even pace before. */
+/** Creates a queue of requests that all arrived at time 0, after requests that ended at an even rate. */
 function createQueue(names: string[], endsEveryMs: number) {
   const waiting = new PlacementQueue((one, now) => one.ask.targetMs - (now - one.since), 'returns-last')
   for (let at = -2_000; at <= 0; at += endsEveryMs) waiting.recordEnd('s', at)
@@ -12,12 +12,12 @@
   return waiting
 }
 
-describe('WaitingRoom', () => {
-  it('asks nobody to leave before the time at which they must hear', () => {
+describe('PlacementQueue', () => {
+  it('removes no request before it is due for a decision', () => {
     expect(createQueue(['a', 'b'], 10_000).removeHopeless(149)).toEqual([])
   })
 
-  it('lets only as many wait as have a place in sight, the first first', () => {
+  it('keeps only as many requests as have a placement in sight, the oldest first', () => {
     const waiting = createQueue(['a', 'b', 'c', 'd', 'e', 'f'], 200)
     const sent = waiting.removeHopeless(150).map((one) => one.ask.request)
     expect(sent.length).toBeGreaterThan(0)
@@ -25,14 +25,14 @@
     expect(sent).toEqual(['a', 'b', 'c', 'd', 'e', 'f'].slice(-sent.length))
   })
 
-  it('judges each once: who was told to wait is not sent away later', () => {
+  it('decides once per request: one that was kept is not removed later', () => {
     const waiting = createQueue(['a'], 100)
     expect(waiting.removeHopeless(150)).toEqual([])
     expect(waiting.removeHopeless(880)).toEqual([])
     expect(waiting.size).toBe(1)
   })
 
-  it('counts only the queue of the same service', () => {
+  it('counts only waiting requests of the same service', () => {
     const waiting = createQueue([], 100)
     for (const request of ['x', 'y', 'z', 'u', 'v', 'w'])
       waiting.add({
@@ -47,7 +47,7 @@
     expect(sent).toContain('x')
   })
 
-  it('lets those go first of their like whose sending failed: their prompt has most likely been read', () => {
+  it('orders requests whose sending failed first in their group, since their prompt is most likely cached', () => {
     const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
       waiting.add({ ask: ask(request, fields), since, hasProspect: false, resolve: () => undefined })
@@ -60,7 +60,7 @@
     expect(order).toEqual(['failed', 'new', 'back', 'late, failed', 'late'])
   })
 
-  it('lets those go first whose answer has begun, also late ones: nobody else can end it', () => {
+  it('orders requests whose answer has begun first, even late ones', () => {
     const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
       waiting.add({ ask: ask(request, fields), since, hasProspect: false, resolve: () => undefined })
--- a/placement/allocator/test/prefixCache.test.ts
+++ b/placement/allocator/test/prefixCache.test.ts
@@ -11,7 +11,7 @@
 import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 const SHARED = { id: 'shared', tokens: 1_000 }
-/** A request for a text of its own behind a part that all share. */
+/** A request whose prompt is a shared part followed by a text of its own. */
 const textAsk = (request: string, text: string, fields: Partial<PlaceAsk> = {}) =>
   ask(request, { parts: [SHARED, { id: text, tokens: 2_000 }], hintTokens: 200, mostTokens: 400, ...fields })
 
@@ -22,7 +22,7 @@
   return decision?.type === 'placed' ? decision : undefined
 }
 
-/** Places a request, has it read and lets it make its answer. */
+/** Places a request, prefills its prompt and completes its answer. */
 function serve(one: Setup, asked: PlaceAsk, now: number, made = 200): PlaceDecision | undefined {
   one.place(asked, now)
   one.allocator.recordPrefilled(asked.request, 'ok', 75, now + 75)
@@ -30,8 +30,8 @@
   return one.decisions.get(asked.request)
 }
 
-describe('KeptPrompts', () => {
-  it('tells what an engine need not read: the parts that it keeps from the first one on', () => {
+describe('PrefixCacheIndex', () => {
+  it('counts the leading parts that an engine has cached', () => {
     const kept = new PrefixCacheIndex()
     kept.recordUse('p', [SHARED, { id: 'a', tokens: 2_000 }])
     expect(kept.cachedTokens('p', [SHARED, { id: 'a', tokens: 2_000 }])).toBe(3_000)
@@ -40,7 +40,7 @@
     expect(kept.cachedTokens('other', [SHARED])).toBe(0)
   })
 
-  it('forgets the parts unused longest where memory has no room for them, and none that answers use', () => {
+  it('evicts the least recently used parts beyond the memory, and none that answers use', () => {
     const kept = new PrefixCacheIndex()
     kept.recordUse('p', [{ id: 'old', tokens: 100 }])
     kept.recordUse('p', [{ id: 'used', tokens: 100 }])
@@ -49,12 +49,12 @@
     expect(['old', 'used', 'new'].map((id) => kept.cachedTokens('p', [{ id, tokens: 100 }]))).toEqual([
       0, 100, 100,
     ])
-    // What is gone does not come back when memory is free again.
+    // Evicted parts do not return when memory is free again.
     kept.trim('p', 1_000, new Set())
     expect(kept.cachedTokens('p', [{ id: 'old', tokens: 100 }])).toBe(0)
   })
 
-  it('is bounded, however many parts callers name', () => {
+  it('is bounded however many parts callers name', () => {
     const kept = new PrefixCacheIndex()
     for (let index = 0; index < 2_000; index += 1) kept.recordUse('p', [{ id: `t${index}`, tokens: 1 }])
     const parts = Array.from({ length: 2_000 }, (_, index) => ({ id: `t${index}`, tokens: 1 }))
@@ -62,13 +62,13 @@
   })
 })
 
-describe('Allocator, with prompts that engines keep', () => {
+describe('Allocator, with prefix caches', () => {
   const pool = (prefill: number, decode: number, fields: Partial<RegisteredEndpoint> = {}) => [
     ...Array.from({ length: prefill }, (_, index) => engine(`p${index}`, 'prefill', fields)),
     ...Array.from({ length: decode }, (_, index) => engine(`d${index}`, 'decode', fields)),
   ]
 
-  it('sends the retry of a request whose answer was lost to the engines that have read it', () => {
+  it('sends the retry of a request whose answer was lost to an engine that has cached its prompt', () => {
     const one = createAllocator(pool(4, 4))
     one.place(textAsk('first', 'a'), 0)
     const first = placedOf(one, 'first')!
@@ -78,7 +78,7 @@
     expect(placedOf(one, 'retry')).toMatchObject({ prefill: first.prefill, keptTokens: 3_000 })
   })
 
-  it('asks the only reader again where its answer was lost after the reading, and not where it read nothing', () => {
+  it('uses the only prefill engine again if its response was lost after the prefill, but not if it prefilled nothing', () => {
     const retriedAfter = (tookMs: number) => {
       const one = createAllocator(pool(1, 2))
       one.place(textAsk('before', 'b'), 0)
@@ -93,33 +93,33 @@
     expect(retriedAfter(80)?.prefill).toBeUndefined()
   })
 
-  it('has a prompt that a decode engine keeps neither read nor moved', () => {
+  it('neither prefills nor copies a prompt that a decode engine has cached', () => {
     const one = createAllocator(pool(2, 4))
     const first = serve(one, textAsk('first', 'a'), 0)
     one.place(textAsk('again', 'a'), 1_000)
     const again = placedOf(one, 'again')!
     expect(again.prefill).toBeUndefined()
     expect(again).toMatchObject({ decode: first?.type === 'placed' && first.decode, keptTokens: 3_000 })
-    // Nor does it hold up others there: a prompt that is really read goes on being read elsewhere.
+    // Nor does it delay others: a prompt that needs a prefill still goes to a prefill engine.
     one.place(textAsk('other', 'b'), 1_001)
     expect(placedOf(one, 'other')?.prefill).toBeDefined()
   })
 
-  it('spreads the same text over engines once the one that keeps it fills up, and overfills none', () => {
+  it('spreads the same text over engines once the one that has cached it fills up, and overfills none', () => {
     const one = createAllocator(pool(3, 3))
     serve(one, textAsk('first', 'a'), 0)
     const names = Array.from({ length: 9 }, (_, index) => `again${index}`)
     names.forEach((name, index) => one.place(textAsk(name, 'a'), 1_000 + index))
     const decodes = names.map((name) => placedOf(one, name)?.decode).filter((id) => id !== undefined)
     const counts = ['d0', 'd1', 'd2'].map((id) => decodes.filter((each) => each === id).length)
-    // Each holds 3,000 and up to 400 more, of 10,000.
+    // Each request holds 3,000 tokens and up to 400 more, of 10,000.
     expect(Math.max(...counts)).toBeLessThanOrEqual(3)
     expect(counts.every((count) => count > 0)).toBe(true)
   })
 
-  it('believes nothing of an engine that may have restarted, is cold, or serves several models', () => {
+  it('assumes no cached prompts on an engine that may have restarted, is cold or serves several models', () => {
     const changes: ((one: Setup, endpoints: RegisteredEndpoint[], id: string) => void)[] = [
-      // As a comparison: nothing happens to it.
+      // For comparison: nothing happens to the engine.
       () => undefined,
       (one, _, id) => one.allocator.recordUse(id, 'other-instance', 900),
       (one, endpoints, id) => {
@@ -144,7 +144,7 @@
     expect(isReadAnew).toEqual([false, true, true, true])
   })
 
-  it('forgets prompts that later ones have pushed out of the memory', () => {
+  it('forgets prompts that later ones have evicted', () => {
     const one = createAllocator(pool(1, 1))
     serve(one, textAsk('first', 'a'), 0)
     for (let index = 0; index < 6; index += 1) {
@@ -155,7 +155,7 @@
     expect(placedOf(one, 'again')).toMatchObject({ prefill: 'p0', keptTokens: 1_000 })
   })
 
-  it('knows from the reports of entries what engines keep after a change of leader', () => {
+  it('learns from reports what engines have cached after a change of leader', () => {
     const one = createAllocator(pool(2, 3))
     const running = textAsk('running', 'a', { entry: 'e2' })
     const holds = [{ ask: running, decode: 'd1', ageMs: 900, decodingForMs: 700, madeTokens: 20 }]
@@ -165,14 +165,17 @@
     expect(placedOf(one, 'again')?.prefill).toBeUndefined()
   })
 
-  it('serves more callers in time under more than engines can read, where texts come again', () => {
-    // Engines keep what they have read either way; only whether placings know of it differs.
+  it('serves more callers in time under a prefill overload with repeated texts', () => {
+    // Engines cache prompts either way; only whether the allocator knows of it differs.
 
     expect(countInTime(pool(2, 6), true)).toBeGreaterThan(countInTime(pool(2, 6), false) * 1.15)
   })
 })
 
-/** Plays six seconds of letters, each text twice within a second, over engines that read 40 tokens a millisecond. */
+/**
+ * Simulates six seconds of requests, each text twice within a second, over engines that prefill 40 tokens per
+ * millisecond.
+ */
 function countInTime(endpoints: RegisteredEndpoint[], isKnown: boolean): number {
   const memory = { ...ENGINE, kvTokens: 60_000 }
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => memory })
@@ -216,7 +219,7 @@
   return inTime
 }
 
-describe('EnginePace, of prompts that were kept', () => {
+describe('EnginePace, of cached prompts', () => {
   const alone = (readTokens: number, tookMs: number) => ({
     promptTokens: 4_000,
     readTokens,
@@ -225,11 +228,11 @@
     isGivenUp: false,
   })
 
-  it('takes an engine for well that reads the rest of a prompt in its time, or all of it', () => {
+  it('counts an engine as healthy that prefills the rest of a prompt, or all of it, in the expected time', () => {
     const pace = new EnginePace()
     for (let index = 0; index < 8; index += 1) {
       pace.learnPrefill('a', alone(1_000, 25), index * 300)
-      // It had kept nothing, whatever was believed.
+      // Nothing was cached, contrary to the estimate.
       pace.learnPrefill('b', alone(1_000, 100), index * 300)
     }
     expect(pace.view('a', 'prefill', 2_400).slowness).toBeLessThan(1.2)
--- a/placement/allocator/test/readPlaceCalls.test.ts
+++ b/placement/allocator/test/readPlaceCalls.test.ts
@@ -6,13 +6,13 @@
 const hold = (request: string) => ({ ask: ask(request), decode: 'd0', ageMs: 5 })
 const asSent = (value: unknown): unknown => JSON.parse(JSON.stringify(value))
 
-/** One field of a good statement replaced by anything, or left out. */
+/** A valid object with one field replaced by an arbitrary value. */
 function withOneFieldReplaced(good: object): fc.Arbitrary<{ field: string; value: unknown }> {
   return fc.record({ field: fc.constantFrom(...Object.keys(good)), value: fc.anything() })
 }
 
-describe('what entries say of places', () => {
-  it('is taken as it was sent where nothing is wrong with it', () => {
+describe('calls of entries', () => {
+  it('are read as they were sent if they are valid', () => {
     const full = { ...ask('a'), patienceMs: 3, pauseMs: 300, isBegun: true, parts: [{ id: 'p', tokens: 3 }] }
     expect(readPlaceAsk(asSent({ ask: full }))).toEqual(asSent(full))
     const { entry } = ask('a')
@@ -20,7 +20,7 @@
     expect(readPlaceReport(asSent(report))).toEqual({ ...(asSent(report) as object), malformed: 0 })
   })
 
-  it('is never more than an error where anything is: no other error, nothing made up', () => {
+  it('are read completely or raise MalformedPlaceCallError, whatever they contain', () => {
     fc.assert(
       fc.property(fc.anything(), withOneFieldReplaced(ask('a')), (any, { field, value }) => {
         for (const raw of [any, { ask: any }, { ask: { ...ask('a'), [field]: value } }]) {
@@ -37,7 +37,7 @@
     )
   })
 
-  it('holds for every other place where one row is none', () => {
+  it('keep every other hold if one row is malformed', () => {
     const { entry } = ask('a')
     fc.assert(
       fc.property(withOneFieldReplaced(hold('b')), fc.nat(2), ({ field, value }, at) => {
@@ -52,7 +52,7 @@
     )
   })
 
-  it('says nothing of places of another entry', () => {
+  it('leave out holds of another entry', () => {
     const other = { ...hold('x'), ask: { ...ask('x'), entry: 'another' } }
     expect(readPlaceReport({ entry: ask('a').entry, holds: [other] })).toMatchObject({
       holds: [],
--- a/placement/allocator/test/regions.test.ts
+++ b/placement/allocator/test/regions.test.ts
@@ -16,8 +16,8 @@
   return { allocator, decisions, place }
 }
 
-describe('the homes of a request', () => {
-  it('bind the engine that reads and the one that decodes', () => {
+describe('the regions of a request', () => {
+  it('bind the prefill engine and the decode engine', () => {
     const { place, decisions } = createAllocator([
       engine('pw', 'prefill', { zone: 'w1' }),
       engine('dw', 'decode', { zone: 'w2' }),
@@ -31,7 +31,7 @@
     ])
   })
 
-  it('leave the reading to the decode engine where no reader lies there', () => {
+  it('leave the prefill to the decode engine if no prefill engine is within them', () => {
     const { place, decisions } = createAllocator([
       engine('pw', 'prefill', { zone: 'w1' }),
       engine('de', 'decode', { zone: 'e1' }),
@@ -40,7 +40,7 @@
     expect(decisions.get('a')).toEqual({ type: 'placed', decode: 'de' })
   })
 
-  it('refuse at once where no decode engine lies there', () => {
+  it('cause a refusal at once if no decode engine is within them', () => {
     const { place, decisions } = createAllocator([engine('dw', 'decode', { zone: 'w1' })])
     for (const [request, regions] of [
       ['a', ['east']],
@@ -52,7 +52,7 @@
     expect(decisions.size).toBe(3)
   })
 
-  it('bind readers, decoders and moves in whatever happens', () => {
+  it('bind prefill engines, decode engines and migrations whatever happens', () => {
     const endpoint = fc.record({
       stage: fc.constantFrom('prefill', 'decode'),
       zone: fc.constantFrom(...DOMAINS),
@@ -119,7 +119,7 @@
       ),
       { seed: 20261202, numRuns: 300 },
     )
-    // Otherwise nothing has been looked at.
+    // Otherwise the property was not exercised.
     expect(placed).toBeGreaterThan(1_000)
     expect(moved).toBeGreaterThan(20)
   })
--- a/placement/allocator/test/slowEngines.test.ts
+++ b/placement/allocator/test/slowEngines.test.ts
@@ -4,7 +4,7 @@
 
 type Setup = ReturnType<typeof createAllocator>
 
-/** Answers that run one at each engine, reported each 400 ms at a pace of its own. */
+/** Reports answers, one on each engine at its own pace, every 400 ms. */
 function runAnswers(
   { allocator }: Setup,
   msPerToken: Record<string, number>,
@@ -30,7 +30,7 @@
   }
 }
 
-/** Has an engine read prompts one after the other, each in the given time. */
+/** Lets prefill engines process prompts one after the other, each in the given time. */
 function readPrompts(
   { allocator, place, decisions }: Setup,
   tookMs: Record<string, number>,
@@ -55,11 +55,11 @@
   ]
 }
 
-/** What a request asks for whose pauses count. */
+/** Fields of a request with a limit on pauses. */
 const PAUSED = { promptTokens: 500, pauseMs: 300, hintTokens: 300, mostTokens: 1_000 }
 
 describe('Allocator, when engines turn slow', () => {
-  it('sends no request that can be in time to a decode engine whose pauses would be too long', () => {
+  it('sends no request in time to a decode engine with too long pauses', () => {
     const one = createAllocator(pool(1, 3))
     runAnswers(one, { d0: 4, d1: 4, d2: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4, d2: 4 }, { from: 2_400, until: 4_400 })
@@ -67,7 +67,7 @@
     expect(['a', 'b', 'c', 'd'].map(one.decodeOf)).not.toContain('d0')
   })
 
-  it('notices it within a second', () => {
+  it('detects a slow engine within a second', () => {
     const one = createAllocator(pool(1, 3))
     runAnswers(one, { d0: 4, d1: 4, d2: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4, d2: 4 }, { from: 2_400, until: 3_200 })
@@ -75,7 +75,7 @@
     expect(['a', 'b', 'c'].map(one.decodeOf)).not.toContain('d0')
   })
 
-  it('places requests on while all are slow alike', () => {
+  it('goes on placing requests while all engines are slow alike', () => {
     const one = createAllocator(pool(1, 3))
     runAnswers(one, { d0: 4, d1: 4, d2: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 26, d2: 24 }, { from: 2_400, until: 6_400 })
@@ -83,7 +83,7 @@
     expect(['a', 'b', 'c'].map(one.decodeOf)).toEqual(Array(3).fill(expect.stringMatching(/^d/)))
   })
 
-  it('gives a slow engine that is well again its part of the work back', () => {
+  it('gives an engine that has recovered its share of the work again', () => {
     const one = createAllocator(pool(1, 2))
     runAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4 }, { from: 2_400, until: 4_400 })
@@ -92,7 +92,7 @@
     expect(['a', 'b', 'c', 'd'].map(one.decodeOf).filter((id) => id === 'd0')).toHaveLength(2)
   })
 
-  it('tries a slow engine with a single request once nothing has been seen of it for a while', () => {
+  it('tries a slow engine with a single request after a time without observations', () => {
     const one = createAllocator(pool(1, 2))
     runAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 2_000 })
     runAnswers(one, { d0: 25, d1: 4 }, { from: 2_400, until: 4_400 })
@@ -101,7 +101,7 @@
     expect(['a', 'b', 'c', 'd'].map(one.decodeOf).filter((id) => id === 'd0')).toHaveLength(1)
   })
 
-  it('sends prompts past a reader that takes longer than its peers', () => {
+  it('sends no prompts to a prefill engine that takes longer than its peers', () => {
     const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
     const prefillOf = (name: string) => (one.decisions.get(name) as { prefill?: string }).prefill
@@ -113,7 +113,7 @@
     expect(['next', 'after'].map(prefillOf)).not.toContain(slow)
   })
 
-  it('lets nothing wait behind a prompt that is late already', () => {
+  it('queues nothing behind a prompt that is already late', () => {
     const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
     one.place(ask('stuck', { promptTokens: 2_000 }), 10_000)
@@ -123,7 +123,7 @@
     expect(prefills).not.toContain(stuck.prefill)
   })
 
-  it('lets a decode engine read where the only reader is slow and would be later', () => {
+  it('lets a decode engine prefill if the only prefill engine is slow and would be later', () => {
     const one = createAllocator(pool(1, 3))
     readPrompts(one, { p0: 90 }, { from: 0, times: 8 })
     readPrompts(one, { p0: 700 }, { from: 8_000, times: 3 })
@@ -131,7 +131,7 @@
     expect(one.decisions.get('next')).toEqual({ type: 'placed', decode: expect.stringMatching(/^d/) })
   })
 
-  it('takes slow tokens for less supply, not for more demand', () => {
+  it('counts slow decoding as less supply, not as more demand', () => {
     const one = createAllocator(pool(2, 4))
     const demand = (from: number, until: number) => {
       for (let now = from; now < until; now += 100)
@@ -146,7 +146,7 @@
     expect(after.decode / before.decode).toBeLessThan(1.3)
   })
 
-  it('does not let a decode engine read where its answers would pause too long', () => {
+  it('does not let a decode engine prefill if its answers would pause for too long', () => {
     const one = createAllocator(pool(1, 2))
     runAnswers(one, { d0: 4, d1: 4 }, { from: 0, until: 2_000 })
     for (let index = 0; index < 3; index += 1) one.allocator.recordUse('p0', 'full', 2_000)
@@ -155,7 +155,7 @@
     expect(['long', 'short'].map(one.decodeOf)).toEqual([undefined, expect.stringMatching(/^d/)])
   })
 
-  it('says until when another engine could still read the prompt in time', () => {
+  it('states until when another engine could still prefill the prompt in time', () => {
     const one = createAllocator(pool(2, 2))
     readPrompts(one, { p0: 90, p1: 90 }, { from: 0, times: 8 })
     one.place(ask('next', { promptTokens: 2_000 }), 9_000)
