--- a/placement/allocator/src/coldBudget.ts
+++ b/placement/allocator/src/coldBudget.ts
@@ -72,7 +72,7 @@
   }
 
   /** Whether an engine may get a prompt to prefill now. */
-  mayRead(engine: RegisteredEndpoint, now: Millis): boolean {
+  mayPrefill(engine: RegisteredEndpoint, now: Millis): boolean {
     return this.isWithinBudget(engine, SEND_WITHIN_MS, now)
   }
 
--- a/placement/allocator/src/engineBudgets.ts
+++ b/placement/allocator/src/engineBudgets.ts
@@ -48,8 +48,8 @@
   }
 
   /** Whether an engine may get a prompt to prefill now. */
-  mayRead(engine: RegisteredEndpoint, now: Millis): boolean {
-    return this.limits.mayTake(engine.id) && this.cold.mayRead(engine, now)
+  mayPrefill(engine: RegisteredEndpoint, now: Millis): boolean {
+    return this.limits.mayTake(engine.id) && this.cold.mayPrefill(engine, now)
   }
 
   /** Whether an engine may decode a request that is placed now. */
--- a/placement/allocator/src/engineChoice.ts
+++ b/placement/allocator/src/engineChoice.ts
@@ -261,7 +261,7 @@
     const prompt = { promptTokens, prefillMs: pace.prefillMs(promptTokens), engine: query.engine }
     const uncached = (prefill: RegisteredEndpoint) => this.cache.uncached(query.ask, prefill)
     const waits = prefillEngines
-      .filter((endpoint) => !health.isFull(endpoint.id, now) && budgets.mayRead(endpoint, now))
+      .filter((endpoint) => !health.isFull(endpoint.id, now) && budgets.mayPrefill(endpoint, now))
       .map((prefill) => ({
         prefill,
         queuedMs: holds.prefillWaitMs(prefill.id, now),
--- a/placement/allocator/src/engineFitness.ts
+++ b/placement/allocator/src/engineFitness.ts
@@ -103,8 +103,8 @@
 
   /** Whether no prompt may queue behind the current one, which is late or shows whether the engine has recovered. */
   mustNotQueue(prefill: InstanceId, now: Millis): boolean {
-    const { holds: book, pace } = this.options
-    return pace.isUnproven(prefill, 'prefill', now) || book.overdueFactor(prefill, now) >= MIN_OVERDUE_FACTOR
+    const { holds, pace } = this.options
+    return pace.isUnproven(prefill, 'prefill', now) || holds.overdueFactor(prefill, now) >= MIN_OVERDUE_FACTOR
   }
 
   /** Returns some of the engines that are slower than their peers. */
--- a/placement/allocator/test/coldBudget.test.ts
+++ b/placement/allocator/test/coldBudget.test.ts
@@ -44,7 +44,7 @@
     const engineOf = engine('p1', 'prefill')
     const given: number[] = []
     for (let now = 0; now < 5_000; now += 10) {
-      if (!one.mayRead(engineOf, now)) continue
+      if (!one.mayPrefill(engineOf, now)) continue
       one.grant({ prefill: engineOf, decode: engine('d', 'decode') }, 0, now)
       given.push(now)
     }
@@ -55,7 +55,7 @@
 
   it('neither limits nor counts steps of a warm engine', () => {
     const one = new ColdBudget({ leftMs: () => 0, perSecond: () => 0 })
-    expect(one.mayRead(engine('p1', 'prefill'), 0)).toBe(true)
+    expect(one.mayPrefill(engine('p1', 'prefill'), 0)).toBe(true)
     expect(one.grant({ decode: engine('d1', 'decode') }, 0, 0)).toBeUndefined()
   })
 })
