--- a/placement/allocator/src/holdRegistry.ts
+++ b/placement/allocator/src/holdRegistry.ts
@@ -166,10 +166,7 @@
     this.options.pace.learnPrefill(prefill, { ...read, tookMs: busyMs }, now)
   }
 
-  /**
-   * Returns the longest time an engine can have been busy with a prompt: since its sending or the end of the last
-   * one.
-   */
+  /** Returns the longest time an engine can have been busy with a prompt, in ms: since its sending or the last end. */
   prefillTimeMs({ prefill, isReadAlone }: Hold, tookMs: Millis, now: Millis): Millis {
     const freeForMs = now - (this.prefillEndedAt.get(prefill ?? '') ?? -Infinity)
     return isReadAlone === true ? tookMs : Math.min(tookMs, freeForMs)
--- a/placement/allocator/src/prefillTimeModel.ts
+++ b/placement/allocator/src/prefillTimeModel.ts
@@ -49,7 +49,7 @@
     if (n === 0) return PRIOR_MS_PER_TOKEN
     const spread = Math.max(0, xx - x ** 2 / n)
     const slope = (xy - (x * y) / n + prior * PRIOR_MS_PER_TOKEN) / (spread + prior)
-    // The line must rise, and must not predict longer times per token than those observed.
+    // The line must rise, and must not predict more time per token than was observed on average.
     return Math.min(Math.max(slope, PRIOR_MS_PER_TOKEN / MAX_SPEEDUP), y / x)
   }
 }
--- a/placement/allocator/src/refusals.ts
+++ b/placement/allocator/src/refusals.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@forkstage/types'
 import type { PlaceAsk, PlaceDecision } from './allocatorTypes'
 
-/** Callers that are refused for lack of capacity retry after between these shares of their time left, spread evenly. */
+/** Bounds of the retry time after a refusal for lack of capacity, as shares of the caller's time left. */
 const MIN_RETRY_SHARE = 0.24
 const MAX_RETRY_SHARE = 0.32
 /** Golden ratio step: spreads any number of requests evenly between 0 and 1. */
