--- a/placement/allocator/test/placementQueue.test.ts
+++ b/placement/allocator/test/placementQueue.test.ts
@@ -3,21 +3,21 @@
 import { PlacementQueue } from '../src/placementQueue'
 import { ask } from './fixtures'
 
-/** A room with requests that all asked at time 0, and ends of uses at an even pace before. */
+/** Creates a queue of requests that all arrived at time 0, after requests that ended at an even rate. */
 function createQueue(names: string[], endsEveryMs: number) {
   const waiting = new PlacementQueue((one, now) => one.ask.targetMs - (now - one.since), 'returns-last')
   for (let at = -2_000; at <= 0; at += endsEveryMs) waiting.recordEnd('s', at)
   for (const request of names)
-    waiting.add({ ask: ask(request), since: 0, isAdmitted: false, resolve: () => undefined })
+    waiting.add({ ask: ask(request), since: 0, hasProspect: false, resolve: () => undefined })
   return waiting
 }
 
-describe('WaitingRoom', () => {
-  it('asks nobody to leave before the time at which they must hear', () => {
+describe('PlacementQueue', () => {
+  it('removes no request before it is due for a decision', () => {
     expect(createQueue(['a', 'b'], 10_000).removeHopeless(149)).toEqual([])
   })
 
-  it('lets only as many wait as have a place in sight, the first first', () => {
+  it('keeps only as many requests as have a placement in sight, the oldest first', () => {
     const waiting = createQueue(['a', 'b', 'c', 'd', 'e', 'f'], 200)
     const sent = waiting.removeHopeless(150).map((one) => one.ask.request)
     expect(sent.length).toBeGreaterThan(0)
@@ -25,32 +25,32 @@
     expect(sent).toEqual(['a', 'b', 'c', 'd', 'e', 'f'].slice(-sent.length))
   })
 
-  it('judges each once: who was told to wait is not sent away later', () => {
+  it('decides once per request: one that was kept is not removed later', () => {
     const waiting = createQueue(['a'], 100)
     expect(waiting.removeHopeless(150)).toEqual([])
     expect(waiting.removeHopeless(880)).toEqual([])
     expect(waiting.size).toBe(1)
   })
 
-  it('counts only the queue of the same service', () => {
+  it('counts only waiting requests of the same service', () => {
     const waiting = createQueue([], 100)
     for (const request of ['x', 'y', 'z', 'u', 'v', 'w'])
       waiting.add({
         ask: ask(request, { service: 'other' }),
         since: 0,
-        isAdmitted: false,
+        hasProspect: false,
         resolve: () => undefined,
       })
-    waiting.add({ ask: ask('a'), since: 10, isAdmitted: false, resolve: () => undefined })
+    waiting.add({ ask: ask('a'), since: 10, hasProspect: false, resolve: () => undefined })
     const sent = waiting.removeHopeless(170).map((one) => one.ask.request)
     expect(sent).not.toContain('a')
     expect(sent).toContain('x')
   })
 
-  it('lets those go first of their like whose sending failed: their prompt has most likely been read', () => {
+  it('orders requests whose sending failed first in their group, since their prompt is most likely cached', () => {
     const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
-      waiting.add({ ask: ask(request, fields), since, isAdmitted: false, resolve: () => undefined })
+      waiting.add({ ask: ask(request, fields), since, hasProspect: false, resolve: () => undefined })
     add('late', { targetMs: -100 }, 0)
     add('new', {}, 1)
     add('back', { isReturn: true }, 2)
@@ -60,10 +60,10 @@
     expect(order).toEqual(['failed', 'new', 'back', 'late, failed', 'late'])
   })
 
-  it('lets those go first whose answer has begun, also late ones: nobody else can end it', () => {
+  it('orders requests whose answer has begun first, even late ones', () => {
     const waiting = new PlacementQueue((one) => one.ask.targetMs, 'returns-last')
     const add = (request: string, fields: Partial<PlaceAsk>, since: number) =>
-      waiting.add({ ask: ask(request, fields), since, isAdmitted: false, resolve: () => undefined })
+      waiting.add({ ask: ask(request, fields), since, hasProspect: false, resolve: () => undefined })
     add('new', {}, 0)
     add('read', { isPrefilled: true }, 1)
     add('begun', { targetMs: -4_000, promptMs: 0, isBegun: true }, 2)
