--- a/daemon/daemon/src/boxDaemon.ts
+++ b/daemon/daemon/src/boxDaemon.ts
@@ -11,11 +11,11 @@
 import { TABLE_CHANGED } from './boxGroups'
 import { buildContainer } from './buildContainer'
 import { listenHttp } from './listenHttp'
-import { FLEET } from './fleetPart'
-import { PARTS } from './parts'
+import { FLEET_TOKEN } from './fleetToken'
+import { TOKENS } from './tokens'
 import { VERSION } from '@forkstage/version'
 
-const WATCH_READY_MS = 100
+const READY_CHECK_MS = 100
 const READ_PLATFORM_EVERY_MS = 1_000
 const ORDER_TIMEOUT_MS = 3_000
 const DRAIN_CHECK_MS = 50
@@ -24,7 +24,7 @@
 
 /** One box: everything that `forkstage run` starts and stops. */
 export class BoxDaemon {
-  private readonly parts: Container
+  private readonly container: Container
   private readonly timers: CancelTimer[] = []
   private servers: Server[] = []
   /** Answers to callers that have not left yet. */
@@ -38,32 +38,32 @@
   private wasReady = false
 
   constructor(private readonly settings: Settings) {
-    this.parts = buildContainer(settings, () => void this.stop('an operator asked for it'))
+    this.container = buildContainer(settings, () => void this.stop('an operator asked for it'))
   }
 
   async start(): Promise<void> {
-    const { parts, settings } = this
+    const { container, settings } = this
     this.peerServer = await startPeerServer({
       address: settings.listen.peers,
       sharedKey: settings.peers.shared_key,
       tls: settings.peers.tls,
       methods: this.peerMethods(),
-      logger: parts.get(PARTS.logger),
+      logger: container.get(TOKENS.logger),
     })
-    const operators = createOperatorApp({ settings, service: parts.get(FLEET) })
-    const callers = this.createCallers()
+    const operators = createOperatorApp({ settings, service: container.get(FLEET_TOKEN) })
+    const callers = this.createCallerHandler()
     const forOperators = await listenHttp(operators, settings.listen.operators)
     const forCallers = await listenHttp(callers, settings.listen.callers)
     this.answers = new OpenAnswers(forCallers)
     this.servers = [forOperators, forCallers]
-    parts.get(PARTS.groups).start()
-    parts.get(PARTS.follower).start()
-    parts.get(PARTS.ownerService).start()
-    parts.get(PARTS.credits).start()
-    parts.get(PARTS.state).phase = 'serving'
+    container.get(TOKENS.groups).start()
+    container.get(TOKENS.follower).start()
+    container.get(TOKENS.ownerService).start()
+    container.get(TOKENS.credits).start()
+    container.get(TOKENS.state).phase = 'serving'
     this.startTimers()
-    parts
-      .get(PARTS.logger)
+    container
+      .get(TOKENS.logger)
       .info('box.started', { box: settings.box.name, addresses: settings.listen, version: VERSION })
   }
 
@@ -80,59 +80,60 @@
   }
 
   private peerMethods(): Record<string, PeerMethod> {
-    const { parts } = this
+    const { container } = this
     return {
-      ...parts.get(PARTS.groups).methods(),
-      ...parts.get(PARTS.ownerService).methods(),
-      ...parts.get(PARTS.runs).methods(),
-      ...parts.get(FLEET).methods(),
+      ...container.get(TOKENS.groups).methods(),
+      ...container.get(TOKENS.ownerService).methods(),
+      ...container.get(TOKENS.runs).methods(),
+      ...container.get(FLEET_TOKEN).methods(),
       ...this.orderMethod(),
-      [TABLE_CHANGED]: (params: { version: number }) => parts.get(PARTS.follower).noteNewer(params.version),
+      [TABLE_CHANGED]: (params: { version: number }) =>
+        container.get(TOKENS.follower).fetchIfNewer(params.version),
     }
   }
 
   private orderMethod(): Record<string, PeerMethod> {
-    const { parts, settings } = this
-    const { control } = parts.get(PARTS.groups)
+    const { container, settings } = this
+    const { control } = container.get(TOKENS.groups)
     if (control === undefined) return {}
-    const follower = parts.get(PARTS.follower)
+    const follower = container.get(TOKENS.follower)
     const sender = new OrderSender({
       replica: () => control.require(),
       row: (endpoint) => follower.table.table.endpoints.find((row) => row.endpoint === endpoint),
-      engines: parts.get(PARTS.engines),
-      clock: parts.get(PARTS.clock),
-      logger: parts.get(PARTS.logger),
+      engines: container.get(TOKENS.engines),
+      clock: container.get(TOKENS.clock),
+      logger: container.get(TOKENS.logger),
       leaderLease: settings.control.election_timeout_ms,
       orderTimeout: ORDER_TIMEOUT_MS,
     })
     return { 'control.order': (params: { order: OrderRequest }) => sender.send(params.order) }
   }
 
-  private createCallers() {
-    const { parts, settings } = this
-    const fleet = parts.get(FLEET)
+  private createCallerHandler() {
+    const { container, settings } = this
+    const fleet = container.get(FLEET_TOKEN)
     return createCallerApp({
       settings,
-      runs: parts.get(PARTS.runs),
-      plain: parts.get(PARTS.plain),
-      rows: () => parts.get(PARTS.follower).table.table.endpoints,
-      refusesWork: () => fleet.refusesWork(),
+      runs: container.get(TOKENS.runs),
+      plain: container.get(TOKENS.plain),
+      rows: () => container.get(TOKENS.follower).table.table.endpoints,
+      refusesWork: () => fleet.refusalReason(),
       isReady: () => fleet.isReady(),
-      logger: parts.get(PARTS.logger),
+      logger: container.get(TOKENS.logger),
     })
   }
 
   private startTimers(): void {
-    const { parts, settings } = this
-    const clock = parts.get(PARTS.clock)
-    const drainQueue = () => parts.get(PARTS.placer).drain()
+    const { container, settings } = this
+    const clock = container.get(TOKENS.clock)
+    const drainQueue = () => container.get(TOKENS.placer).drain()
     this.timers.push(
-      every(clock, WATCH_READY_MS, () => this.noteReady()),
-      every(clock, WATCH_READY_MS, drainQueue),
+      every(clock, READY_CHECK_MS, () => this.logReadyChange()),
+      every(clock, READY_CHECK_MS, drainQueue),
     )
     if (settings.platform === undefined) return
-    const { registry } = parts.get(PARTS.groups)
-    const onLeaving = (names: string[]) => registry.noteLeaving(names)
+    const { registry } = container.get(TOKENS.groups)
+    const onLeaving = (names: string[]) => registry.setLeaving(names)
     this.timers.push(
       startPlatformWatcher({
         url: settings.platform.members,
@@ -143,32 +144,32 @@
     )
   }
 
-  private noteReady(): void {
-    const fleet = this.parts.get(FLEET)
+  private logReadyChange(): void {
+    const fleet = this.container.get(FLEET_TOKEN)
     const ready = fleet.isReady()
     if (ready === this.wasReady) return
     this.wasReady = ready
-    this.parts
-      .get(PARTS.logger)
-      .info('box.ready', { ready, reason: ready ? 'table lease held' : (fleet.refusesWork() ?? 'leaving') })
+    this.container
+      .get(TOKENS.logger)
+      .info('box.ready', { ready, reason: ready ? 'table lease held' : (fleet.refusalReason() ?? 'leaving') })
   }
 
   private async stopAsPlanned(reason: string): Promise<number> {
-    const { parts, settings } = this
-    const clock = parts.get(PARTS.clock)
-    const logger = parts.get(PARTS.logger)
-    const state = parts.get(PARTS.state)
+    const { container, settings } = this
+    const clock = container.get(TOKENS.clock)
+    const logger = container.get(TOKENS.logger)
+    const state = container.get(TOKENS.state)
     logger.info('box.stopping', { reason, streams: this.running() })
     state.phase = 'unready'
-    parts.get(PARTS.groups).transferLeadership()
+    container.get(TOKENS.groups).transferLeadership()
     await this.waitWhile(() => true, settings.stop.unready_ms)
     state.phase = 'draining'
     const endsAt = clock.now() + settings.stop.drain_ms
     await this.waitWhile(() => this.running() > 0, settings.stop.drain_ms)
-    const cut = parts.get(PARTS.runs).cancelAll()
+    const cut = container.get(TOKENS.runs).cancelAll()
     // What has ended may still lie here while its caller reads slowly.
     await this.waitWhile(() => (this.answers?.count ?? 0) > 0, Math.max(SETTLE_MS, endsAt - clock.now()))
-    await this.waitWhile(() => parts.get(PARTS.releases).pending > 0, SETTLE_MS * 4)
+    await this.waitWhile(() => container.get(TOKENS.releases).pending > 0, SETTLE_MS * 4)
     await delay(clock, SETTLE_MS)
     state.phase = 'stopped'
     await this.close()
@@ -177,29 +178,29 @@
   }
 
   private running(): number {
-    return this.parts.get(PARTS.runs).running + this.parts.get(PARTS.plain).running
+    return this.container.get(TOKENS.runs).running + this.container.get(TOKENS.plain).running
   }
 
   /** Waits while a condition holds, up to a limit, or until a second stop cuts it short. */
   private async waitWhile(condition: () => boolean, limit: number): Promise<void> {
-    const clock = this.parts.get(PARTS.clock)
+    const clock = this.container.get(TOKENS.clock)
     const end = clock.now() + limit
     while (condition() && !this.cutShort && clock.now() < end) await delay(clock, DRAIN_CHECK_MS)
   }
 
   private async close(): Promise<void> {
-    const { parts } = this
+    const { container } = this
     this.timers.forEach((cancel) => cancel())
-    parts.get(PARTS.follower).stop()
-    parts.get(PARTS.ownerService).stop()
-    parts.get(PARTS.credits).stop()
+    container.get(TOKENS.follower).stop()
+    container.get(TOKENS.ownerService).stop()
+    container.get(TOKENS.credits).stop()
     for (const server of this.servers) {
       server.close()
       server.closeAllConnections()
     }
-    await parts.get(PARTS.groups).stop()
+    await container.get(TOKENS.groups).stop()
     await this.peerServer?.close()
-    parts.get(PARTS.peers).close()
-    await Promise.all([parts.get(PARTS.engines).close(), parts.get(PARTS.plain).close()])
+    container.get(TOKENS.peers).close()
+    await Promise.all([container.get(TOKENS.engines).close(), container.get(TOKENS.plain).close()])
   }
 }
--- a/daemon/daemon/src/boxGroups.ts
+++ b/daemon/daemon/src/boxGroups.ts
@@ -1,6 +1,6 @@
 import {
   BoxRegistry,
-  ControlMachine,
+  ControlStateMachine,
   createControlMethods,
   type ControlCommand,
   type ControlResult,
@@ -46,7 +46,7 @@
 
 /** The replicas that a control box keeps: one of the control group and one of each journal group. */
 export class BoxGroups {
-  readonly machine = new ControlMachine()
+  readonly machine = new ControlStateMachine()
   readonly registry: BoxRegistry
   readonly control?: GroupHost<ControlCommand, ControlResult>
   private readonly journals: {
--- a/daemon/daemon/src/buildContainer.ts
+++ b/daemon/daemon/src/buildContainer.ts
@@ -17,9 +17,9 @@
 import { advertisedAddress, type Settings } from '@forkstage/settings'
 import { BoxGroups, journalGroup } from './boxGroups'
 import { BoxState } from './boxState'
-import { FLEET } from './fleetPart'
+import { FLEET_TOKEN } from './fleetToken'
 import { FleetService } from './fleetService'
-import { PARTS } from './parts'
+import { TOKENS } from './tokens'
 
 const REPORT_EVERY_MS = 200
 const SWEEP_EVERY_MS = 1_000
@@ -39,7 +39,7 @@
   bindMembership(container, settings)
   bindPlacement(container, settings)
   bindRequests(container, settings)
-  container.bind(FLEET).toDynamicValue(() => new FleetService(container, stop))
+  container.bind(FLEET_TOKEN).toDynamicValue(() => new FleetService(container, stop))
   return container
 }
 
@@ -47,48 +47,54 @@
   const { box } = settings
   const registry = new Registry()
   collectDefaultMetrics({ register: registry })
-  container.bind(PARTS.settings).toConstantValue(settings)
-  container.bind(PARTS.clock).toConstantValue(createSystemClock())
-  container.bind(PARTS.random).toConstantValue(createSystemRandom())
+  container.bind(TOKENS.settings).toConstantValue(settings)
+  container.bind(TOKENS.clock).toConstantValue(createSystemClock())
+  container.bind(TOKENS.random).toConstantValue(createSystemRandom())
   container
-    .bind(PARTS.logger)
+    .bind(TOKENS.logger)
     .toConstantValue(createLogger({ context: { box: box.name }, level: settings.log.level }))
-  container.bind(PARTS.origin).toConstantValue({ box: box.name, incarnation: randomBytes(5).toString('hex') })
-  container.bind(PARTS.state).toConstantValue(new BoxState())
-  container.bind(PARTS.registry).toConstantValue(registry)
-  container.bind(PARTS.meters).toConstantValue(new RequestMetrics(registry))
-  container.bind(PARTS.peers).toDynamicValue((context) => {
+  container
+    .bind(TOKENS.origin)
+    .toConstantValue({ box: box.name, incarnation: randomBytes(5).toString('hex') })
+  container.bind(TOKENS.state).toConstantValue(new BoxState())
+  container.bind(TOKENS.metricsRegistry).toConstantValue(registry)
+  container.bind(TOKENS.metrics).toConstantValue(new RequestMetrics(registry))
+  container.bind(TOKENS.peers).toDynamicValue((context) => {
     const credentials = {
       box: box.name,
       sharedKey: settings.peers.shared_key,
       tls: settings.peers.tls,
       localAddress: parseAddress(settings.listen.peers).host,
     }
-    return new PeerClient({ credentials, clock: context.get(PARTS.clock), logger: context.get(PARTS.logger) })
+    return new PeerClient({
+      credentials,
+      clock: context.get(TOKENS.clock),
+      logger: context.get(TOKENS.logger),
+    })
   })
-  container.bind(PARTS.engines).toDynamicValue((context) => {
-    return new EngineClient({ clock: context.get(PARTS.clock), callMs: ENGINE_CALL_MS })
+  container.bind(TOKENS.engines).toDynamicValue((context) => {
+    return new EngineClient({ clock: context.get(TOKENS.clock), callMs: ENGINE_CALL_TIMEOUT_MS })
   })
 }
 
-const ENGINE_CALL_MS = 2_000
+const ENGINE_CALL_TIMEOUT_MS = 2_000
 
 function bindMembership(container: Container, settings: Settings): void {
   const { box, lease, control } = settings
-  container.bind(PARTS.groups).toDynamicValue((context) => {
+  container.bind(TOKENS.groups).toDynamicValue((context) => {
     const [peers, clock, random, logger] = [
-      context.get(PARTS.peers),
-      context.get(PARTS.clock),
-      context.get(PARTS.random),
-      context.get(PARTS.logger),
+      context.get(TOKENS.peers),
+      context.get(TOKENS.clock),
+      context.get(TOKENS.random),
+      context.get(TOKENS.logger),
     ]
     return new BoxGroups({ settings, peers, clock, random, logger })
   })
-  container.bind(PARTS.owners).toConstantValue(new OwnerMap())
-  container.bind(PARTS.follower).toDynamicValue((context) => {
-    const { incarnation } = context.get(PARTS.origin)
-    const state = context.get(PARTS.state)
-    const refreshOwners = () => container.get(PARTS.ownerService).refresh()
+  container.bind(TOKENS.owners).toConstantValue(new OwnerMap())
+  container.bind(TOKENS.follower).toDynamicValue((context) => {
+    const { incarnation } = context.get(TOKENS.origin)
+    const state = context.get(TOKENS.state)
+    const refreshOwners = () => container.get(TOKENS.ownerService).refresh()
     const subset = new EndpointSubset(box.name, settings.policy.follow_per_pool)
     return new TableFollower({
       self: () => ({
@@ -99,22 +105,22 @@
         state: state.isLeaving ? 'leaving' : 'serving',
       }),
       firstReplicas: control.replicas.map((replica) => replica.address),
-      peers: context.get(PARTS.peers),
-      clock: context.get(PARTS.clock),
-      logger: context.get(PARTS.logger),
+      peers: context.get(TOKENS.peers),
+      clock: context.get(TOKENS.clock),
+      logger: context.get(TOKENS.logger),
       tableLease: lease.table_ms,
-      askEvery: lease.ask_every_ms,
+      heartbeatEvery: lease.ask_every_ms,
       onTable: ({ table, version }) => {
-        const hasNew = container.get(PARTS.book).setTable(subset.choose(table))
-        container.get(PARTS.meters).tableVersion.set(version)
+        const hasNew = container.get(TOKENS.tracker).setTable(subset.choose(table))
+        container.get(TOKENS.metrics).tableVersion.set(version)
         refreshOwners()
-        if (hasNew) container.get(PARTS.credits).renew()
+        if (hasNew) container.get(TOKENS.credits).renew()
       },
       onMembers: (members) => {
-        container.get(PARTS.owners).update(members)
-        container.get(PARTS.book).setLeaving(members.leaving)
+        container.get(TOKENS.owners).update(members)
+        container.get(TOKENS.tracker).setLeaving(members.leaving)
         refreshOwners()
-        container.get(PARTS.credits).renew()
+        container.get(TOKENS.credits).renew()
       },
     })
   })
@@ -122,61 +128,61 @@
 
 function bindPlacement(container: Container, settings: Settings): void {
   const { box, policy } = settings
-  container.bind(PARTS.book).toDynamicValue((context) => {
+  container.bind(TOKENS.tracker).toDynamicValue((context) => {
     return new EndpointTracker({
-      clock: context.get(PARTS.clock),
-      random: context.get(PARTS.random),
-      logger: context.get(PARTS.logger),
+      clock: context.get(TOKENS.clock),
+      random: context.get(TOKENS.random),
+      logger: context.get(TOKENS.logger),
     })
   })
-  container.bind(PARTS.forecast).toConstantValue(new OutputForecast())
-  container.bind(PARTS.budget).toConstantValue(new RetryBudget(policy.retry_share))
-  container.bind(PARTS.ownerService).toDynamicValue((context) => {
-    const follower = context.get(PARTS.follower)
+  container.bind(TOKENS.forecast).toConstantValue(new OutputForecast())
+  container.bind(TOKENS.budget).toConstantValue(new RetryBudget(policy.retry_share))
+  container.bind(TOKENS.ownerService).toDynamicValue((context) => {
+    const follower = context.get(TOKENS.follower)
     return new OwnerService({
       box: box.name,
-      owners: context.get(PARTS.owners),
+      owners: context.get(TOKENS.owners),
       members: () => follower.members,
       rows: () => follower.table.table.endpoints,
       holdsLease: () => follower.holdsLease(),
-      engines: context.get(PARTS.engines),
-      peers: context.get(PARTS.peers),
-      clock: context.get(PARTS.clock),
-      logger: context.get(PARTS.logger),
+      engines: context.get(TOKENS.engines),
+      peers: context.get(TOKENS.peers),
+      clock: context.get(TOKENS.clock),
+      logger: context.get(TOKENS.logger),
       reportEvery: REPORT_EVERY_MS,
       sweepEvery: SWEEP_EVERY_MS,
       graceMs: HOLD_GRACE_MS,
       goneGraceMs: BOX_GONE_GRACE_MS,
     })
   })
-  container.bind(PARTS.credits).toDynamicValue((context) => {
+  container.bind(TOKENS.credits).toDynamicValue((context) => {
     return new CreditClient({
       box: box.name,
-      owners: context.get(PARTS.owners),
-      tracker: context.get(PARTS.book),
-      peers: context.get(PARTS.peers),
-      clock: context.get(PARTS.clock),
+      owners: context.get(TOKENS.owners),
+      tracker: context.get(TOKENS.tracker),
+      peers: context.get(TOKENS.peers),
+      clock: context.get(TOKENS.clock),
       renewEvery: RENEW_CREDITS_EVERY_MS,
       renewIdleEvery: RENEW_CREDITS_IDLE_MS,
       waitingFor: (endpoint) => {
-        const isPlain = container.get(PARTS.book).row(endpoint)?.pool === 'plain'
-        return isPlain ? container.get(PARTS.plain).waiting : container.get(PARTS.placer).waiting
+        const isPlain = container.get(TOKENS.tracker).row(endpoint)?.pool === 'plain'
+        return isPlain ? container.get(TOKENS.plain).waiting : container.get(TOKENS.placer).waiting
       },
-      onUpdate: () => container.get(PARTS.placer).drain(),
+      onUpdate: () => container.get(TOKENS.placer).drain(),
     })
   })
-  container.bind(PARTS.placer).toDynamicValue((context) => {
+  container.bind(TOKENS.placer).toDynamicValue((context) => {
     return new Placer({
-      tracker: context.get(PARTS.book),
+      tracker: context.get(TOKENS.tracker),
       policyName: policy.name,
       policy: readPolicy(settings),
-      forecast: context.get(PARTS.forecast),
-      budget: context.get(PARTS.budget),
-      clock: context.get(PARTS.clock),
-      random: context.get(PARTS.random),
-      logger: context.get(PARTS.logger),
-      metrics: context.get(PARTS.meters),
-      requestCredits: () => container.get(PARTS.credits).renewSoon(),
+      forecast: context.get(TOKENS.forecast),
+      budget: context.get(TOKENS.budget),
+      clock: context.get(TOKENS.clock),
+      random: context.get(TOKENS.random),
+      logger: context.get(TOKENS.logger),
+      metrics: context.get(TOKENS.metrics),
+      requestCredits: () => container.get(TOKENS.credits).renewSoon(),
     })
   })
 }
@@ -197,11 +203,11 @@
 function bindRequests(container: Container, settings: Settings): void {
   const { box, request, policy, journal } = settings
   container
-    .bind(PARTS.stories)
-    .toDynamicValue((context) => new TraceStore(box.name, context.get(PARTS.clock)))
-  container.bind(PARTS.journal).toDynamicValue((context) => {
-    const follower = context.get(PARTS.follower)
-    const [peers, clock] = [context.get(PARTS.peers), context.get(PARTS.clock)]
+    .bind(TOKENS.traces)
+    .toDynamicValue((context) => new TraceStore(box.name, context.get(TOKENS.clock)))
+  container.bind(TOKENS.journal).toDynamicValue((context) => {
+    const follower = context.get(TOKENS.follower)
+    const [peers, clock] = [context.get(TOKENS.peers), context.get(TOKENS.clock)]
     const replicas = () => follower.replicas
     const groups = Array.from({ length: journal.groups }, (_, index) => {
       return new GroupClient<JournalCommand, JournalResult>({
@@ -213,35 +219,35 @@
     })
     return new JournalClient({
       groups,
-      owner: { ...context.get(PARTS.origin), address: advertisedAddress(settings) },
+      owner: { ...context.get(TOKENS.origin), address: advertisedAddress(settings) },
       deadline: JOURNAL_DEADLINE_MS,
     })
   })
-  container.bind(PARTS.releases).toDynamicValue((context) => {
-    const book = context.get(PARTS.book)
+  container.bind(TOKENS.releases).toDynamicValue((context) => {
+    const tracker = context.get(TOKENS.tracker)
     return new ReleaseSender({
-      engines: context.get(PARTS.engines),
-      row: (endpoint) => book.row(endpoint),
-      clock: context.get(PARTS.clock),
-      logger: context.get(PARTS.logger),
+      engines: context.get(TOKENS.engines),
+      row: (endpoint) => tracker.row(endpoint),
+      clock: context.get(TOKENS.clock),
+      logger: context.get(TOKENS.logger),
     })
   })
-  container.bind(PARTS.runs).toDynamicValue((context) => {
-    const follower = context.get(PARTS.follower)
+  container.bind(TOKENS.runs).toDynamicValue((context) => {
+    const follower = context.get(TOKENS.follower)
     const shared = {
-      journal: context.get(PARTS.journal),
-      clock: context.get(PARTS.clock),
+      journal: context.get(TOKENS.journal),
+      clock: context.get(TOKENS.clock),
     }
     const parts = {
       ...shared,
-      engines: context.get(PARTS.engines),
-      tracker: context.get(PARTS.book),
-      forecast: context.get(PARTS.forecast),
-      placer: context.get(PARTS.placer),
-      releases: context.get(PARTS.releases),
-      traces: context.get(PARTS.stories),
-      metrics: context.get(PARTS.meters),
-      logger: context.get(PARTS.logger),
+      engines: context.get(TOKENS.engines),
+      tracker: context.get(TOKENS.tracker),
+      forecast: context.get(TOKENS.forecast),
+      placer: context.get(TOKENS.placer),
+      releases: context.get(TOKENS.releases),
+      traces: context.get(TOKENS.traces),
+      metrics: context.get(TOKENS.metrics),
+      logger: context.get(TOKENS.logger),
       engineStepMs: request.engine_step_ms,
       stallMs: request.stall_ms,
       ttftTarget: policy.ttft_target_ms,
@@ -251,22 +257,22 @@
     return new RunRegistry({
       ...shared,
       parts,
-      origin: context.get(PARTS.origin),
+      origin: context.get(TOKENS.origin),
       members: () => follower.members,
-      peers: context.get(PARTS.peers),
+      peers: context.get(TOKENS.peers),
       reconnectMs: request.reconnect_ms,
     })
   })
-  container.bind(PARTS.plain).toDynamicValue((context) => {
+  container.bind(TOKENS.plain).toDynamicValue((context) => {
     return new PlainCalls({
-      journal: context.get(PARTS.journal),
-      tracker: context.get(PARTS.book),
-      traces: context.get(PARTS.stories),
-      clock: context.get(PARTS.clock),
-      logger: context.get(PARTS.logger),
+      journal: context.get(TOKENS.journal),
+      tracker: context.get(TOKENS.tracker),
+      traces: context.get(TOKENS.traces),
+      clock: context.get(TOKENS.clock),
+      logger: context.get(TOKENS.logger),
       outcomeBytes: journal.outcome_bytes,
-      random: context.get(PARTS.random),
-      requestCredits: () => container.get(PARTS.credits).renewSoon(),
+      random: context.get(TOKENS.random),
+      requestCredits: () => container.get(TOKENS.credits).renewSoon(),
     })
   })
 }
--- a/daemon/daemon/src/fleetService.ts
+++ b/daemon/daemon/src/fleetService.ts
@@ -24,16 +24,16 @@
 import { checkTable, diffTables, digestTable, formatDiff, TableError } from '@forkstage/table'
 import type { Table, VersionedTable } from '@forkstage/types'
 import { CONTROL_GROUP, journalGroup } from './boxGroups'
-import { PARTS } from './parts'
+import { TOKENS } from './tokens'
 import { VERSION } from '@forkstage/version'
 
 const CONFIRM_DEADLINE_MS = 10_000
-const ASK_DEADLINE_MS = 1_500
+const BOX_CALL_DEADLINE_MS = 1_500
 const ORDER_DEADLINE_MS = 20_000
 const REPLACE_DEADLINE_MS = 60_000
 /** How long a box that is behind waits for the table that a confirm was made from. */
 const CATCH_UP_MS = 2_000
-const PAUSE_MS = 5
+const POLL_INTERVAL_MS = 5
 
 const EMPTY_DELTA = { upsertEndpoints: [], removeEndpoints: [], upsertLinks: [], removeLinks: [] }
 
@@ -42,7 +42,7 @@
   private readonly controlGroup: GroupClient<ControlCommand, ControlResult>
 
   constructor(
-    private readonly parts: Container,
+    private readonly container: Container,
     private readonly requestStop: () => void,
   ) {
     this.controlGroup = this.createClient(CONTROL_GROUP) as GroupClient<ControlCommand, ControlResult>
@@ -52,16 +52,16 @@
   methods(): Record<string, PeerMethod> {
     return {
       'box.report': () => this.report(),
-      'box.story': (params: { request: string }) => this.parts.get(PARTS.stories).read(params.request),
+      'box.story': (params: { request: string }) => this.container.get(TOKENS.traces).read(params.request),
     }
   }
 
   table(): VersionedTable {
-    return this.parts.get(PARTS.follower).table
+    return this.container.get(TOKENS.follower).table
   }
 
   async confirm(request: ConfirmRequest, who: string): Promise<ConfirmAnswer> {
-    this.assertSound(request.table)
+    this.assertValidTable(request.table)
     await this.catchUp(request.base)
     const { version, table } = this.table()
     const digest = digestTable(request.table)
@@ -75,14 +75,14 @@
       confirmId,
       delta,
       who,
-      at: this.parts.get(PARTS.clock).wallNow(),
+      at: this.container.get(TOKENS.clock).wallNow(),
     }
     const result = (await this.controlGroup.propose(command, {
       deadline: CONFIRM_DEADLINE_MS,
       step: 'confirm table',
     })) as ConfirmResult
-    this.parts
-      .get(PARTS.logger)
+    this.container
+      .get(TOKENS.logger)
       .info('table.confirm', { version: result.version, outcome: result.outcome, who, confirmId })
     if (result.outcome === 'accepted') return result
     await this.catchUp(result.version)
@@ -90,17 +90,17 @@
   }
 
   history(limit: number): Promise<Omit<HistoryEntry, 'delta'>[]> {
-    return this.askControl('history', { limit })
+    return this.callControl('history', { limit })
   }
 
   /** The control leader's view of all boxes. */
   control(): Promise<ControlStatus> {
-    return this.askControl('boxes', {})
+    return this.callControl('boxes', {})
   }
 
   async status(): Promise<FleetStatus> {
     const control = await this.control().catch((error: unknown) => toErrorBody(error).message)
-    const boxes = await this.askBoxes<BoxReport>('box.report', {})
+    const boxes = await this.callBoxes<BoxReport>('box.report', {})
     return {
       control: typeof control === 'string' ? undefined : control,
       controlFailure: typeof control === 'string' ? control : undefined,
@@ -109,30 +109,30 @@
   }
 
   async explain(request: string): Promise<Explanation> {
-    const [stories, claim] = await Promise.all([
-      this.askBoxes<TraceEntry[]>('box.story', { request }),
-      this.parts.get(PARTS.journal).findRequest(request),
+    const [answers, claim] = await Promise.all([
+      this.callBoxes<TraceEntry[]>('box.story', { request }),
+      this.container.get(TOKENS.journal).findRequest(request),
     ])
-    const lines = stories.flatMap(({ answer }) => answer ?? [])
+    const lines = answers.flatMap(({ answer }) => answer ?? [])
     const story = lines.sort((left, right) => left.at - right.at)
-    const missing = stories.filter(({ answer }) => answer === undefined).map(({ box }) => box)
+    const missing = answers.filter(({ answer }) => answer === undefined).map(({ box }) => box)
     return { request, claim, story, missing }
   }
 
   decisions(limit: number) {
-    const stories = this.parts.get(PARTS.stories)
-    return stories.latest(limit).map((request) => ({ request, story: stories.read(request) }))
+    const traces = this.container.get(TOKENS.traces)
+    return traces.latest(limit).map((request) => ({ request, story: traces.read(request) }))
   }
 
   async replace(lost: string, withAddress: string): Promise<unknown> {
-    const { journal } = this.parts.get(PARTS.settings)
+    const { journal } = this.container.get(TOKENS.settings)
     const groups = [
       CONTROL_GROUP,
       ...Array.from({ length: journal.groups }, (_, index) => journalGroup(index)),
     ]
     const replaced: Record<string, unknown> = {}
     for (const group of groups) {
-      const [peers, clock] = [this.parts.get(PARTS.peers), this.parts.get(PARTS.clock)]
+      const [peers, clock] = [this.container.get(TOKENS.peers), this.container.get(TOKENS.clock)]
       const client = this.createClient(group)
       replaced[group] = await replaceReplica({
         group,
@@ -160,67 +160,67 @@
   }
 
   isReady(): boolean {
-    const serving = this.parts.get(PARTS.state).phase === 'serving'
-    return serving && this.refusesWork() === undefined && this.parts.get(PARTS.book).knowsShares
+    const serving = this.container.get(TOKENS.state).phase === 'serving'
+    return serving && this.refusalReason() === undefined && this.container.get(TOKENS.tracker).knowsShares
   }
 
   /** Why this box may take no new work now; undefined while it may. */
-  refusesWork(): string | undefined {
-    const { refusal } = this.parts.get(PARTS.state)
+  refusalReason(): string | undefined {
+    const { refusal } = this.container.get(TOKENS.state)
     if (refusal !== undefined) return refusal
-    const follower = this.parts.get(PARTS.follower)
+    const follower = this.container.get(TOKENS.follower)
     if (follower.table.version === 0) return 'no table has been accepted yet'
     if (follower.members.version[0] === 0) return 'the list of live boxes has not come yet'
     return follower.holdsLease() ? undefined : 'it cannot be sure that its table is the newest'
   }
 
   async metrics(): Promise<string> {
-    const meters = this.parts.get(PARTS.meters)
-    meters.running.set(this.parts.get(PARTS.runs).running)
-    meters.queued.set(this.parts.get(PARTS.placer).waiting)
-    meters.releasesPending.set(this.parts.get(PARTS.releases).pending)
-    meters.leaseHeld.set(this.parts.get(PARTS.follower).holdsLease() ? 1 : 0)
-    return this.parts.get(PARTS.registry).metrics()
+    const metrics = this.container.get(TOKENS.metrics)
+    metrics.running.set(this.container.get(TOKENS.runs).running)
+    metrics.queued.set(this.container.get(TOKENS.placer).waiting)
+    metrics.releasesPending.set(this.container.get(TOKENS.releases).pending)
+    metrics.leaseHeld.set(this.container.get(TOKENS.follower).holdsLease() ? 1 : 0)
+    return this.container.get(TOKENS.metricsRegistry).metrics()
   }
 
   private report(): BoxReport {
-    const book = this.parts.get(PARTS.book)
-    const busy = book.rows
-      .map((row) => [row.endpoint, book.inFlight(row.endpoint)] as const)
+    const tracker = this.container.get(TOKENS.tracker)
+    const busy = tracker.rows
+      .map((row) => [row.endpoint, tracker.inFlight(row.endpoint)] as const)
       .filter(([, count]) => count > 0)
-    const closed = book.rows.flatMap((row) => {
-      const reason = book.closedReason(row.endpoint)
+    const closed = tracker.rows.flatMap((row) => {
+      const reason = tracker.closedReason(row.endpoint)
       return reason === undefined ? [] : [[row.endpoint, reason] as const]
     })
     return {
-      box: this.parts.get(PARTS.settings).box.name,
+      box: this.container.get(TOKENS.settings).box.name,
       version: VERSION,
       ready: this.isReady(),
-      refuses: this.refusesWork(),
+      refuses: this.refusalReason(),
       tableVersion: this.table().version,
-      running: this.parts.get(PARTS.runs).running + this.parts.get(PARTS.plain).running,
-      queued: this.parts.get(PARTS.placer).waiting,
-      releasesPending: this.parts.get(PARTS.releases).pending,
-      owns: this.parts.get(PARTS.ownerService).endpoints,
+      running: this.container.get(TOKENS.runs).running + this.container.get(TOKENS.plain).running,
+      queued: this.container.get(TOKENS.placer).waiting,
+      releasesPending: this.container.get(TOKENS.releases).pending,
+      owns: this.container.get(TOKENS.ownerService).endpoints,
       inFlight: Object.fromEntries(busy),
       closed: Object.fromEntries(closed),
-      replicas: this.parts.get(PARTS.groups).status(),
+      replicas: this.container.get(TOKENS.groups).status(),
     }
   }
 
-  private async askBoxes<Answer>(
+  private async callBoxes<Answer>(
     method: string,
     params: unknown,
   ): Promise<{ box: string; answer?: Answer; failure?: string }[]> {
-    const { boxes } = this.parts.get(PARTS.follower).members
-    const peers = this.parts.get(PARTS.peers)
+    const { boxes } = this.container.get(TOKENS.follower).members
+    const peers = this.container.get(TOKENS.peers)
     return Promise.all(
       boxes.map(async ({ box, address }) => {
         try {
           return {
             box,
             answer: await peers.call<Answer>(address, method, params, {
-              deadline: ASK_DEADLINE_MS,
+              deadline: BOX_CALL_DEADLINE_MS,
               step: method,
             }),
           }
@@ -231,16 +231,16 @@
     )
   }
 
-  private askControl<Answer>(method: string, params: unknown): Promise<Answer> {
+  private callControl<Answer>(method: string, params: unknown): Promise<Answer> {
     return this.controlGroup.callLeader<Answer>(method, params, {
       deadline: CONFIRM_DEADLINE_MS,
       step: `control ${method}`,
     })
   }
 
-  private assertSound(table: Table): void {
+  private assertValidTable(table: Table): void {
     const services = new Map(
-      this.parts.get(PARTS.settings).models.map((model) => [model.name, model.service]),
+      this.container.get(TOKENS.settings).models.map((model) => [model.name, model.service]),
     )
     const faults = checkTable(table, { services })
     if (faults.length > 0) throw new TableError(faults)
@@ -248,15 +248,15 @@
 
   /** Waits a moment for a version that was accepted elsewhere to arrive here. */
   private async catchUp(version: number): Promise<void> {
-    const clock = this.parts.get(PARTS.clock)
+    const clock = this.container.get(TOKENS.clock)
     const end = clock.now() + CATCH_UP_MS
-    this.parts.get(PARTS.follower).noteNewer(version)
-    while (this.table().version < version && clock.now() < end) await delay(clock, PAUSE_MS)
+    this.container.get(TOKENS.follower).fetchIfNewer(version)
+    while (this.table().version < version && clock.now() < end) await delay(clock, POLL_INTERVAL_MS)
   }
 
   private createClient(group: string): GroupClient<unknown, unknown> {
-    const follower = this.parts.get(PARTS.follower)
-    const [peers, clock] = [this.parts.get(PARTS.peers), this.parts.get(PARTS.clock)]
+    const follower = this.container.get(TOKENS.follower)
+    const [peers, clock] = [this.container.get(TOKENS.peers), this.container.get(TOKENS.clock)]
     return new GroupClient({ group, replicas: () => follower.replicas, peers, clock })
   }
 }
--- a/daemon/daemon/src/fleetPart.ts
+++ b/daemon/daemon/src/fleetToken.ts
@@ -1,5 +1,5 @@
 import type { FleetService } from './fleetService'
-import { token } from './parts'
+import { createToken } from './tokens'
 
 /** The name of the part that uses all others; apart from their names, so that no file needs itself. */
-export const FLEET = token<FleetService>('fleet')
+export const FLEET_TOKEN = createToken<FleetService>('fleet')
--- a/daemon/fleet/src/coldEndpoints.ts
+++ b/daemon/fleet/src/coldEndpoints.ts
@@ -68,7 +68,7 @@
   doubt(domain: string): void {
     const { directory } = this.options
     const there = directory.list().filter(({ zone }) => zone === domain)
-    directory.doubtWarm(there.map(({ id }) => id))
+    directory.invalidateWarm(there.map(({ id }) => id))
     this.look()
   }
 
--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -8,10 +8,10 @@
 import type { QuotaLedger } from '@forkstage/quota'
 import { RouteBook } from '@forkstage/routes'
 import { createFileSystem } from '@forkstage/storage'
-import { SheetMachine, type SheetCommand, type SheetDocument, type SheetResult } from '@forkstage/sheet'
+import { SheetStateMachine, type SheetCommand, type SheetDocument, type SheetResult } from '@forkstage/sheet'
 import { Topology } from '@forkstage/topology'
 import type { Address } from '@forkstage/types'
-import { ControlFollower, SHEET, WATCH, WatchHub, type WatchQuestion } from '@forkstage/watch'
+import { ControlFollower, SHEET_METHOD, WATCH_METHOD, WatchHub, type WatchRequest } from '@forkstage/watch'
 import { ColdEndpoints } from './coldEndpoints'
 import { ControlCrashes } from './controlCrashes'
 import { ControlLimits } from './controlLimits'
@@ -44,7 +44,7 @@
 
 /** A control machine: one replica of the route sheet, the directory of endpoints, operators' calls. */
 export class ControlMachine {
-  private readonly machine = new SheetMachine()
+  private readonly machine = new SheetStateMachine()
   private readonly directory = new Directory(() => this.basics.clock.now())
   private readonly host: GroupHost<SheetCommand, SheetResult>
   private readonly keeper: MembershipKeeper<SheetCommand, SheetResult>
@@ -78,7 +78,7 @@
     this.host = createGroupHost(GROUP, basics, this.machine)
     this.belief = new EvacuationBelief({
       logger,
-      onChange: () => this.hub.noteChange(),
+      onChange: () => this.hub.notifyChange(),
       onWithdrawn: (domain) => this.cold.doubt(domain),
     })
     this.follower = new ControlFollower({
@@ -110,7 +110,7 @@
     const crashBook = createCrashBook(settings.crashes, clock)
     this.hub = new WatchHub({
       crashes: crashBook,
-      keptFree: () => this.crashes.keptFree,
+      reserved: () => this.crashes.keptFree,
       epoch,
       directory: this.directory,
       sheet: () => this.newest,
@@ -127,7 +127,7 @@
     const folder = settings.machine.data_folder!
     const disk = { folder, files: createFileSystem(), clock, logger }
     this.memory = new EndpointMemory({ ...disk, endpoints })
-    const onChange = () => this.hub.noteChange()
+    const onChange = () => this.hub.notifyChange()
     const crashes = { ...disk, book: crashBook, endpoints, isBarred, isLeader, random: basics.random }
     this.crashes = new ControlCrashes({ ...crashes, onChange })
     this.registrar = new Registrar({
@@ -180,7 +180,7 @@
       logger,
     })
     this.meters = this.createMeters()
-    this.machine.onNewer = (document) => this.noteNewer(document)
+    this.machine.onNewerSheet = (document) => this.noteNewer(document)
     this.machine.onEvacuations = () => this.evacuations.takeCommitted()
   }
 
@@ -298,8 +298,8 @@
       ...this.crashes.methods(),
       ...this.limits.methods(),
       ...quotaMethods(this.quotas, () => this.host.replica?.holdsLease === true),
-      [WATCH]: (question: WatchQuestion) => this.hub.answer(question),
-      [SHEET]: () => this.hub.newestSheet(),
+      [WATCH_METHOD]: (question: WatchRequest) => this.hub.answer(question),
+      [SHEET_METHOD]: () => this.hub.newestSheet(),
     }
   }
 
@@ -313,7 +313,7 @@
       routes: sheet?.routes.length ?? 0,
       services: sheet?.services.length ?? 0,
     })
-    this.hub.noteChange()
+    this.hub.notifyChange()
   }
 
   private memberAddresses(): Address[] {
@@ -330,11 +330,11 @@
 
   /** Entries that wait for news hear of another leader at once: until then they ask one that places no more. */
   private tellOfLeader(): void {
-    if (!this.belief.view.isHeard) this.evacuations.takeCommitted()
+    if (!this.belief.view.isConfirmed) this.evacuations.takeCommitted()
     const leader = this.leader()
     if (leader === this.toldLeader) return
     this.toldLeader = leader
-    this.hub.noteChange()
+    this.hub.notifyChange()
   }
 
   private leader(): Address | undefined {
--- a/daemon/fleet/src/createGroupHost.ts
+++ b/daemon/fleet/src/createGroupHost.ts
@@ -1,6 +1,6 @@
 import { seedAddresses } from '@forkstage/fleet-settings'
 import { GroupHost } from '@forkstage/group'
-import type { SheetCommand, SheetMachine, SheetResult } from '@forkstage/sheet'
+import type { SheetCommand, SheetStateMachine, SheetResult } from '@forkstage/sheet'
 import type { MachineBasics } from './machineBasics'
 
 const REOPEN_AFTER_MS = 400
@@ -9,7 +9,7 @@
 export function createGroupHost(
   group: string,
   { settings, peers, clock, random, logger }: MachineBasics,
-  machine: SheetMachine,
+  machine: SheetStateMachine,
 ): GroupHost<SheetCommand, SheetResult> {
   const { control, listen } = settings
   return new GroupHost({
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -95,14 +95,14 @@
       clock,
       random,
       leftMs: (id) => this.cold.leftMs(id, clock.now()),
-      hasReportedCold: (id) => this.directory.hasSaidCold(id),
+      hasReportedCold: (id) => this.directory.hasReportedCold(id),
       perSecond: (service) => this.cold.perSecond(service),
       entries: () => this.follower.entries(),
     })
     this.statements = new AvailabilityTracker({ clock, random, logger })
     this.belief = new EvacuationBelief({ logger, onWithdrawn: (domain) => this.cold.doubt(domain) })
     const isEvacuated = ({ zone }: RegisteredEndpoint) => this.belief.view.isEvacuated(zone)
-    const isKeptFree = ({ id }: RegisteredEndpoint) => this.follower.isKeptFree(id)
+    const isKeptFree = ({ id }: RegisteredEndpoint) => this.follower.isReserved(id)
     const topology = new Topology(settings.domains)
     this.pool = new EndpointPool({
       zone: settings.machine.zone,
@@ -212,7 +212,7 @@
         logger,
       }),
       routes: () => this.book.current,
-      isViewFresh: () => this.follower.hasHeardSince(),
+      isViewFresh: () => this.follower.hasAnswerSinceSuspension(),
       onResult: (report) => this.meters.noteRequest(report),
     })
     this.meters = new FleetMeters({
--- a/daemon/fleet/src/evacuationBelief.ts
+++ b/daemon/fleet/src/evacuationBelief.ts
@@ -23,7 +23,7 @@
   /** Takes a set that is committed. */
   take(set: EvacuationSet): void {
     const before = this.view.current.domains
-    if (!this.view.take(set)) return
+    if (!this.view.merge(set)) return
     this.noteChange()
     const withdrawn = before.filter((domain) => !this.view.isEvacuated(domain))
     withdrawn.forEach((domain) => this.options.onWithdrawn?.(domain))
@@ -31,7 +31,7 @@
 
   /** Takes domains that may be evacuated, until a set is known. */
   suppose(domains: FailureDomain[]): void {
-    if (this.view.suppose(domains)) this.noteChange()
+    if (this.view.addSupposed(domains)) this.noteChange()
   }
 
   private noteChange(): void {
--- a/daemon/fleet/src/evacuationOffice.ts
+++ b/daemon/fleet/src/evacuationOffice.ts
@@ -9,7 +9,7 @@
 import { GroupUnavailableError, NotLeaderError, type GroupClient, type GroupHost } from '@forkstage/group'
 import type { Logger } from '@forkstage/logger'
 import type { PeerMethod } from '@forkstage/peer-rpc'
-import type { SheetCommand, SheetMachine, SheetResult } from '@forkstage/sheet'
+import type { SheetCommand, SheetStateMachine, SheetResult } from '@forkstage/sheet'
 import type { FailureDomain, Millis } from '@forkstage/types'
 import type { EvacuationBelief } from './evacuationBelief'
 
@@ -17,7 +17,7 @@
 export interface EvacuationOfficeOptions {
   group: string
   host: GroupHost<SheetCommand, SheetResult>
-  machine: SheetMachine
+  machine: SheetStateMachine
   client: GroupClient<SheetCommand, SheetResult>
   /** What this machine believes. */
   belief: EvacuationBelief
@@ -80,7 +80,7 @@
    */
   takeCommitted(): void {
     const { host, machine, belief } = this.options
-    if (!belief.view.isHeard && host.replica?.knowsCommitted !== true) return
+    if (!belief.view.isConfirmed && host.replica?.knowsCommitted !== true) return
     belief.take(machine.evacuations.current)
   }
 
@@ -89,7 +89,7 @@
     const { host, machine, belief } = this.options
     const pending = (host.replica?.uncommitted ?? []).map(({ data }) => data as SheetCommand | undefined)
     const orders = pending.filter((command) => command?.type === 'setEvacuation')
-    return [...new Set([...machine.evacuations.domainsWith(orders), ...belief.view.current.domains])]
+    return [...new Set([...machine.evacuations.possiblyEvacuated(orders), ...belief.view.current.domains])]
   }
 
   private get method(): string {
@@ -125,7 +125,8 @@
   /** A leader that is sure of the state need not write what changes nothing. */
   private answerFromLease(domain: FailureDomain, isEvacuated: boolean): EvacuationResult | undefined {
     const { host, machine } = this.options
-    if (host.replica?.holdsLease !== true || !machine.evacuations.holds(domain, isEvacuated)) return undefined
+    if (host.replica?.holdsLease !== true || !machine.evacuations.isNoOp(domain, isEvacuated))
+      return undefined
     return { index: machine.evacuations.current.index, outcome: 'held' }
   }
 }
--- a/daemon/fleet/src/registrar.ts
+++ b/daemon/fleet/src/registrar.ts
@@ -49,7 +49,7 @@
    * @param born the start of the life that says so, where it does.
    */
   leave(name: string, born?: number): boolean {
-    this.note(this.options.directory.leave(name, born))
+    this.note(this.options.directory.markLeft(name, born))
     return this.options.isConnected()
   }
 
@@ -61,7 +61,7 @@
   private note(news: RegisteredEndpoint[]): void {
     if (news.length === 0) return
     logEndpoints(this.options.logger, news)
-    this.options.hub.noteChange()
+    this.options.hub.notifyChange()
     this.options.onChange?.(news)
   }
 }
--- a/daemon/fleet/src/sheetOffice.ts
+++ b/daemon/fleet/src/sheetOffice.ts
@@ -7,7 +7,7 @@
   PutSheet,
   SheetCommand,
   SheetDocument,
-  SheetMachine,
+  SheetStateMachine,
   SheetResult,
 } from '@forkstage/sheet'
 
@@ -15,7 +15,7 @@
 export interface SheetOfficeOptions {
   group: string
   host: GroupHost<SheetCommand, SheetResult>
-  machine: SheetMachine
+  machine: SheetStateMachine
   client: GroupClient<SheetCommand, SheetResult>
   logger: Logger
 }
--- a/daemon/fleet/test/evacuationOffice.test.ts
+++ b/daemon/fleet/test/evacuationOffice.test.ts
@@ -3,14 +3,14 @@
 import type { SetEvacuation } from '@forkstage/evacuation'
 import { GroupUnavailableError, type GroupClient, type GroupHost } from '@forkstage/group'
 import { createSilentLogger } from '@forkstage/logger'
-import { SheetMachine, type SheetCommand, type SheetResult } from '@forkstage/sheet'
+import { SheetStateMachine, type SheetCommand, type SheetResult } from '@forkstage/sheet'
 import { EvacuationBelief } from '../src/evacuationBelief'
 import { EvacuationOffice } from '../src/evacuationOffice'
 
 /** A group whose commits happen at once and whose answers may be lost, with offices of two machines. */
 function officeWorld() {
   const clock = new ManualClock()
-  const machine = new SheetMachine()
+  const machine = new SheetStateMachine()
   const world = {
     index: 10,
     /** Commands as they reached the leader. */
@@ -98,7 +98,7 @@
     const pending = { type: 'setEvacuation', domain: 'b', isEvacuated: true, knownIndex: 11 }
     replica.uncommitted = [{ data: undefined }, { data: { type: 'putSheet' } }, { data: pending }]
     expect(office.supposed()).toEqual(['a', 'b'])
-    expect(belief.view.isHeard).toBe(false)
+    expect(belief.view.isConfirmed).toBe(false)
     replica.knowsCommitted = true
     office.takeCommitted()
     expect(belief.view.current).toEqual({ index: 11, domains: ['a'] })
--- a/daemon/fleet/test/fleetWorld.ts
+++ b/daemon/fleet/test/fleetWorld.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import got from 'got'
-import { lifeId, type RegisteredEndpoint } from '@forkstage/directory'
+import { instanceIdOf, type RegisteredEndpoint } from '@forkstage/directory'
 import { parseFleetSettings } from '@forkstage/fleet-settings'
 import type { PeerClient } from '@forkstage/peer-rpc'
 import type { RouteSheet } from '@forkstage/routes'
@@ -38,7 +38,7 @@
   const said = JSON.parse(text) as RegisteredEndpoint
   if (typeof said.slots !== 'number') return undefined
   const own = said.born === undefined ? {} : { name }
-  return { ...said, ...own, id: lifeId(name, said.born) }
+  return { ...said, ...own, id: instanceIdOf(name, said.born) }
 }
 
 /** A route sheet with one route to one plain service. */
--- a/membership/control/src/boxRegistry.ts
+++ b/membership/control/src/boxRegistry.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@forkstage/clock'
 import type { Address, Millis } from '@forkstage/types'
-import type { AskQuestion, BoxInfo, BoxStatus, Members } from './askTypes'
+import type { HeartbeatRequest, BoxInfo, BoxStatus, Members } from './heartbeatTypes'
 
 /** Options of {@link BoxRegistry}. */
 export interface BoxRegistryOptions {
@@ -11,11 +11,11 @@
   tableLease: Millis
 }
 
-interface Heard {
+interface BoxRecord {
   info: BoxInfo
   version: number
   versionSince: Millis
-  at: Millis
+  heardAt: Millis
   leaseUntil: Millis
 }
 
@@ -24,7 +24,7 @@
 
 /** The boxes that a control replica hears from. Soft state: rebuilt from their questions. */
 export class BoxRegistry {
-  private readonly heard = new Map<string, Heard>()
+  private readonly records = new Map<string, BoxRecord>()
   private count = 0
   private lastList = ''
   private leaving: string[] = []
@@ -32,31 +32,32 @@
   constructor(private readonly options: BoxRegistryOptions) {}
 
   /** Takes a question as a heartbeat. */
-  note(question: AskQuestion): void {
+  recordHeartbeat(request: HeartbeatRequest): void {
     const now = this.options.clock.now()
-    const { box } = question.box
-    const old = this.heard.get(box)
-    const sameVersion = old?.version === question.version && old.info.incarnation === question.box.incarnation
-    this.heard.set(box, {
-      info: question.box,
-      version: question.version,
-      versionSince: sameVersion ? old.versionSince : now,
-      at: now,
-      leaseUntil: now + Math.max(question.leaseLeft, this.options.tableLease),
+    const { box } = request.box
+    const previous = this.records.get(box)
+    const sameVersion =
+      previous?.version === request.version && previous.info.incarnation === request.box.incarnation
+    this.records.set(box, {
+      info: request.box,
+      version: request.version,
+      versionSince: sameVersion ? previous.versionSince : now,
+      heardAt: now,
+      leaseUntil: now + Math.max(request.leaseLeft, this.options.tableLease),
     })
   }
 
   /** Takes what the platform lists as leaving. */
-  noteLeaving(names: string[]): void {
+  setLeaving(names: string[]): void {
     this.leaving = [...names].sort()
   }
 
   /** The live boxes as this replica hears them; `term` orders the lists of successive leaders. */
   members(term: number): Members {
     const now = this.options.clock.now()
-    const live = [...this.heard.values()].filter((heard) => now - heard.at < this.options.goneAfter)
+    const live = [...this.records.values()].filter((record) => now - record.heardAt < this.options.goneAfter)
     const boxes = live
-      .map((heard) => this.withPlatformMark(heard.info))
+      .map((record) => this.withPlatformState(record.info))
       .sort((a, b) => (a.box < b.box ? -1 : 1))
     const list = JSON.stringify([boxes, this.leaving])
     if (list !== this.lastList) this.count += 1
@@ -67,23 +68,24 @@
   /** Where the boxes heard lately can be reached. */
   addresses(): Address[] {
     const now = this.options.clock.now()
-    const live = [...this.heard.values()].filter((heard) => now - heard.at < this.options.goneAfter)
-    return live.map((heard) => heard.info.address)
+    const live = [...this.records.values()].filter((record) => now - record.heardAt < this.options.goneAfter)
+    return live.map((record) => record.info.address)
   }
 
   status(): BoxStatus[] {
     const now = this.options.clock.now()
-    for (const [box, heard] of this.heard) if (now - heard.at > FORGET_AFTER_MS) this.heard.delete(box)
-    return [...this.heard.values()].map((heard) => ({
-      ...heard.info,
-      version: heard.version,
-      versionForMs: Math.round(now - heard.versionSince),
-      heardAgoMs: Math.round(now - heard.at),
-      leaseLeftMs: Math.max(0, Math.round(heard.leaseUntil - now)),
+    for (const [box, record] of this.records)
+      if (now - record.heardAt > FORGET_AFTER_MS) this.records.delete(box)
+    return [...this.records.values()].map((record) => ({
+      ...record.info,
+      version: record.version,
+      versionForMs: Math.round(now - record.versionSince),
+      heardAgoMs: Math.round(now - record.heardAt),
+      leaseLeftMs: Math.max(0, Math.round(record.leaseUntil - now)),
     }))
   }
 
-  private withPlatformMark(info: BoxInfo): BoxInfo {
+  private withPlatformState(info: BoxInfo): BoxInfo {
     return this.leaving.includes(info.box) ? { ...info, state: 'leaving' } : info
   }
 }
--- a/membership/control/src/controlService.ts
+++ b/membership/control/src/controlService.ts
@@ -3,15 +3,15 @@
 import type { GroupHost } from '@forkstage/group'
 import type { PeerMethod } from '@forkstage/peer-rpc'
 import type { Millis } from '@forkstage/types'
-import type { AskAnswer, AskQuestion, ControlStatus, Members } from './askTypes'
+import type { HeartbeatAnswer, HeartbeatRequest, ControlStatus, Members } from './heartbeatTypes'
 import type { BoxRegistry } from './boxRegistry'
 import type { ControlCommand, ControlResult, HistoryEntry } from './controlCommands'
-import type { ControlMachine } from './controlMachine'
+import type { ControlStateMachine } from './controlStateMachine'
 
 /** Options of {@link createControlMethods}. */
 export interface ControlServiceOptions {
   host: GroupHost<ControlCommand, ControlResult>
-  machine: ControlMachine
+  machine: ControlStateMachine
   registry: BoxRegistry
   clock: Clock
   /** How long a new leader waits before it publishes who is live. */
@@ -36,30 +36,30 @@
 /** The methods through which boxes talk to a control replica, besides those of its group. */
 export function createControlMethods(options: ControlServiceOptions): Record<string, PeerMethod> {
   return {
-    'control.ask': (question: AskQuestion) => answerQuestion(question, options),
+    'control.ask': (request: HeartbeatRequest) => answerHeartbeat(request, options),
     'control.boxes': () => describeBoxes(options),
     'control.history': (params: { limit: number }) => readHistory(params.limit, options),
   }
 }
 
-function answerQuestion(question: AskQuestion, options: ControlServiceOptions): AskAnswer {
+function answerHeartbeat(request: HeartbeatRequest, options: ControlServiceOptions): HeartbeatAnswer {
   const { host, machine, registry } = options
   const replica = host.require()
-  registry.note(question)
+  registry.recordHeartbeat(request)
   const pending = replica.uncommitted.filter(
     (entry) => (entry.data as ControlCommand | null)?.type === 'confirm',
   )
   const { holdsLease } = replica
-  const sendsUpdate = holdsLease || question.wantUpdate
+  const sendsUpdate = holdsLease || request.wantUpdate
   return {
     replica: replica.status().replica,
     holdsLease,
     newestVersion: machine.table.version + pending.length,
     acceptedVersion: machine.table.version,
     newestConfigIndex: replica.configIndex,
-    config: replica.configIndex > question.configIndex ? replica.config : undefined,
-    update: sendsUpdate ? machine.updateFrom(question.version) : undefined,
-    members: holdsLease ? newerMembers(question.membersVersion, options) : undefined,
+    config: replica.configIndex > request.configIndex ? replica.config : undefined,
+    update: sendsUpdate ? machine.updateFrom(request.version) : undefined,
+    members: holdsLease ? newerMembers(request.membersVersion, options) : undefined,
   }
 }
 
--- a/membership/control/src/controlMachine.ts
+++ b/membership/control/src/controlStateMachine.ts
@@ -12,14 +12,14 @@
   HistoryEntry,
   TableUpdate,
 } from './controlCommands'
-import { VersionMarks } from './versionMarks'
+import { VersionFingerprints } from './versionFingerprints'
 
 /** Versions whose changes are kept in full, for the history and to bring boxes up to date. */
 const RECENT_VERSIONS = 1_000
 /** Fence nonces remembered; an order is resent within seconds. */
 const RECENT_FENCES = 256
 
-interface StoredControl {
+interface ControlSnapshot {
   table: VersionedTable
   recent: HistoryEntry[]
   marks: Uint8Array
@@ -28,10 +28,10 @@
 }
 
 /** The control group's state: the accepted table, its history, and the order fence. */
-export class ControlMachine implements StateMachine<ControlCommand, ControlResult> {
+export class ControlStateMachine implements StateMachine<ControlCommand, ControlResult> {
   private current: VersionedTable = emptyTable()
   private recent: HistoryEntry[] = []
-  private marks = new VersionMarks()
+  private fingerprints = new VersionFingerprints()
   private fence = 0
   private fences = new Map<string, number>()
   /** Called when a table has been accepted; not part of the replicated state. */
@@ -46,24 +46,24 @@
   }
 
   apply(command: ControlCommand): ControlResult {
-    return command.type === 'confirm' ? this.confirm(command) : this.takeFence(command.nonce)
+    return command.type === 'confirm' ? this.confirm(command) : this.issueFence(command.nonce)
   }
 
   /** What a box at a version needs to reach the newest one; undefined where it has it. */
   updateFrom(version: number): TableUpdate | undefined {
     if (version >= this.current.version) return undefined
     const steps = this.recent.filter((entry) => entry.version > version)
-    const reachesBack = steps[0]?.version === version + 1
-    if (version > 0 && reachesBack)
+    const isContiguous = steps[0]?.version === version + 1
+    if (version > 0 && isContiguous)
       return { type: 'steps', steps: steps.map(({ version, digest, delta }) => ({ version, digest, delta })) }
     return { type: 'full', ...this.current }
   }
 
   snapshot(): Uint8Array {
-    const stored: StoredControl = {
+    const stored: ControlSnapshot = {
       table: this.current,
       recent: this.recent,
-      marks: this.marks.toBytes(),
+      marks: this.fingerprints.toBytes(),
       fence: this.fence,
       fences: [...this.fences],
     }
@@ -71,7 +71,7 @@
   }
 
   restore(data: Uint8Array): void {
-    const stored = unpack(data) as StoredControl
+    const stored = unpack(data) as ControlSnapshot
     assertInvariant(
       stored.table.version >= this.current.version,
       'the accepted table never reverts',
@@ -79,33 +79,33 @@
     )
     this.current = stored.table
     this.recent = stored.recent
-    this.marks = VersionMarks.fromBytes(stored.marks)
+    this.fingerprints = VersionFingerprints.fromBytes(stored.marks)
     this.fence = stored.fence
     this.fences = new Map(stored.fences)
   }
 
   private confirm(command: ConfirmCommand): ConfirmResult {
     const version = command.base + 1
-    if (this.marks.matches(version, command.confirmId, command.digest)) {
+    if (this.fingerprints.matches(version, command.confirmId, command.digest)) {
       return { outcome: 'accepted', version, digest: command.digest }
     }
     if (command.base !== this.current.version) return this.conflict(command, version)
     const table = applyDelta(this.current.table, command.delta)
     if (digestTable(table) !== command.digest) {
-      return { ...this.refusal(), reason: 'the changes do not lead to the digest that was confirmed' }
+      return { ...this.currentConflict(), reason: 'the changes do not lead to the digest that was confirmed' }
     }
     return this.accept(command, version, table)
   }
 
   private conflict(command: ConfirmCommand, version: number): ConfirmResult {
-    const reused = this.marks.madeBy(version, command.confirmId)
+    const reused = this.fingerprints.hasConfirmId(version, command.confirmId)
     const reason = reused
       ? `confirm id ${command.confirmId} has accepted another table as version ${version}`
       : `the table was made from version ${command.base}; the newest is ${this.current.version}`
-    return { ...this.refusal(), reason }
+    return { ...this.currentConflict(), reason }
   }
 
-  private refusal() {
+  private currentConflict() {
     const { version, digest } = this.current
     return { outcome: 'conflict' as const, version, digest }
   }
@@ -114,14 +114,14 @@
     assertInvariant(version === this.current.version + 1, 'versions rise by one', () => `${version}`)
     const { digest, confirmId, who, at, delta } = command
     this.current = { version, digest, table }
-    this.marks.append(confirmId, digest)
+    this.fingerprints.append(confirmId, digest)
     this.recent.push({ version, digest, confirmId, who, at, delta })
     if (this.recent.length > RECENT_VERSIONS) this.recent.shift()
     this.onAccepted(version)
     return { outcome: 'accepted', version, digest }
   }
 
-  private takeFence(nonce: string): FenceResult {
+  private issueFence(nonce: string): FenceResult {
     const known = this.fences.get(nonce)
     if (known !== undefined) return { outcome: 'fence', fence: known }
     this.fence += 1
--- a/membership/control/src/askTypes.ts
+++ b/membership/control/src/heartbeatTypes.ts
@@ -23,7 +23,7 @@
 }
 
 /** What every box asks every control replica, again and again. It is also the box's heartbeat. */
-export interface AskQuestion {
+export interface HeartbeatRequest {
   box: BoxInfo
   /** The version of the table that is in force on the box. */
   version: number
@@ -37,7 +37,7 @@
 }
 
 /** A control replica's answer. */
-export interface AskAnswer {
+export interface HeartbeatAnswer {
   replica: ReplicaId
   /** Whether the replica leads and no other can have become leader. */
   holdsLease: boolean
--- a/membership/control/test/controlMachine.test.ts
+++ b/membership/control/test/controlStateMachine.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest'
 import { applyDelta, diffTables, digestTable } from '@forkstage/table'
 import type { EndpointRow, Table } from '@forkstage/types'
-import { ControlMachine, type ConfirmCommand, type ConfirmResult } from '../src'
+import { ControlStateMachine, type ConfirmCommand, type ConfirmResult } from '../src'
 
 const row = (endpoint: string, weight: number): EndpointRow => ({
   endpoint,
@@ -41,7 +41,7 @@
     })
     fc.assert(
       fc.property(fc.array(attempt, { maxLength: 60 }), (attempts) => {
-        let machine = new ControlMachine()
+        let machine = new ControlStateMachine()
         const accepted: { command: ConfirmCommand; result: ConfirmResult }[] = []
         for (const { base, weight, id, resend, restart } of attempts) {
           const before = machine.table
@@ -60,7 +60,7 @@
           else if (result.outcome === 'accepted') accepted.push({ command, result })
           expect(machine.table.version).toBeGreaterThanOrEqual(before.version)
           if (!restart) continue
-          const next = new ControlMachine()
+          const next = new ControlStateMachine()
           next.restore(machine.snapshot())
           machine = next
         }
@@ -73,7 +73,7 @@
   })
 
   it('brings a box up to date by steps while it can, and whole beyond', () => {
-    const machine = new ControlMachine()
+    const machine = new ControlStateMachine()
     let table: Table = { endpoints: [], links: [] }
     for (let version = 0; version < 1_100; version += 1) {
       const next = tableOf(version + 1)
@@ -89,8 +89,10 @@
   })
 
   it('hands out fences that only rise, the same one for a resend', () => {
-    const machine = new ControlMachine()
-    const take = (nonce: string) => machine.apply({ type: 'fence', nonce })
-    expect([take('a'), take('b'), take('a')]).toEqual([1, 2, 1].map((fence) => ({ outcome: 'fence', fence })))
+    const machine = new ControlStateMachine()
+    const issueFence = (nonce: string) => machine.apply({ type: 'fence', nonce })
+    expect([issueFence('a'), issueFence('b'), issueFence('a')]).toEqual(
+      [1, 2, 1].map((fence) => ({ outcome: 'fence', fence })),
+    )
   })
 })
--- a/membership/directory/src/endpointLife.ts
+++ b/membership/directory/src/instanceIdOf.ts
@@ -7,7 +7,7 @@
  * is known by its name alone.
  * @param born Unix time in milliseconds.
  */
-export function lifeId(name: string, born: number | undefined): InstanceId {
+export function instanceIdOf(name: string, born: number | undefined): InstanceId {
   return born === undefined ? name : `${name}~${born.toString(BASE)}`
 }
 
--- a/membership/directory/test/directory.test.ts
+++ b/membership/directory/test/directory.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { Directory, lifeId, newestPerAddress, type RegisteredEndpoint } from '../src'
+import { Directory, instanceIdOf, newestPerAddress, type RegisteredEndpoint } from '../src'
 
 const STATES = ['ready', 'draining', 'left'] as const
 
@@ -19,7 +19,7 @@
 }
 
 /** What instances say: an instance's calls have rising sequences and the state never goes back. */
-const statements = fc
+const reports = fc
   .array(fc.record({ id: fc.constantFrom('i-1', 'i-2', 'i-3'), step: fc.nat(2) }), { maxLength: 12 })
   .map((steps) => {
     const last = new Map<string, { sequence: number; state: number }>()
@@ -33,11 +33,11 @@
 
 describe('Directory', () => {
   it('gives the same view whatever the order and number of arrivals', () => {
-    const world = statements.chain((all) =>
+    const arrivals = reports.chain((all) =>
       fc.tuple(fc.constant(all), fc.shuffledSubarray([...all, ...all], { minLength: all.length * 2 })),
     )
     fc.assert(
-      fc.property(world, ([inOrder, shuffled]) => {
+      fc.property(arrivals, ([inOrder, shuffled]) => {
         const [left, right] = [new Directory(), new Directory()]
         left.merge(inOrder)
         shuffled.forEach((record) => right.merge([record]))
@@ -76,7 +76,7 @@
     const state = fc.constantFrom('ready', 'draining', 'left', 'ended' as const)
     const record = fc.record({ born: fc.constantFrom(1, 2), sequence: fc.nat(3), state, slots: fc.nat(1) })
     const records = record.map((fields) =>
-      endpoint({ ...fields, name: 'i-1', id: lifeId('i-1', fields.born) }),
+      endpoint({ ...fields, name: 'i-1', id: instanceIdOf('i-1', fields.born) }),
     )
     fc.assert(
       fc.property(fc.array(records, { maxLength: 8 }), records, (before, last) => {
@@ -98,26 +98,26 @@
   it('says at which position anything last changed that was known, or left', () => {
     const directory = new Directory()
     directory.merge([endpoint({ id: 'i-1' }), endpoint({ id: 'i-2' })])
-    expect(directory.changedPosition).toBe(0)
+    expect(directory.lastUpdatePosition).toBe(0)
     directory.merge([endpoint({ id: 'i-1', sequence: 2, slots: 9 })])
-    expect(directory.changedPosition).toBe(3)
+    expect(directory.lastUpdatePosition).toBe(3)
     directory.merge([endpoint({ id: 'i-3' })])
-    expect([directory.position, directory.changedPosition]).toEqual([4, 3])
-    directory.leave('i-2')
-    expect(directory.changedPosition).toBe(5)
+    expect([directory.position, directory.lastUpdatePosition]).toEqual([4, 3])
+    directory.markLeft('i-2')
+    expect(directory.lastUpdatePosition).toBe(5)
   })
 
   it('does not bring back one that has left, however late its calls arrive', () => {
     const directory = new Directory()
     directory.merge([endpoint({ sequence: 3 })])
-    directory.leave('i-1')
+    directory.markLeft('i-1')
     expect(directory.merge([endpoint({ sequence: 9 })])).toEqual([])
     expect(directory.list()).toEqual([])
   })
 
   it('remembers one that left before it was ever heard of', () => {
     const directory = new Directory()
-    directory.leave('i-1')
+    directory.markLeft('i-1')
     expect(directory.merge([endpoint()])).toEqual([])
   })
 
@@ -213,9 +213,9 @@
     const { time, directory } = timed()
     directory.merge([endpoint(), endpoint({ id: 'i-2' })])
     const { position } = directory
-    expect(directory.hasSaidCold('i-1')).toBe(false)
+    expect(directory.hasReportedCold('i-1')).toBe(false)
     expect(directory.merge([endpoint({ sequence: 2, coldMs: 0 })])).toEqual([])
-    expect(directory.hasSaidCold('i-1')).toBe(true)
+    expect(directory.hasReportedCold('i-1')).toBe(true)
     expect(directory.coldLeft('i-1', 3_000)).toBe(0)
     expect(directory.position).toBe(position)
     expect(directory.merge([endpoint({ id: 'i-2', sequence: 2, coldMs: 2_000 })])).toHaveLength(1)
@@ -226,7 +226,7 @@
   it('are in doubt where they may have turned cold, until their next word; those known to be cold stay so', () => {
     const { time, directory } = timed()
     directory.merge([endpoint({ coldMs: 0 }), endpoint({ id: 'i-2', coldMs: 4_000 })])
-    directory.doubtWarm(['i-1', 'i-2', 'never heard of'])
+    directory.invalidateWarm(['i-1', 'i-2', 'never heard of'])
     expect(directory.coldLeft('i-1', 3_000)).toBe(3_000)
     expect(directory.get('i-1')!.coldMs).toBeUndefined()
     expect(directory.coldLeft('i-2', 3_000)).toBe(4_000)
@@ -234,7 +234,7 @@
     expect(directory.merge([endpoint({ sequence: 2, coldMs: 2_500 })])).toHaveLength(1)
     expect(directory.coldLeft('i-1', 3_000)).toBe(2_500)
     time.now += 3_000
-    directory.doubtWarm(['i-1'])
+    directory.invalidateWarm(['i-1'])
     directory.merge([endpoint({ sequence: 3, coldMs: 0 })])
     expect(directory.coldLeft('i-1', 3_000)).toBe(0)
   })
--- a/membership/directory/test/endpointLife.test.ts
+++ b/membership/directory/test/restartedEndpoint.test.ts
@@ -1,11 +1,11 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { Directory, lifeId, type RegisteredEndpoint } from '../src'
+import { Directory, instanceIdOf, type RegisteredEndpoint } from '../src'
 
 /** What a life of `i-1` says of itself. */
-function said(born: number | undefined, fields: Partial<RegisteredEndpoint> = {}): RegisteredEndpoint {
+function report(born: number | undefined, fields: Partial<RegisteredEndpoint> = {}): RegisteredEndpoint {
   return {
-    id: lifeId('i-1', born),
+    id: instanceIdOf('i-1', born),
     ...(born === undefined ? {} : { name: 'i-1', born }),
     service: 's',
     address: '127.0.0.1:1',
@@ -23,44 +23,44 @@
 describe('an endpoint that starts again under its id', () => {
   it('is another one: its later life ends the earlier, whatever the counts', () => {
     const directory = new Directory()
-    directory.merge([said(100, { sequence: 50, coldMs: 0 })])
-    expect(statesOf(directory.merge([said(200, { sequence: 1, coldMs: 900 })]))).toEqual([
+    directory.merge([report(100, { sequence: 50, coldMs: 0 })])
+    expect(statesOf(directory.merge([report(200, { sequence: 1, coldMs: 900 })]))).toEqual([
       [100, 'ended'],
       [200, 'ready'],
     ])
     expect(statesOf(directory.list())).toEqual([[200, 'ready']])
-    expect(directory.coldLeft(lifeId('i-1', 200), 0)).toBeGreaterThan(0)
+    expect(directory.coldLeft(instanceIdOf('i-1', 200), 0)).toBeGreaterThan(0)
   })
 
   it('is changed by nothing that an earlier life says late, its farewell included', () => {
     const directory = new Directory()
-    directory.merge([said(200)])
+    directory.merge([report(200)])
     const { position } = directory
-    expect(directory.merge([said(100, { sequence: 99 }), said(undefined, { sequence: 99 })])).toEqual([])
-    expect(directory.leave('i-1', 100)).toEqual([])
+    expect(directory.merge([report(100, { sequence: 99 }), report(undefined, { sequence: 99 })])).toEqual([])
+    expect(directory.markLeft('i-1', 100)).toEqual([])
     expect(directory.position).toBe(position)
     expect(statesOf(directory.list())).toEqual([[200, 'ready']])
   })
 
   it('is taken back after it has left', () => {
     const directory = new Directory()
-    directory.merge([said(100)])
-    directory.leave('i-1', 100)
-    expect(directory.merge([said(100, { sequence: 9 })])).toEqual([])
-    expect(statesOf(directory.merge([said(200)]))).toEqual([[200, 'ready']])
+    directory.merge([report(100)])
+    directory.markLeft('i-1', 100)
+    expect(directory.merge([report(100, { sequence: 9 })])).toEqual([])
+    expect(statesOf(directory.merge([report(200)]))).toEqual([[200, 'ready']])
   })
 
   it('leaves with its newest life where the farewell says no start', () => {
     const directory = new Directory()
-    directory.merge([said(100), said(200)])
-    expect(statesOf(directory.leave('i-1'))).toEqual([[200, 'left']])
+    directory.merge([report(100), report(200)])
+    expect(statesOf(directory.markLeft('i-1'))).toEqual([[200, 'left']])
     expect(directory.list()).toEqual([])
   })
 
   it('is not taken for gone where a start is said for the first time', () => {
     const directory = new Directory()
-    directory.merge([said(undefined)])
-    expect(statesOf(directory.merge([said(100)]))).toEqual([
+    directory.merge([report(undefined)])
+    expect(statesOf(directory.merge([report(100)]))).toEqual([
       [undefined, 'left'],
       [100, 'ready'],
     ])
@@ -68,22 +68,22 @@
 
   it('is one life by one start, in the order of its counts', () => {
     const directory = new Directory()
-    directory.merge([said(100, { sequence: 5, state: 'draining' })])
-    expect(directory.merge([said(100, { sequence: 4 })])).toEqual([])
+    directory.merge([report(100, { sequence: 5, state: 'draining' })])
+    expect(directory.merge([report(100, { sequence: 4 })])).toEqual([])
     expect(statesOf(directory.list())).toEqual([[100, 'draining']])
   })
 
   it('comes to the same on machines that hear its lives in any order, through each other, twice', () => {
-    const life = fc.record({ born: fc.constantFrom(undefined, 100, 200, 300), sequence: fc.nat(3) })
+    const incarnation = fc.record({ born: fc.constantFrom(undefined, 100, 200, 300), sequence: fc.nat(3) })
     fc.assert(
-      fc.property(fc.array(life, { minLength: 1, maxLength: 8 }), fc.nat(), (lives, turn) => {
-        const records = lives.map(({ born, sequence }) => said(born, { sequence }))
+      fc.property(fc.array(incarnation, { minLength: 1, maxLength: 8 }), fc.nat(), (incarnations, offset) => {
+        const records = incarnations.map(({ born, sequence }) => report(born, { sequence }))
         const [one, other] = [new Directory(), new Directory()]
         one.merge(records)
-        other.merge(records.map((_, index) => records[(index + turn) % records.length]!))
+        other.merge(records.map((_, index) => records[(index + offset) % records.length]!))
         other.merge(one.since(0))
         one.merge(other.since(0))
-        const newest = Math.max(...lives.map(({ born }) => born ?? 0)) || undefined
+        const newest = Math.max(...incarnations.map(({ born }) => born ?? 0)) || undefined
         for (const directory of [one, other]) expect(statesOf(directory.list())).toEqual([[newest, 'ready']])
       }),
     )
--- a/membership/evacuation/src/evacuationState.ts
+++ b/membership/evacuation/src/evacuationState.ts
@@ -16,14 +16,14 @@
   }
 
   /** Whether an order would change nothing. */
-  holds(domain: FailureDomain, isEvacuated: boolean): boolean {
+  isNoOp(domain: FailureDomain, isEvacuated: boolean): boolean {
     return this.set.domains.includes(domain) === isEvacuated
   }
 
   /** The domains that are evacuated here, with those that commands which may be committed would add. */
-  domainsWith(commands: SetEvacuation[]): FailureDomain[] {
-    const begun = commands.filter(({ isEvacuated }) => isEvacuated).map(({ domain }) => domain)
-    return [...new Set([...this.set.domains, ...begun])].sort()
+  possiblyEvacuated(commands: SetEvacuation[]): FailureDomain[] {
+    const added = commands.filter(({ isEvacuated }) => isEvacuated).map(({ domain }) => domain)
+    return [...new Set([...this.set.domains, ...added])].sort()
   }
 
   /**
@@ -31,7 +31,7 @@
    * @param index its place in the log.
    */
   apply({ domain, isEvacuated, knownIndex }: SetEvacuation, index: number): EvacuationResult {
-    if (this.holds(domain, isEvacuated)) return { index: this.set.index, outcome: 'held' }
+    if (this.isNoOp(domain, isEvacuated)) return { index: this.set.index, outcome: 'held' }
     // A copy that was long on its way must not undo what was ordered and acknowledged since.
     if (this.set.index > knownIndex) return { index: this.set.index, outcome: 'overtaken' }
     const others = this.set.domains.filter((one) => one !== domain)
--- a/membership/evacuation/src/evacuationTypes.ts
+++ b/membership/evacuation/src/evacuationTypes.ts
@@ -12,7 +12,7 @@
 export const NO_EVACUATIONS: EvacuationSet = { index: -1, domains: [] }
 
 /** The index of a machine's belief before it has heard any set. */
-export const UNHEARD_INDEX = -2
+export const UNKNOWN_INDEX = -2
 
 /** A command of the replicated log: begins or withdraws the evacuation of one failure domain. */
 export interface SetEvacuation {
--- a/membership/evacuation/src/index.ts
+++ b/membership/evacuation/src/index.ts
@@ -2,5 +2,5 @@
 export { EvacuationState } from './evacuationState'
 export { EvacuationView } from './evacuationView'
 export { isDomainName } from './isDomainName'
-export { NO_EVACUATIONS, UNHEARD_INDEX } from './evacuationTypes'
+export { NO_EVACUATIONS, UNKNOWN_INDEX } from './evacuationTypes'
 export type { EvacuationResult, EvacuationSet, SetEvacuation } from './evacuationTypes'
--- a/membership/evacuation/src/isDomainName.ts
+++ b/membership/evacuation/src/isDomainName.ts
@@ -2,6 +2,6 @@
 const DOMAIN_NAME = /^[\p{L}\p{N}][\p{L}\p{N}._-]{0,62}$/u
 
 /** Whether a word can be the name of a failure domain, known or not. */
-export function isDomainName(word: string): boolean {
-  return DOMAIN_NAME.test(word)
+export function isDomainName(text: string): boolean {
+  return DOMAIN_NAME.test(text)
 }
--- a/membership/evacuation/test/evacuation.test.ts
+++ b/membership/evacuation/test/evacuation.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { EvacuationState, EvacuationView, isDomainName, NO_EVACUATIONS } from '../src'
 
-const order = (domain: string, isEvacuated: boolean, knownIndex = 1_000) => ({
+const command = (domain: string, isEvacuated: boolean, knownIndex = 1_000) => ({
   type: 'setEvacuation' as const,
   domain,
   isEvacuated,
@@ -12,38 +12,38 @@
   it('begins and withdraws, each change with its place in the log', () => {
     const state = new EvacuationState()
     expect(state.current).toEqual({ index: -1, domains: [] })
-    expect(state.apply(order('b', true), 4)).toEqual({ index: 4, outcome: 'changed' })
-    expect(state.apply(order('a', true), 7)).toEqual({ index: 7, outcome: 'changed' })
+    expect(state.apply(command('b', true), 4)).toEqual({ index: 4, outcome: 'changed' })
+    expect(state.apply(command('a', true), 7)).toEqual({ index: 7, outcome: 'changed' })
     expect(state.current).toEqual({ index: 7, domains: ['a', 'b'] })
-    expect(state.apply(order('b', false), 9)).toEqual({ index: 9, outcome: 'changed' })
+    expect(state.apply(command('b', false), 9)).toEqual({ index: 9, outcome: 'changed' })
     expect(state.current).toEqual({ index: 9, domains: ['a'] })
   })
 
   it('answers what holds already without a change, whatever its sender knew', () => {
     const state = new EvacuationState()
-    expect(state.apply(order('a', false), 3)).toEqual({ index: -1, outcome: 'held' })
-    state.apply(order('a', true), 4)
-    expect(state.apply(order('a', true, -1), 5)).toEqual({ index: 4, outcome: 'held' })
+    expect(state.apply(command('a', false), 3)).toEqual({ index: -1, outcome: 'held' })
+    state.apply(command('a', true), 4)
+    expect(state.apply(command('a', true, -1), 5)).toEqual({ index: 4, outcome: 'held' })
     expect(state.current).toEqual({ index: 4, domains: ['a'] })
   })
 
   it('does nothing for a copy of a begin that arrives after the withdrawal was acknowledged', () => {
     const state = new EvacuationState()
-    state.apply(order('a', true, -1), 4)
-    state.apply(order('a', false, 4), 6)
-    expect(state.apply(order('a', true, -1), 8)).toEqual({ index: 6, outcome: 'overtaken' })
+    state.apply(command('a', true, -1), 4)
+    state.apply(command('a', false, 4), 6)
+    expect(state.apply(command('a', true, -1), 8)).toEqual({ index: 6, outcome: 'overtaken' })
     expect(state.current).toEqual({ index: 6, domains: [] })
     // One that is sent with that knowledge is a new order.
-    expect(state.apply(order('a', true, 6), 9)).toEqual({ index: 9, outcome: 'changed' })
+    expect(state.apply(command('a', true, 6), 9)).toEqual({ index: 9, outcome: 'changed' })
   })
 
   it('gives two operators that cross one order, the same at each replica', () => {
     const replicas = [new EvacuationState(), new EvacuationState()]
     for (const replica of replicas) {
-      replica.apply(order('a', true, -1), 4)
-      expect(replica.apply(order('b', true, -1), 5).outcome).toBe('overtaken')
-      expect(replica.apply(order('b', true, 4), 6).outcome).toBe('changed')
-      expect(replica.apply(order('a', false, 6), 7).outcome).toBe('changed')
+      replica.apply(command('a', true, -1), 4)
+      expect(replica.apply(command('b', true, -1), 5).outcome).toBe('overtaken')
+      expect(replica.apply(command('b', true, 4), 6).outcome).toBe('changed')
+      expect(replica.apply(command('a', false, 6), 7).outcome).toBe('changed')
     }
     expect(replicas[0]!.current).toEqual({ index: 7, domains: ['b'] })
     expect(replicas[1]!.current).toEqual(replicas[0]!.current)
@@ -53,12 +53,12 @@
 describe('EvacuationView', () => {
   it('keeps the newest, and does not go back when an older control machine answers later', () => {
     const view = new EvacuationView()
-    expect(view.take(NO_EVACUATIONS)).toBe(true)
-    expect(view.take(NO_EVACUATIONS)).toBe(false)
-    expect(view.take({ index: 4, domains: ['a'] })).toBe(true)
-    expect(view.take({ index: 9, domains: ['b'] })).toBe(true)
-    expect(view.take({ index: 4, domains: ['a'] })).toBe(false)
-    expect(view.take({ index: 9, domains: [] })).toBe(false)
+    expect(view.merge(NO_EVACUATIONS)).toBe(true)
+    expect(view.merge(NO_EVACUATIONS)).toBe(false)
+    expect(view.merge({ index: 4, domains: ['a'] })).toBe(true)
+    expect(view.merge({ index: 9, domains: ['b'] })).toBe(true)
+    expect(view.merge({ index: 4, domains: ['a'] })).toBe(false)
+    expect(view.merge({ index: 9, domains: [] })).toBe(false)
     expect([view.isEvacuated('a'), view.isEvacuated('b')]).toEqual([false, true])
   })
 })
@@ -66,20 +66,20 @@
 describe('EvacuationView before a set was heard', () => {
   it('takes for evacuated what control machines may have acknowledged, and forgets it once one knows', () => {
     const view = new EvacuationView()
-    expect(view.suppose(['a'])).toBe(true)
-    expect(view.suppose(['b'])).toBe(true)
-    expect(view.suppose(['a', 'b'])).toBe(false)
-    expect([view.isEvacuated('a'), view.isEvacuated('b'), view.isHeard]).toEqual([true, true, false])
-    expect(view.take({ index: -1, domains: [] })).toBe(true)
-    expect([view.isEvacuated('a'), view.isHeard]).toEqual([false, true])
-    expect(view.suppose(['a'])).toBe(false)
+    expect(view.addSupposed(['a'])).toBe(true)
+    expect(view.addSupposed(['b'])).toBe(true)
+    expect(view.addSupposed(['a', 'b'])).toBe(false)
+    expect([view.isEvacuated('a'), view.isEvacuated('b'), view.isConfirmed]).toEqual([true, true, false])
+    expect(view.merge({ index: -1, domains: [] })).toBe(true)
+    expect([view.isEvacuated('a'), view.isConfirmed]).toEqual([false, true])
+    expect(view.addSupposed(['a'])).toBe(false)
     expect(view.isEvacuated('a')).toBe(false)
   })
 
   it('learns from a replica that restarts what its log may hold, a withdrawal left out', () => {
     const state = new EvacuationState()
-    state.apply(order('a', true), 4)
-    expect(state.domainsWith([order('b', true), order('a', false)])).toEqual(['a', 'b'])
+    state.apply(command('a', true), 4)
+    expect(state.possiblyEvacuated([command('b', true), command('a', false)])).toEqual(['a', 'b'])
     expect(state.current.domains).toEqual(['a'])
   })
 })
--- a/membership/lease/src/index.ts
+++ b/membership/lease/src/index.ts
@@ -1,5 +1,5 @@
 /** An entry's lease on its table. */
 export { TableFollower } from './tableFollower'
 export type { TableFollowerOptions } from './tableFollower'
-export { createLeaseState, knownNewestSince, noteAnswer } from './leaseState'
+export { createLeaseState, knownNewestSince, applyAnswer } from './leaseState'
 export type { LeaseChange, LeaseState } from './leaseState'
--- a/membership/lease/src/leaseState.ts
+++ b/membership/lease/src/leaseState.ts
@@ -1,4 +1,4 @@
-import type { AskAnswer, Members, TableUpdate } from '@forkstage/control'
+import type { HeartbeatAnswer, Members, TableUpdate } from '@forkstage/control'
 import { assertInvariant } from '@forkstage/error'
 import type { GroupConfig, ReplicaId } from '@forkstage/raft'
 import { applyDelta } from '@forkstage/table'
@@ -34,7 +34,7 @@
 }
 
 /** Takes a control replica's answer to a question sent at `sentAt`. */
-export function noteAnswer(state: LeaseState, answer: AskAnswer, sentAt: Millis): LeaseChange {
+export function applyAnswer(state: LeaseState, answer: HeartbeatAnswer, sentAt: Millis): LeaseChange {
   const installed = answer.update !== undefined && installUpdate(state, answer.update)
   if (answer.config !== undefined && answer.newestConfigIndex > state.configIndex) {
     state.config = answer.config
@@ -47,7 +47,7 @@
   }
   const leaderAgrees = answer.holdsLease && answer.acceptedVersion <= state.table.version
   if (leaderAgrees) state.leaderSentAt = Math.max(state.leaderSentAt, sentAt)
-  return { installed, members: takeMembers(state, answer.members) }
+  return { installed, members: applyMembers(state, answer.members) }
 }
 
 /**
@@ -99,7 +99,7 @@
   }
 }
 
-function takeMembers(state: LeaseState, members: Members | undefined): boolean {
+function applyMembers(state: LeaseState, members: Members | undefined): boolean {
   if (members === undefined) return false
   const [term, count] = members.version
   const [knownTerm, knownCount] = state.members.version
--- a/membership/lease/src/tableFollower.ts
+++ b/membership/lease/src/tableFollower.ts
@@ -1,10 +1,10 @@
 import { every, type CancelTimer, type Clock } from '@forkstage/clock'
-import type { AskAnswer, AskQuestion, BoxInfo, Members } from '@forkstage/control'
+import type { HeartbeatAnswer, HeartbeatRequest, BoxInfo, Members } from '@forkstage/control'
 import type { Logger } from '@forkstage/logger'
 import type { PeerCaller } from '@forkstage/peer-rpc'
 import { digestTable } from '@forkstage/table'
 import type { Address, Millis, VersionedTable } from '@forkstage/types'
-import { createLeaseState, knownNewestSince, noteAnswer, type LeaseState } from './leaseState'
+import { createLeaseState, knownNewestSince, applyAnswer, type LeaseState } from './leaseState'
 
 /** Options of {@link TableFollower}. */
 export interface TableFollowerOptions {
@@ -16,22 +16,22 @@
   clock: Clock
   logger: Logger
   tableLease: Millis
-  askEvery: Millis
+  heartbeatEvery: Millis
   onTable: (table: VersionedTable) => void
   onMembers: (members: Members) => void
 }
 
 /** While a box can take no work it asks this often. */
-const ASK_SOON_MS = 200
+const UNREADY_HEARTBEAT_MS = 200
 
 /** Keeps this box's table and lease up to date by asking every control replica. */
 export class TableFollower {
   private readonly state: LeaseState
   private cancel: CancelTimer = () => undefined
   private heldLease = false
-  private askedAt: Millis = -Infinity
+  private lastSentAt: Millis = -Infinity
   /** When a leader last answered; without one, the table is asked for from every replica. */
-  private leaderHeardAt = -Infinity
+  private leaderAnsweredAt = -Infinity
   private leaderAddress: Address | undefined
 
   constructor(private readonly options: TableFollowerOptions) {
@@ -64,9 +64,11 @@
   }
 
   start(): void {
-    this.ask()
-    const { clock, askEvery } = this.options
-    this.cancel = every(clock, Math.min(askEvery, ASK_SOON_MS), () => this.askIfDue())
+    this.sendHeartbeats()
+    const { clock, heartbeatEvery } = this.options
+    this.cancel = every(clock, Math.min(heartbeatEvery, UNREADY_HEARTBEAT_MS), () =>
+      this.sendHeartbeatsIfDue(),
+    )
   }
 
   stop(): void {
@@ -74,42 +76,43 @@
   }
 
   /** Asks at once where a newer version has been heard of. */
-  noteNewer(version: number): void {
+  fetchIfNewer(version: number): void {
     if (version <= this.state.table.version) return
     // The leader alone has it for certain, and its word alone renews the lease.
-    if (this.leaderAddress === undefined) this.ask()
-    else void this.askOne(this.leaderAddress)
+    if (this.leaderAddress === undefined) this.sendHeartbeats()
+    else void this.sendHeartbeat(this.leaderAddress)
   }
 
   /** Asks at its interval; sooner while it has no lease or no list of boxes, as after a restart. */
-  private askIfDue(): void {
-    const waitsForNews = !this.holdsLease() || this.state.members.version[0] === 0
-    if (waitsForNews || this.options.clock.now() - this.askedAt >= this.options.askEvery) this.ask()
+  private sendHeartbeatsIfDue(): void {
+    const isUnready = !this.holdsLease() || this.state.members.version[0] === 0
+    if (isUnready || this.options.clock.now() - this.lastSentAt >= this.options.heartbeatEvery)
+      this.sendHeartbeats()
   }
 
-  private ask(): void {
-    this.askedAt = this.options.clock.now()
-    this.noteLease()
-    for (const address of this.replicas) void this.askOne(address)
+  private sendHeartbeats(): void {
+    this.lastSentAt = this.options.clock.now()
+    this.logLeaseChange()
+    for (const address of this.replicas) void this.sendHeartbeat(address)
   }
 
-  private async askOne(address: Address): Promise<void> {
+  private async sendHeartbeat(address: Address): Promise<void> {
     const { peers, clock, tableLease } = this.options
     const sentAt = clock.now()
     try {
-      const answer = await peers.call<AskAnswer>(address, 'control.ask', this.question(sentAt), {
+      const answer = await peers.call<HeartbeatAnswer>(address, 'control.ask', this.createRequest(sentAt), {
         deadline: tableLease,
         step: 'renew table lease',
       })
       if (answer.holdsLease) this.leaderAddress = address
-      this.take(answer, sentAt)
+      this.handleAnswer(answer, sentAt)
     } catch {
       if (this.leaderAddress === address) this.leaderAddress = undefined
       // A replica that does not answer is asked again; the lease says what that means.
     }
   }
 
-  private question(now: Millis): AskQuestion {
+  private createRequest(now: Millis): HeartbeatRequest {
     const { table, configIndex, members } = this.state
     return {
       box: this.options.self(),
@@ -117,24 +120,24 @@
       configIndex,
       membersVersion: members.version,
       leaseLeft: Math.max(0, this.leaseUntil - now),
-      wantUpdate: now - this.leaderHeardAt > this.options.askEvery * 2,
+      wantUpdate: now - this.leaderAnsweredAt > this.options.heartbeatEvery * 2,
     }
   }
 
-  private take(answer: AskAnswer, sentAt: Millis): void {
+  private handleAnswer(answer: HeartbeatAnswer, sentAt: Millis): void {
     const { clock, logger, onTable, onMembers } = this.options
-    if (answer.holdsLease) this.leaderHeardAt = clock.now()
-    const change = noteAnswer(this.state, answer, sentAt)
+    if (answer.holdsLease) this.leaderAnsweredAt = clock.now()
+    const change = applyAnswer(this.state, answer, sentAt)
     const { version, digest, table } = this.state.table
     if (change.installed) {
       logger.info('table.installed', { version, digest, rows: table.endpoints.length })
       onTable(this.state.table)
     }
     if (change.members) onMembers(this.state.members)
-    this.noteLease()
+    this.logLeaseChange()
   }
 
-  private noteLease(): void {
+  private logLeaseChange(): void {
     const holds = this.holdsLease()
     if (holds === this.heldLease) return
     this.heldLease = holds
--- a/membership/lease/test/leaseState.test.ts
+++ b/membership/lease/test/leaseState.test.ts
@@ -1,14 +1,18 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import type { AskAnswer, TableUpdate } from '@forkstage/control'
+import type { HeartbeatAnswer, TableUpdate } from '@forkstage/control'
 import type { GroupConfig } from '@forkstage/raft'
-import { createLeaseState, knownNewestSince, noteAnswer } from '../src'
+import { createLeaseState, knownNewestSince, applyAnswer } from '../src'
 
 const member = (replica: string) => ({ replica, box: replica, address: '127.0.0.1:1' })
 const config: GroupConfig = { voters: ['a', 'b', 'c'].map(member), learners: [] }
 const empty = { version: 0, digest: '', table: { endpoints: [], links: [] } }
 
-const answer = (replica: string, newestVersion: number, patch: Partial<AskAnswer> = {}): AskAnswer => ({
+const answer = (
+  replica: string,
+  newestVersion: number,
+  patch: Partial<HeartbeatAnswer> = {},
+): HeartbeatAnswer => ({
   replica,
   holdsLease: false,
   newestVersion,
@@ -27,32 +31,32 @@
 describe('leaseState', () => {
   it('needs a majority that holds nothing newer, and counts from the sending', () => {
     const state = createLeaseState(empty)
-    noteAnswer(state, answer('a', 1, { update: full(1) }), 100)
+    applyAnswer(state, answer('a', 1, { update: full(1) }), 100)
     expect(knownNewestSince(state)).toBe(-Infinity)
-    noteAnswer(state, answer('b', 1), 90)
+    applyAnswer(state, answer('b', 1), 90)
     expect(knownNewestSince(state)).toBe(90)
-    noteAnswer(state, answer('c', 2), 200)
-    noteAnswer(state, answer('b', 2), 210)
+    applyAnswer(state, answer('c', 2), 200)
+    applyAnswer(state, answer('b', 2), 210)
     expect(knownNewestSince(state)).toBe(-Infinity)
   })
 
   it('takes the leader at its word while a confirm is under way', () => {
     const state = createLeaseState(empty)
-    noteAnswer(state, answer('a', 2, { holdsLease: true, acceptedVersion: 1, update: full(1) }), 100)
+    applyAnswer(state, answer('a', 2, { holdsLease: true, acceptedVersion: 1, update: full(1) }), 100)
     expect(knownNewestSince(state)).toBe(100)
   })
 
   it('does not count answers that know of a newer configuration of the group', () => {
     const state = createLeaseState(empty)
-    noteAnswer(state, answer('a', 1, { update: full(1) }), 100)
-    noteAnswer(state, answer('b', 1, { newestConfigIndex: 7, config: undefined }), 100)
+    applyAnswer(state, answer('a', 1, { update: full(1) }), 100)
+    applyAnswer(state, answer('b', 1, { newestConfigIndex: 7, config: undefined }), 100)
     expect(knownNewestSince(state)).toBe(-Infinity)
   })
 
   it('never installs a lower version, however late it comes', () => {
     const state = createLeaseState(empty)
-    noteAnswer(state, answer('a', 5, { update: full(5) }), 100)
-    noteAnswer(state, answer('b', 3, { update: full(3) }), 50)
+    applyAnswer(state, answer('a', 5, { update: full(5) }), 100)
+    applyAnswer(state, answer('b', 3, { update: full(3) }), 50)
     const skipping: TableUpdate = {
       type: 'steps',
       steps: [
@@ -63,7 +67,7 @@
         },
       ],
     }
-    noteAnswer(state, answer('c', 7, { update: skipping }), 120)
+    applyAnswer(state, answer('c', 7, { update: skipping }), 120)
     expect(state.table.version).toBe(5)
   })
 
@@ -79,7 +83,7 @@
         const state = createLeaseState(empty)
         const logs = [0, 0, 0]
         const acceptedAt = new Map<number, number>()
-        const onTheWay: { answer: AskAnswer; sentAt: number }[] = []
+        const inFlight: { answer: HeartbeatAnswer; sentAt: number }[] = []
         let now = 0
         for (const { kind, replica, pick, wait } of actions) {
           now += wait
@@ -91,15 +95,15 @@
             if (!acceptedAt.has(version)) acceptedAt.set(version, now)
           // The answer is what the replica holds now; it was asked a little earlier.
           if (kind === 'ask')
-            onTheWay.push({
+            inFlight.push({
               sentAt: now - (pick % 4),
               answer: answer('abc'[replica]!, logs[replica]!, {
                 update: accepted > 0 ? full(accepted) : undefined,
               }),
             })
           const delivered =
-            kind === 'deliver' ? onTheWay.splice(pick % Math.max(1, onTheWay.length), 1)[0] : undefined
-          if (delivered !== undefined) noteAnswer(state, delivered.answer, delivered.sentAt)
+            kind === 'deliver' ? inFlight.splice(pick % Math.max(1, inFlight.length), 1)[0] : undefined
+          if (delivered !== undefined) applyAnswer(state, delivered.answer, delivered.sentAt)
           const since = knownNewestSince(state)
           for (const [version, at] of acceptedAt)
             if (version > state.table.version) expect(at).toBeGreaterThan(since)
--- a/membership/orders/src/orderSender.ts
+++ b/membership/orders/src/orderSender.ts
@@ -27,7 +27,7 @@
   orderTimeout: Millis
 }
 
-const ASK_AGAIN_MS = 50
+const POLL_INTERVAL_MS = 50
 
 /** Raised where an order names an endpoint that is not in the table. */
 export class UnknownEndpointError extends ForkstageError {
@@ -53,18 +53,18 @@
   async send(order: OrderRequest): Promise<{ fence: number }> {
     const row = this.options.row(order.endpoint)
     if (row === undefined) throw new UnknownEndpointError(order.endpoint)
-    const fence = await this.takeFence()
+    const fence = await this.requestFence()
     if (!row.checksFences) await this.waitOutEarlierLeaders()
     await this.dispatch(row, order, fence)
     return { fence }
   }
 
-  private async takeFence(): Promise<number> {
-    const result = await this.leading().propose({ type: 'fence', nonce: randomUUID() })
+  private async requestFence(): Promise<number> {
+    const result = await this.requireLeader().propose({ type: 'fence', nonce: randomUUID() })
     return (result as FenceResult).fence
   }
 
-  private leading(): GroupReplica<ControlCommand, ControlResult> {
+  private requireLeader(): GroupReplica<ControlCommand, ControlResult> {
     const replica = this.options.replica()
     if (!replica.holdsLease) throw new NoLeaseError()
     return replica
@@ -72,17 +72,17 @@
 
   private async waitOutEarlierLeaders(): Promise<void> {
     const { clock, leaderLease, orderTimeout } = this.options
-    const { term } = this.leading()
-    while (clock.now() - this.leading().leaderSince < leaderLease + orderTimeout)
-      await delay(clock, ASK_AGAIN_MS)
-    if (this.leading().term !== term) throw new NoLeaseError()
+    const { term } = this.requireLeader()
+    while (clock.now() - this.requireLeader().leaderSince < leaderLease + orderTimeout)
+      await delay(clock, POLL_INTERVAL_MS)
+    if (this.requireLeader().term !== term) throw new NoLeaseError()
   }
 
   private async dispatch(row: EndpointRow, order: OrderRequest, fence: number): Promise<void> {
     const { engines, logger, orderTimeout } = this.options
     const { endpoint, action, argument } = order
     // Without a lease at this moment another leader may be giving orders already.
-    this.leading()
+    this.requireLeader()
     try {
       await engines.order(row, { fence, action, argument }, orderTimeout)
       logger.info('order.sent', { endpoint, action, fence, outcome: 'taken' })
--- a/membership/owners/src/ownerMap.ts
+++ b/membership/owners/src/ownerMap.ts
@@ -31,11 +31,11 @@
   update(members: Members): void {
     const live = members.boxes.filter((box) => box.state === 'serving')
     const next = new Map(live.map((box) => [box.box, box]))
-    const gone = [...this.boxes.keys()].filter((box) => !next.has(box))
-    const come = live.filter((box) => !this.boxes.has(box.box))
+    const departed = [...this.boxes.keys()].filter((box) => !next.has(box))
+    const joined = live.filter((box) => !this.boxes.has(box.box))
     this.boxes = next
     this.epoch = members.version
-    for (const [endpoint, best] of this.best) this.adjust(endpoint, best, gone, come)
+    for (const [endpoint, best] of this.best) this.adjust(endpoint, best, departed, joined)
   }
 
   /** The owner of an endpoint, or undefined while no box is known to be live. */
@@ -45,15 +45,15 @@
     return owner === undefined ? undefined : { owner, epoch: this.epoch }
   }
 
-  private adjust(endpoint: EndpointName, best: Best, gone: BoxId[], come: BoxInfo[]): void {
-    if (gone.includes(best.box)) {
+  private adjust(endpoint: EndpointName, best: Best, departed: BoxId[], joined: BoxInfo[]): void {
+    if (departed.includes(best.box)) {
       this.choose(endpoint)
       return
     }
-    for (const box of come) {
+    for (const box of joined) {
       const score = scoreOf(endpoint, box.box)
-      const held = this.best.get(endpoint)!
-      if (score > held.score) this.best.set(endpoint, { box: box.box, score })
+      const current = this.best.get(endpoint)!
+      if (score > current.score) this.best.set(endpoint, { box: box.box, score })
     }
   }
 
--- a/membership/repair/src/replaceReplica.ts
+++ b/membership/repair/src/replaceReplica.ts
@@ -30,8 +30,8 @@
   }
 }
 
-const PAUSE_MS = 100
-const CALL_MS = 2_000
+const POLL_INTERVAL_MS = 100
+const CALL_TIMEOUT_MS = 2_000
 
 /**
  * Adds the new replica as a learner, waits until it has caught up, lets it vote, and removes the lost
@@ -47,12 +47,16 @@
     withAddress,
     `${group}.identity`,
     {},
-    { deadline: CALL_MS, step: 'ask new replica' },
+    { deadline: CALL_TIMEOUT_MS, step: 'ask new replica' },
   )
-  const newcomer: Member = { replica: identity.replica, box: identity.box, address: identity.address }
+  const newReplica: Member = { replica: identity.replica, box: identity.box, address: identity.address }
   const status = () =>
-    client.callLeader<ReplicaStatus>('leaderStatus', {}, { deadline: CALL_MS, step: 'replace replica' })
-  const has = (members: Member[]) => members.some((member) => member.replica === newcomer.replica)
+    client.callLeader<ReplicaStatus>(
+      'leaderStatus',
+      {},
+      { deadline: CALL_TIMEOUT_MS, step: 'replace replica' },
+    )
+  const includesNew = (members: Member[]) => members.some((member) => member.replica === newReplica.replica)
   const change = (step: string, wanted: ConfigChange, isDone: (now: ReplicaStatus) => boolean) =>
     repeatUntil({
       group,
@@ -65,15 +69,15 @@
 
   await change(
     'add learner',
-    { type: 'addLearner', member: newcomer },
-    ({ config }) => has(config.learners) || has(config.voters),
+    { type: 'addLearner', member: newReplica },
+    ({ config }) => includesNew(config.learners) || includesNew(config.voters),
   )
-  await change('let it vote', { type: 'promote', replica: newcomer.replica }, ({ config }) =>
-    has(config.voters),
+  await change('let it vote', { type: 'promote', replica: newReplica.replica }, ({ config }) =>
+    includesNew(config.voters),
   )
   const before = await status()
   const lost = before.config.voters.filter(
-    (voter) => voter.box === options.lost && voter.replica !== newcomer.replica,
+    (voter) => voter.box === options.lost && voter.replica !== newReplica.replica,
   )
   for (const { replica } of lost) {
     await change(
@@ -82,14 +86,14 @@
       ({ config }) => !config.voters.some((voter) => voter.replica === replica),
     )
   }
-  return { added: newcomer.replica, removed: lost.map((member) => member.replica) }
+  return { added: newReplica.replica, removed: lost.map((member) => member.replica) }
 }
 
 async function reconfigure(client: GroupClient<unknown, unknown>, change: ConfigChange): Promise<void> {
-  await client.callLeader('reconfigure', { change }, { deadline: CALL_MS, step: 'replace replica' })
+  await client.callLeader('reconfigure', { change }, { deadline: CALL_TIMEOUT_MS, step: 'replace replica' })
 }
 
-interface Step {
+interface RepeatOptions {
   group: string
   step: string
   end: Millis
@@ -98,7 +102,7 @@
   act: () => Promise<void>
 }
 
-async function repeatUntil({ group, step, end, clock, isDone, act }: Step): Promise<void> {
+async function repeatUntil({ group, step, end, clock, isDone, act }: RepeatOptions): Promise<void> {
   let reason = 'it was not taken in time'
   while (clock.now() < end) {
     try {
@@ -107,7 +111,7 @@
     } catch (error) {
       reason = error instanceof Error ? error.message : String(error)
     }
-    await delay(clock, PAUSE_MS)
+    await delay(clock, POLL_INTERVAL_MS)
   }
   throw new ReplaceError(group, step, reason)
 }
--- a/membership/sheet/src/sheetMachine.ts
+++ b/membership/sheet/src/sheetStateMachine.ts
@@ -11,11 +11,11 @@
  * The replicated state: the sheet with the highest version, of which the first content under a version stays, and the
  * failure domains that are evacuated.
  */
-export class SheetMachine implements StateMachine<SheetCommand, SheetResult> {
+export class SheetStateMachine implements StateMachine<SheetCommand, SheetResult> {
   private document: SheetDocument | undefined
   private readonly evacuation = new EvacuationState()
   /** Called with each newer sheet once it is committed. */
-  onNewer: (document: SheetDocument) => void = () => undefined
+  onNewerSheet: (document: SheetDocument) => void = () => undefined
   /** Called with each changed set of evacuated domains once it is committed. */
   onEvacuations: (set: EvacuationSet) => void = () => undefined
 
@@ -48,18 +48,18 @@
     this.document = sheet ?? undefined
     this.evacuation.restore(evacuations)
     this.onEvacuations(evacuations)
-    if (sheet !== null) this.onNewer(sheet)
+    if (sheet !== null) this.onNewerSheet(sheet)
   }
 
   private put(document: SheetDocument): PutResult {
     const taken = document.version > (this.document?.version ?? -1)
-    if (taken) this.take(document)
+    if (taken) this.install(document)
     return { held: this.document!.version, taken }
   }
 
-  private take(document: SheetDocument): void {
+  private install(document: SheetDocument): void {
     this.document = document
-    this.onNewer(document)
+    this.onNewerSheet(document)
   }
 }
 
--- a/membership/sheet/test/sheetMachine.test.ts
+++ b/membership/sheet/test/sheetStateMachine.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { SheetMachine } from '../src'
+import { SheetStateMachine } from '../src'
 
 const put = (version: number, text: string) => ({ type: 'putSheet' as const, document: { version, text } })
 const evacuate = (domain: string, isEvacuated: boolean, knownIndex = 1_000) => ({
@@ -11,9 +11,9 @@
 
 describe('SheetMachine', () => {
   it('keeps the highest version, and the first content under it', () => {
-    const machine = new SheetMachine()
+    const machine = new SheetStateMachine()
     const versions: number[] = []
-    machine.onNewer = ({ version }) => versions.push(version)
+    machine.onNewerSheet = ({ version }) => versions.push(version)
     expect(machine.apply(put(3, 'a'), 1)).toEqual({ held: 3, taken: true })
     expect(machine.apply(put(3, 'b'), 2)).toEqual({ held: 3, taken: false })
     expect(machine.apply(put(2, 'c'), 3)).toEqual({ held: 3, taken: false })
@@ -23,10 +23,10 @@
   })
 
   it('comes back from its snapshot, also from an empty one', () => {
-    const machine = new SheetMachine()
+    const machine = new SheetStateMachine()
     const empty = machine.snapshot()
     machine.apply(put(4, 'text'), 1)
-    const other = new SheetMachine()
+    const other = new SheetStateMachine()
     other.restore(machine.snapshot())
     expect(other.newest).toEqual({ version: 4, text: 'text' })
     other.restore(empty)
@@ -34,24 +34,24 @@
   })
 
   it('keeps evacuations in its snapshot beside the sheet, and tells of each change and of what it restores', () => {
-    const machine = new SheetMachine()
-    const told: number[] = []
-    machine.onEvacuations = ({ index }) => told.push(index)
+    const machine = new SheetStateMachine()
+    const reported: number[] = []
+    machine.onEvacuations = ({ index }) => reported.push(index)
     machine.apply(put(4, 'text'), 1)
     expect(machine.apply(evacuate('a', true), 2)).toEqual({ index: 2, outcome: 'changed' })
     expect(machine.apply(evacuate('a', true), 3)).toEqual({ index: 2, outcome: 'held' })
     machine.apply(put(5, 'newer'), 4)
-    expect(told).toEqual([2])
-    const other = new SheetMachine()
-    other.onEvacuations = ({ index }) => told.push(index)
+    expect(reported).toEqual([2])
+    const other = new SheetStateMachine()
+    other.onEvacuations = ({ index }) => reported.push(index)
     other.restore(machine.snapshot())
-    expect(told).toEqual([2, 2])
+    expect(reported).toEqual([2, 2])
     expect(other.evacuations.current).toEqual({ index: 2, domains: ['a'] })
     expect(other.newest).toEqual({ version: 5, text: 'newer' })
   })
 
   it('restores snapshots of the time before evacuations', () => {
-    const machine = new SheetMachine()
+    const machine = new SheetStateMachine()
     machine.apply(evacuate('a', true), 2)
     machine.restore(Buffer.from(JSON.stringify({ version: 4, text: 'text' })))
     expect(machine.newest).toEqual({ version: 4, text: 'text' })
--- a/membership/watch/src/controlFollower.ts
+++ b/membership/watch/src/controlFollower.ts
@@ -2,12 +2,12 @@
 import type { CrashRecord } from '@forkstage/crashes'
 import { readEndpoints, type InstanceId, type RegisteredEndpoint } from '@forkstage/directory'
 import { toErrorBody } from '@forkstage/error'
-import { UNHEARD_INDEX, type EvacuationSet } from '@forkstage/evacuation'
+import { UNKNOWN_INDEX, type EvacuationSet } from '@forkstage/evacuation'
 import type { Logger } from '@forkstage/logger'
 import type { PeerCaller } from '@forkstage/peer-rpc'
 import type { Address, FailureDomain, Millis } from '@forkstage/types'
 import { SheetFetcher } from './sheetFetcher'
-import { WATCH, type WatchAnswer, type WatchedSheet, type WatchQuestion } from './watchTypes'
+import { WATCH_METHOD, type WatchAnswer, type WatchedSheet, type WatchRequest } from './watchTypes'
 
 /** Options of {@link ControlFollower}. */
 export interface ControlFollowerOptions {
@@ -38,11 +38,11 @@
 }
 
 const ANSWER_SLACK_MS = 600
-const PAUSE_AFTER_FAILURE_MS = 200
+const RETRY_DELAY_MS = 200
 /** A control machine that no other names any more is asked this much longer. */
 const FORGET_AFTER_MS = 20_000
 
-interface Followed {
+interface FollowedMachine {
   epoch: string
   position: number
   crashPosition: number
@@ -62,20 +62,20 @@
 
 /** Follows every control machine at once, so that news arrives from whichever hears it first. */
 export class ControlFollower {
-  private readonly followed = new Map<Address, Followed>()
+  private readonly followed = new Map<Address, FollowedMachine>()
   private readonly fetcher: SheetFetcher
   private stopped = false
-  private keptFree = new Set<InstanceId>()
+  private reserved = new Set<InstanceId>()
   /** The suspension after which every control machine was asked anew. */
-  private askedAnewFor: Millis = -Infinity
+  private handledSuspensionAt: Millis = -Infinity
 
   constructor(private readonly options: ControlFollowerOptions) {
     const { peers, clock, sheetVersion, onSheet } = options
     this.fetcher = new SheetFetcher({
       peers,
       clock,
-      held: sheetVersion ?? (() => Infinity),
-      sources: (version) => this.addresses().filter((address) => this.knows(address, version)),
+      installedVersion: sheetVersion ?? (() => Infinity),
+      sources: (version) => this.addresses().filter((address) => this.hasSheet(address, version)),
       onSheet: (sheet) => onSheet?.(sheet),
     })
   }
@@ -118,125 +118,135 @@
 
   /** The leader that half or more of those name that answered lately: one that has just died names only itself. */
   leader(): Address | undefined {
-    const fresh = this.fresh()
+    const recent = this.recentlyAnswered()
     const votes = new Map<Address, number>()
-    for (const { leader } of fresh) if (leader !== undefined) votes.set(leader, (votes.get(leader) ?? 0) + 1)
+    for (const { leader } of recent) if (leader !== undefined) votes.set(leader, (votes.get(leader) ?? 0) + 1)
     const first = [...votes].sort((left, right) => right[1] - left[1])[0]
-    return first !== undefined && first[1] * 2 >= fresh.length ? first[0] : undefined
+    return first !== undefined && first[1] * 2 >= recent.length ? first[0] : undefined
   }
 
   /** Whether a control machine was heard lately and none has named a newer sheet than the one in force here. */
   isCurrent(): boolean {
     const { sheetVersion } = this.options
-    const isHeard = this.fresh().some((one) => !one.lost)
-    return isHeard && this.fetcher.heardOf <= (sheetVersion?.() ?? Infinity)
+    const isHeard = this.recentlyAnswered().some((machine) => !machine.lost)
+    return isHeard && this.fetcher.newestKnown <= (sheetVersion?.() ?? Infinity)
   }
 
   /** Whether a control machine has answered a question that was asked since this machine was last suspended, if ever. */
-  hasHeardSince(): boolean {
-    const suspendedAt = this.noticeSuspension()
+  hasAnswerSinceSuspension(): boolean {
+    const suspendedAt = this.handleSuspension()
     return suspendedAt === -Infinity || [...this.followed.values()].some((one) => one.askedAt >= suspendedAt)
   }
 
   /** Those that answered lately. What was asked before a suspension may have been answered long ago. */
-  private fresh(): Followed[] {
+  private recentlyAnswered(): FollowedMachine[] {
     const { clock, holdMs } = this.options
-    const suspendedAt = this.noticeSuspension()
+    const suspendedAt = this.handleSuspension()
     return [...this.followed.values()].filter(
-      (one) =>
-        one.epoch !== '' &&
-        one.askedAt >= suspendedAt &&
-        clock.now() - one.heardAt < holdMs + ANSWER_SLACK_MS,
+      (machine) =>
+        machine.epoch !== '' &&
+        machine.askedAt >= suspendedAt &&
+        clock.now() - machine.heardAt < holdMs + ANSWER_SLACK_MS,
     )
   }
 
   /** Asks everybody at once after a suspension: the questions under way are held for as long as there is no news. */
-  private noticeSuspension(): Millis {
+  private handleSuspension(): Millis {
     const suspendedAt = this.options.clock.suspendedAt()
-    if (suspendedAt <= this.askedAnewFor || this.stopped) return suspendedAt
-    this.askedAnewFor = suspendedAt
+    if (suspendedAt <= this.handledSuspensionAt || this.stopped) return suspendedAt
+    this.handledSuspensionAt = suspendedAt
     this.options.logger.warn('machine.suspended', {
       outcome: 'what others promised before is asked for anew',
     })
-    for (const [address, one] of this.followed) void this.askAnew(address, one)
+    for (const [address, machine] of this.followed) void this.refresh(address, machine)
     return suspendedAt
   }
 
-  private async askAnew(address: Address, one: Followed): Promise<void> {
+  private async refresh(address: Address, machine: FollowedMachine): Promise<void> {
     const askedAt = this.options.clock.now()
     try {
-      this.take(address, one, await this.ask(address, one, 0), askedAt)
+      this.handleAnswer(address, machine, await this.sendRequest(address, machine, 0), askedAt)
     } catch (error) {
-      this.noteLost(address, one, error)
+      this.recordFailure(address, machine, error)
     }
   }
 
   /** How many entries there are, by the control machine that counts the most. */
   entries(): number {
-    return Math.max(0, ...[...this.followed.values()].map((one) => one.entries))
+    return Math.max(0, ...[...this.followed.values()].map((machine) => machine.entries))
   }
 
   /** Whether an endpoint must get nothing but what the control machine that keeps it free allows. */
-  isKeptFree(id: InstanceId): boolean {
-    return this.keptFree.has(id)
+  isReserved(id: InstanceId): boolean {
+    return this.reserved.has(id)
   }
 
   /** Other entries, as far as control machines have named them. */
   neighbours(): Address[] {
-    return [...new Set([...this.followed.values()].flatMap((one) => one.neighbours))]
+    return [...new Set([...this.followed.values()].flatMap((machine) => machine.neighbours))]
   }
 
   private async follow(address: Address): Promise<void> {
     while (!this.stopped && this.followed.has(address)) {
-      const one = this.followed.get(address)!
+      const machine = this.followed.get(address)!
       try {
         const askedAt = this.options.clock.now()
-        this.take(address, one, await this.ask(address, one, this.options.holdMs), askedAt)
+        this.handleAnswer(
+          address,
+          machine,
+          await this.sendRequest(address, machine, this.options.holdMs),
+          askedAt,
+        )
       } catch (error) {
-        this.noteLost(address, one, error)
-        if (this.isForgotten(address, one)) this.followed.delete(address)
-        await delay(this.options.clock, PAUSE_AFTER_FAILURE_MS)
+        this.recordFailure(address, machine, error)
+        if (this.shouldForget(address, machine)) this.followed.delete(address)
+        await delay(this.options.clock, RETRY_DELAY_MS)
       }
     }
   }
 
-  private ask(address: Address, one: Followed, holdMs: Millis): Promise<WatchAnswer> {
+  private sendRequest(address: Address, machine: FollowedMachine, holdMs: Millis): Promise<WatchAnswer> {
     const { peers, sheetVersion, evacuations, entry, onCrashes } = this.options
-    const heardOf = Math.max(this.fetcher.heardOf, sheetVersion?.() ?? Number.MAX_SAFE_INTEGER)
-    const { epoch, position, leader, members } = one
+    const newestKnown = Math.max(this.fetcher.newestKnown, sheetVersion?.() ?? Number.MAX_SAFE_INTEGER)
+    const { epoch, position, leader, members } = machine
     const { index, domains } = evacuations()
-    const question: WatchQuestion = {
+    const request: WatchRequest = {
       entry,
       epoch,
       position,
-      crashPosition: onCrashes === undefined ? undefined : one.crashPosition,
-      keptFree: entry === undefined ? undefined : one.keptFree,
+      crashPosition: onCrashes === undefined ? undefined : machine.crashPosition,
+      keptFree: entry === undefined ? undefined : machine.keptFree,
       leader,
       members,
-      sheetVersion: heardOf,
+      sheetVersion: newestKnown,
       evacuationIndex: index,
-      supposedEvacuations: index === UNHEARD_INDEX ? domains : undefined,
+      supposedEvacuations: index === UNKNOWN_INDEX ? domains : undefined,
       holdMs,
     }
-    return peers.call<WatchAnswer>(address, WATCH, question, {
+    return peers.call<WatchAnswer>(address, WATCH_METHOD, request, {
       deadline: holdMs + ANSWER_SLACK_MS,
       step: 'follow control',
     })
   }
 
-  private take(address: Address, one: Followed, answer: WatchAnswer, askedAt: Millis): void {
+  private handleAnswer(
+    address: Address,
+    machine: FollowedMachine,
+    answer: WatchAnswer,
+    askedAt: Millis,
+  ): void {
     const { logger } = this.options
-    if (one.lost) logger.info('control.regained', { peer: address })
-    one.lost = false
+    if (machine.lost) logger.info('control.regained', { peer: address })
+    machine.lost = false
     // An answer that was held may come after a newer one; its news are news all the same.
-    if (askedAt >= one.askedAt) this.note(one, answer, askedAt)
-    this.passOn(address, answer)
-    this.fetcher.want(answer.sheetVersion)
+    if (askedAt >= machine.askedAt) this.recordAnswer(machine, answer, askedAt)
+    this.forward(address, answer)
+    this.fetcher.fetchIfNewer(answer.sheetVersion)
     this.followNew(answer.members)
   }
 
-  private note(one: Followed, answer: WatchAnswer, askedAt: Millis): void {
-    Object.assign(one, {
+  private recordAnswer(machine: FollowedMachine, answer: WatchAnswer, askedAt: Millis): void {
+    Object.assign(machine, {
       epoch: answer.epoch,
       position: answer.position,
       crashPosition: answer.crashPosition ?? 0,
@@ -249,43 +259,43 @@
       neighbours: answer.neighbours,
       keptFree: answer.keptFree ?? [],
     })
-    this.gatherKeptFree()
+    this.updateReserved()
   }
 
-  private passOn(address: Address, answer: WatchAnswer): void {
+  private forward(address: Address, answer: WatchAnswer): void {
     const { logger, onEndpoints, onEvacuations, onSupposedEvacuations, onCrashes } = this.options
     if (answer.evacuations !== undefined) onEvacuations(answer.evacuations)
     if (answer.supposedEvacuations !== undefined) onSupposedEvacuations(answer.supposedEvacuations)
     if (answer.crashes !== undefined && answer.crashes.length > 0) onCrashes?.(answer.crashes)
     // Every control machine tells every endpoint: most of it has been heard from another.
-    const untold = answer.endpoints.filter((raw) => this.options.isKnown?.(raw) !== true)
-    const endpoints = readEndpoints(untold)
-    const unread = untold.length - endpoints.length
-    if (unread > 0) logger.warn('endpoints.refused', { peer: address, count: unread })
+    const unknownRecords = answer.endpoints.filter((raw) => this.options.isKnown?.(raw) !== true)
+    const endpoints = readEndpoints(unknownRecords)
+    const invalidCount = unknownRecords.length - endpoints.length
+    if (invalidCount > 0) logger.warn('endpoints.refused', { peer: address, count: invalidCount })
     if (endpoints.length > 0) onEndpoints(endpoints)
   }
 
-  private gatherKeptFree(): void {
-    this.keptFree = new Set([...this.followed.values()].flatMap((one) => one.keptFree))
+  private updateReserved(): void {
+    this.reserved = new Set([...this.followed.values()].flatMap((machine) => machine.keptFree))
   }
 
-  private knows(address: Address, version: number): boolean {
-    const one = this.followed.get(address)!
-    return !one.lost && one.sheetVersion >= version
+  private hasSheet(address: Address, version: number): boolean {
+    const machine = this.followed.get(address)!
+    return !machine.lost && machine.sheetVersion >= version
   }
 
-  private noteLost(address: Address, one: Followed, error: unknown): void {
-    if (one.lost) return
-    one.lost = true
+  private recordFailure(address: Address, machine: FollowedMachine, error: unknown): void {
+    if (machine.lost) return
+    machine.lost = true
     // Whoever keeps endpoints free and is not heard may lead no more.
-    one.keptFree = []
-    this.gatherKeptFree()
+    machine.keptFree = []
+    this.updateReserved()
     this.options.logger.warn('control.lost', { peer: address, reason: toErrorBody(error).message })
   }
 
-  private isForgotten(address: Address, one: Followed): boolean {
+  private shouldForget(address: Address, machine: FollowedMachine): boolean {
     const { clock, seeds } = this.options
-    if (clock.now() - one.heardAt < FORGET_AFTER_MS || seeds().includes(address)) return false
+    if (clock.now() - machine.heardAt < FORGET_AFTER_MS || seeds().includes(address)) return false
     return ![...this.followed.values()].some((other) => !other.lost && other.members.includes(address))
   }
 }
--- a/membership/watch/src/watchTypes.ts
+++ b/membership/watch/src/watchTypes.ts
@@ -4,10 +4,10 @@
 import type { Address, FailureDomain, Millis } from '@forkstage/types'
 
 /** The method of control machines that holds a call until something changes. */
-export const WATCH = 'control.watch'
+export const WATCH_METHOD = 'control.watch'
 
 /** The method that gives the newest sheet a control machine knows. */
-export const SHEET = 'control.sheet'
+export const SHEET_METHOD = 'control.sheet'
 
 /** A route sheet as it was handed in. */
 export interface WatchedSheet {
@@ -16,7 +16,7 @@
 }
 
 /** What the asker has, so that only news travels. */
-export interface WatchQuestion {
+export interface WatchRequest {
   /** The asker's address for other machines, where it is an entry; entries are counted. */
   entry?: Address
   /** The life of the control process that gave `position`; empty at first. */
--- a/membership/watch/test/gatheredNews.test.ts
+++ b/membership/watch/test/batchedRegistrations.test.ts
@@ -6,7 +6,7 @@
 import { Directory, type RegisteredEndpoint } from '@forkstage/directory'
 import { NO_EVACUATIONS } from '@forkstage/evacuation'
 import { WatchHub, type WatchAnswer } from '../src'
-import { CONTROL, endpoint, settle } from './followerWorld'
+import { CONTROL, endpoint, settle } from './followerHarness'
 
 const WATCHERS = 20
 const REGISTRATIONS = 300
@@ -14,7 +14,7 @@
 const KNOWN_WITHIN_MS = 1_000
 
 /** Entries that ask again after each answer. */
-function watchedWorld() {
+function createBatchHarness() {
   const clock = new ManualClock()
   const directory = new Directory(() => clock.now())
   const hub = new WatchHub({
@@ -31,8 +31,8 @@
   const follow = async (entry: string) => {
     let [epoch, position] = ['', 0]
     for (;;) {
-      const question = { epoch, position, entry, sheetVersion: -1, members: [CONTROL], holdMs: 1_000 }
-      const answer = await hub.answer(question)
+      const request = { epoch, position, entry, sheetVersion: -1, members: [CONTROL], holdMs: 1_000 }
+      const answer = await hub.answer(request)
       if (answer.endpoints.length > 0) answers.push({ entry, answer, at: clock.now() })
       ;({ epoch, position } = answer)
     }
@@ -40,46 +40,46 @@
   for (let watcher = 0; watcher < WATCHERS; watcher += 1) void follow(`e${watcher}`)
   const register = (id: string, fields: Partial<RegisteredEndpoint> = {}) => {
     directory.merge([{ ...endpoint(id), ...fields }])
-    hub.noteChange()
+    hub.notifyChange()
   }
-  const pass = async (ms: number) => {
+  const advance = async (ms: number) => {
     for (let passed = 0; passed < ms; passed += 1) {
       clock.advance(1)
       await settle()
     }
   }
-  return { clock, answers, register, pass }
+  return { clock, answers, register, advance }
 }
 
 describe('news of new endpoints', () => {
   it('goes out together where thousands register, and all of it within a second', async () => {
-    const { clock, answers, register, pass } = watchedWorld()
+    const { clock, answers, register, advance } = createBatchHarness()
     await settle()
     const registeredAt = new Map<string, number>()
     for (let count = 0; count < REGISTRATIONS; count += 1) {
       registeredAt.set(`i-${count}`, clock.now())
       register(`i-${count}`)
-      await pass(1)
+      await advance(1)
     }
-    await pass(KNOWN_WITHIN_MS)
+    await advance(KNOWN_WITHIN_MS)
     expect(answers.length).toBeLessThanOrEqual(WATCHERS * 10)
     for (let watcher = 0; watcher < WATCHERS; watcher += 1) {
       const own = answers.filter(({ entry }) => entry === `e${watcher}`)
-      const told = own.flatMap(({ answer, at }) => answer.endpoints.map(({ id }) => [id, at] as const))
-      expect(new Set(told.map(([id]) => id)).size).toBe(REGISTRATIONS)
-      for (const [id, at] of told) expect(at - registeredAt.get(id)!).toBeLessThan(KNOWN_WITHIN_MS)
+      const received = own.flatMap(({ answer, at }) => answer.endpoints.map(({ id }) => [id, at] as const))
+      expect(new Set(received.map(([id]) => id)).size).toBe(REGISTRATIONS)
+      for (const [id, at] of received) expect(at - registeredAt.get(id)!).toBeLessThan(KNOWN_WITHIN_MS)
     }
   })
 
   it('goes out at once where none came for a while', async () => {
-    const { answers, register, pass } = watchedWorld()
+    const { answers, register, advance } = createBatchHarness()
     await settle()
     for (const id of ['i-1', 'i-2', 'i-3']) {
       register(id)
       await settle()
       expect(answers.length).toBe(WATCHERS)
       answers.splice(0)
-      await pass(KNOWN_WITHIN_MS)
+      await advance(KNOWN_WITHIN_MS)
     }
   })
 
@@ -89,10 +89,10 @@
     ['is gone', { state: 'left' } as const],
     ['is cold again', { coldMs: 4_000, sequence: 2 } as const],
   ])('does not hold up that one %s', async (_what, fields) => {
-    const { answers, register, pass } = watchedWorld()
+    const { answers, register, advance } = createBatchHarness()
     await settle()
     register('i-1')
-    await pass(KNOWN_WITHIN_MS)
+    await advance(KNOWN_WITHIN_MS)
     register('i-2')
     await settle()
     answers.splice(0)
--- a/membership/watch/test/followerWorld.ts
+++ b/membership/watch/test/followerHarness.ts
@@ -6,11 +6,11 @@
 import {
   ControlFollower,
   packSheet,
-  SHEET,
-  WATCH,
+  SHEET_METHOD,
+  WATCH_METHOD,
   type WatchAnswer,
   type WatchedSheet,
-  type WatchQuestion,
+  type WatchRequest,
 } from '../src'
 
 export const CONTROL = '10.0.0.1:1'
@@ -26,17 +26,17 @@
 }
 
 /** A follower of control machines whose answers the test gives. */
-export function followerWorld() {
+export function createFollowerHarness() {
   const clock = new ManualClock()
-  type Asked = {
+  type SentRequest = {
     address: string
     method: string
-    question: WatchQuestion
+    request: WatchRequest
     answer: (answer: Partial<WatchAnswer>) => void
     sheet: (sheet: WatchedSheet) => void
     fail: () => void
   }
-  const asked: Asked[] = []
+  const sent: SentRequest[] = []
   const base = {
     epoch: 'l',
     position: 0,
@@ -49,10 +49,10 @@
   const peers: PeerCaller = {
     call: (address, method, params) =>
       new Promise((resolve, reject) =>
-        asked.push({
+        sent.push({
           address,
           method,
-          question: params as WatchQuestion,
+          request: params as WatchRequest,
           answer: (fields) => resolve({ ...base, ...fields } as never),
           sheet: (sheet) => resolve(packSheet(sheet) as never),
           fail: () => reject(new Error('unreachable')),
@@ -61,7 +61,7 @@
     notify: () => undefined,
   }
   const sheets: number[] = []
-  const heard: string[] = []
+  const received: string[] = []
   const view = new EvacuationView()
   const follower = new ControlFollower({
     seeds: () => [CONTROL],
@@ -73,16 +73,16 @@
     onSheet: ({ version }) => sheets.push(version),
     evacuations: () => view.current,
     onEvacuations: (set) => {
-      if (view.take(set)) heard.push(`evacuated: ${set.domains.join()}`)
+      if (view.merge(set)) received.push(`evacuated: ${set.domains.join()}`)
     },
     onSupposedEvacuations: (domains) => {
-      if (view.suppose(domains)) heard.push(`supposed: ${domains.join()}`)
+      if (view.addSupposed(domains)) received.push(`supposed: ${domains.join()}`)
     },
-    onEndpoints: (endpoints) => heard.push(...endpoints.map(({ id }) => id)),
+    onEndpoints: (endpoints) => received.push(...endpoints.map(({ id }) => id)),
   })
   follower.start()
-  const last = (address = CONTROL, method: string = WATCH) =>
-    asked.filter((one) => one.address === address && one.method === method).at(-1)!
-  const fetches = () => asked.filter((one) => one.method === SHEET).map((one) => one.address)
-  return { clock, asked, follower, sheets, heard, last, fetches }
+  const last = (address = CONTROL, method: string = WATCH_METHOD) =>
+    sent.filter((one) => one.address === address && one.method === method).at(-1)!
+  const fetches = () => sent.filter((one) => one.method === SHEET_METHOD).map((one) => one.address)
+  return { clock, sent, follower, sheets, received, last, fetches }
 }
--- a/membership/watch/test/watch.test.ts
+++ b/membership/watch/test/watch.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
 import { ManualClock } from '@forkstage/clock'
 import { Directory } from '@forkstage/directory'
-import { NO_EVACUATIONS, UNHEARD_INDEX } from '@forkstage/evacuation'
-import { SHEET, unpackSheet, WatchHub, type WatchedSheet, type WatchQuestion } from '../src'
-import { CONTROL, endpoint, followerWorld, OTHER, settle } from './followerWorld'
+import { NO_EVACUATIONS, UNKNOWN_INDEX } from '@forkstage/evacuation'
+import { SHEET_METHOD, unpackSheet, WatchHub, type WatchedSheet, type WatchRequest } from '../src'
+import { CONTROL, endpoint, createFollowerHarness, OTHER, settle } from './followerHarness'
 
-function hubWorld() {
+function createHubHarness() {
   const clock = new ManualClock()
   const directory = new Directory()
   const state = {
@@ -24,7 +24,7 @@
     leader: () => state.leader,
     clock,
   })
-  const question = (fields: Partial<WatchQuestion> = {}): WatchQuestion => ({
+  const request = (fields: Partial<WatchRequest> = {}): WatchRequest => ({
     epoch: 'life-1',
     position: 0,
     sheetVersion: -1,
@@ -33,14 +33,14 @@
     holdMs: 1_000,
     ...fields,
   })
-  return { clock, directory, state, hub, question }
+  return { clock, directory, state, hub, request }
 }
 
 describe('WatchHub', () => {
   it('holds a question while there is no news, and answers after the hold', async () => {
-    const { clock, hub, question } = hubWorld()
+    const { clock, hub, request } = createHubHarness()
     let answered = false
-    void hub.answer(question()).then(() => (answered = true))
+    void hub.answer(request()).then(() => (answered = true))
     clock.advance(999)
     await settle()
     expect(answered).toBe(false)
@@ -50,64 +50,64 @@
   })
 
   it('answers at once when an endpoint, a newer sheet or another leader comes', async () => {
-    const { directory, state, hub, question } = hubWorld()
-    const endpoints = hub.answer(question())
+    const { directory, state, hub, request } = createHubHarness()
+    const endpoints = hub.answer(request())
     directory.merge([endpoint('i-1')])
-    hub.noteChange()
+    hub.notifyChange()
     expect(await endpoints).toMatchObject({ position: 1, endpoints: [{ id: 'i-1' }] })
-    const sheet = hub.answer(question({ position: 1, sheetVersion: 4 }))
+    const sheet = hub.answer(request({ position: 1, sheetVersion: 4 }))
     state.sheet = { version: 5, text: 'five' }
-    hub.noteChange()
+    hub.notifyChange()
     expect(await sheet).toMatchObject({ sheetVersion: 5, endpoints: [] })
     expect(unpackSheet(hub.newestSheet()!)).toEqual({ version: 5, text: 'five' })
     state.leader = CONTROL
-    expect(await hub.answer(question({ position: 1, sheetVersion: 5 }))).toMatchObject({ leader: CONTROL })
+    expect(await hub.answer(request({ position: 1, sheetVersion: 5 }))).toMatchObject({ leader: CONTROL })
   })
 
   it('answers at once when other domains are evacuated, and names them to those only who know less', async () => {
-    const { clock, state, hub, question } = hubWorld()
-    const held = hub.answer(question({ evacuationIndex: 4 }))
+    const { clock, state, hub, request } = createHubHarness()
+    const held = hub.answer(request({ evacuationIndex: 4 }))
     state.evacuations = { index: 7, domains: ['a'] }
-    hub.noteChange()
+    hub.notifyChange()
     expect((await held).evacuations).toEqual({ index: 7, domains: ['a'] })
     // One of the time before evacuations asks for none.
-    const others = [7, 9, undefined].map((evacuationIndex) => hub.answer(question({ evacuationIndex })))
+    const others = [7, 9, undefined].map((evacuationIndex) => hub.answer(request({ evacuationIndex })))
     clock.advance(1_000)
     for (const answer of await Promise.all(others)) expect(answer.evacuations).toBeUndefined()
   })
 
   it('says what may be evacuated while it does not know, also to one that asked before it had read its disk', async () => {
-    const { clock, state, hub, question } = hubWorld()
-    const unheard = { evacuationIndex: UNHEARD_INDEX }
-    state.evacuations = { index: UNHEARD_INDEX, domains: [] }
-    const early = hub.answer(question(unheard))
+    const { clock, state, hub, request } = createHubHarness()
+    const unheard = { evacuationIndex: UNKNOWN_INDEX }
+    state.evacuations = { index: UNKNOWN_INDEX, domains: [] }
+    const early = hub.answer(request(unheard))
     state.supposed = ['a']
-    hub.noteChange()
+    hub.notifyChange()
     expect((await early).supposedEvacuations).toEqual(['a'])
     // One that has heard a set knows better.
-    expect((await hub.answer(question({ epoch: 'life-0' }))).supposedEvacuations).toBeUndefined()
+    expect((await hub.answer(request({ epoch: 'life-0' }))).supposedEvacuations).toBeUndefined()
     let answered = false
-    const held = hub.answer(question({ ...unheard, supposedEvacuations: ['a', 'b'] }))
+    const held = hub.answer(request({ ...unheard, supposedEvacuations: ['a', 'b'] }))
     void held.then(() => (answered = true))
     clock.advance(900)
     await settle()
     expect(answered).toBe(false)
     state.evacuations = { index: 4, domains: ['a'] }
-    hub.noteChange()
+    hub.notifyChange()
     expect((await held).evacuations).toEqual({ index: 4, domains: ['a'] })
   })
 
   it('sends everything to one who knew another life', async () => {
-    const { directory, state, hub, question } = hubWorld()
+    const { directory, state, hub, request } = createHubHarness()
     directory.merge([endpoint('i-1'), endpoint('i-2')])
     state.sheet = { version: 5, text: 'five' }
-    const answer = await hub.answer(question({ epoch: 'life-0', position: 99, sheetVersion: 5 }))
+    const answer = await hub.answer(request({ epoch: 'life-0', position: 99, sheetVersion: 5 }))
     expect(answer.endpoints.map(({ id }) => id)).toEqual(['i-1', 'i-2'])
   })
 
   it('counts the entries that asked lately and names each the next ones in the ring', async () => {
-    const { clock, hub, question } = hubWorld()
-    const ask = (entry: string) => hub.answer(question({ entry, epoch: 'other' }))
+    const { clock, hub, request } = createHubHarness()
+    const ask = (entry: string) => hub.answer(request({ entry, epoch: 'other' }))
     for (const entry of ['e1', 'e2', 'e3', 'e4', 'e5']) await ask(entry)
     expect(await ask('e4')).toMatchObject({ entries: 5, neighbours: ['e5', 'e1', 'e2'] })
     clock.advance(16_000)
@@ -117,7 +117,7 @@
 
 describe('ControlFollower', () => {
   it('asks on from where the last answer left it, and follows members that it learns of', async () => {
-    const { last, sheets, heard, follower } = followerWorld()
+    const { last, sheets, received, follower } = createFollowerHarness()
     last().answer({
       position: 7,
       sheetVersion: 3,
@@ -125,112 +125,124 @@
       members: [CONTROL, OTHER],
     })
     await settle()
-    last(CONTROL, SHEET).sheet({ version: 3, text: '' })
+    last(CONTROL, SHEET_METHOD).sheet({ version: 3, text: '' })
     await settle()
     expect(sheets).toEqual([3])
-    expect(heard).toEqual(['i-1'])
-    expect(last().question).toMatchObject({ epoch: 'l', position: 7, sheetVersion: 3 })
+    expect(received).toEqual(['i-1'])
+    expect(last().request).toMatchObject({ epoch: 'l', position: 7, sheetVersion: 3 })
     expect(follower.addresses()).toContain(OTHER)
-    expect(last(OTHER).question).toMatchObject({ epoch: '', position: 0 })
+    expect(last(OTHER).request).toMatchObject({ epoch: '', position: 0 })
   })
 
   it('keeps the newest evacuations of whichever machine, also when an older one answers later', async () => {
-    const { last, heard } = followerWorld()
+    const { last, received } = createFollowerHarness()
     const members = [CONTROL, OTHER]
-    expect(last().question.evacuationIndex).toBe(UNHEARD_INDEX)
+    expect(last().request.evacuationIndex).toBe(UNKNOWN_INDEX)
     last().answer({ members, evacuations: { index: 7, domains: ['a'] }, endpoints: [endpoint('i-1')] })
     await settle()
     // What must not be used is known before what could be.
-    expect(heard).toEqual(['evacuated: a', 'i-1'])
-    expect(last().question.evacuationIndex).toBe(7)
+    expect(received).toEqual(['evacuated: a', 'i-1'])
+    expect(last().request.evacuationIndex).toBe(7)
     last(OTHER).answer({ members, evacuations: { index: 3, domains: ['b'] } })
     await settle()
-    expect(heard).toEqual(['evacuated: a', 'i-1'])
-    expect(last(OTHER).question.evacuationIndex).toBe(7)
+    expect(received).toEqual(['evacuated: a', 'i-1'])
+    expect(last(OTHER).request.evacuationIndex).toBe(7)
     last(OTHER).answer({ members, evacuations: { index: 9, domains: [] } })
     await settle()
-    expect(heard.at(-1)).toBe('evacuated: ')
+    expect(received.at(-1)).toBe('evacuated: ')
   })
 
   it('names what it supposes until it has heard a set', async () => {
-    const { last, heard } = followerWorld()
+    const { last, received } = createFollowerHarness()
     last().answer({ supposedEvacuations: ['a'], endpoints: [endpoint('i-1')] })
     await settle()
-    expect(heard).toEqual(['supposed: a', 'i-1'])
-    expect(last().question).toMatchObject({ evacuationIndex: UNHEARD_INDEX, supposedEvacuations: ['a'] })
+    expect(received).toEqual(['supposed: a', 'i-1'])
+    expect(last().request).toMatchObject({ evacuationIndex: UNKNOWN_INDEX, supposedEvacuations: ['a'] })
     last().answer({ evacuations: { index: 4, domains: [] } })
     await settle()
-    expect(heard.at(-1)).toBe('evacuated: ')
-    expect(last().question.supposedEvacuations).toBeUndefined()
+    expect(received.at(-1)).toBe('evacuated: ')
+    expect(last().request.supposedEvacuations).toBeUndefined()
   })
 
   it('fetches a newer sheet from one machine at a time, from another one when that fails', async () => {
-    const { clock, last, sheets, fetches } = followerWorld()
+    const { clock, last, sheets, fetches } = createFollowerHarness()
     last().answer({ sheetVersion: 3, members: [CONTROL, OTHER] })
     await settle()
     last(OTHER).answer({ sheetVersion: 3, members: [CONTROL, OTHER] })
     await settle()
     expect(fetches()).toHaveLength(1)
     const [first] = fetches()
-    last(first, SHEET).fail()
+    last(first, SHEET_METHOD).fail()
     await settle()
     clock.advance(50)
     await settle()
     expect(fetches()).toHaveLength(2)
     const second = fetches()[1]!
     expect(second).not.toBe(first)
-    last(second, SHEET).sheet({ version: 4, text: '' })
+    last(second, SHEET_METHOD).sheet({ version: 4, text: '' })
     await settle()
     expect(sheets).toEqual([4])
     expect(fetches()).toHaveLength(2)
   })
 
   it('goes on asking after failures, and believes the leader that most name', async () => {
-    const { clock, last, asked, follower } = followerWorld()
+    const { clock, last, sent, follower } = createFollowerHarness()
     last().answer({ leader: OTHER, members: [CONTROL, OTHER] })
     await settle()
     expect(follower.leader()).toBe(OTHER)
-    const before = asked.length
+    const before = sent.length
     last(OTHER).fail()
     await settle()
     clock.advance(200)
     await settle()
-    expect(asked.length).toBe(before + 1)
+    expect(sent.length).toBe(before + 1)
     clock.advance(2_000)
     expect(follower.leader()).toBeUndefined()
   })
 
   it('believes nothing that it heard before a suspension until it has asked anew, which it does at once', async () => {
-    const { clock, last, heard, follower } = followerWorld()
+    const { clock, last, received, follower } = createFollowerHarness()
     last().answer({ leader: OTHER, sheetVersion: -1 })
     await settle()
     const held = last()
-    expect([follower.leader(), follower.isCurrent(), follower.hasHeardSince()]).toEqual([OTHER, true, true])
+    expect([follower.leader(), follower.isCurrent(), follower.hasAnswerSinceSuspension()]).toEqual([
+      OTHER,
+      true,
+      true,
+    ])
     clock.suspend()
-    expect([follower.leader(), follower.isCurrent(), follower.hasHeardSince()]).toEqual([
+    expect([follower.leader(), follower.isCurrent(), follower.hasAnswerSinceSuspension()]).toEqual([
       undefined,
       false,
       false,
     ])
     const anew = last()
-    expect(anew.question.holdMs).toBe(0)
+    expect(anew.request.holdMs).toBe(0)
     // What had been answered before arrives late: its news count, its word of who leads does not.
     held.answer({ leader: OTHER, sheetVersion: -1, endpoints: [endpoint('i-1')] })
     await settle()
-    expect([follower.leader(), follower.hasHeardSince(), heard]).toEqual([undefined, false, ['i-1']])
+    expect([follower.leader(), follower.hasAnswerSinceSuspension(), received]).toEqual([
+      undefined,
+      false,
+      ['i-1'],
+    ])
     anew.answer({ leader: CONTROL, sheetVersion: -1 })
     await settle()
-    expect([follower.leader(), follower.isCurrent(), follower.hasHeardSince()]).toEqual([CONTROL, true, true])
+    expect([follower.leader(), follower.isCurrent(), follower.hasAnswerSinceSuspension()]).toEqual([
+      CONTROL,
+      true,
+      true,
+    ])
   })
 
   it('is current while a control machine is heard and none has named a newer sheet than the one here', async () => {
-    const { clock, last, follower } = followerWorld()
+    const { clock, last, follower } = createFollowerHarness()
     expect(follower.isCurrent()).toBe(false)
     last().answer({ sheetVersion: 3 })
     await settle()
     // It has heard of a sheet that is not here yet.
     expect(follower.isCurrent()).toBe(false)
-    last(CONTROL, SHEET).sheet({ version: 3, text: '' })
+    last(CONTROL, SHEET_METHOD).sheet({ version: 3, text: '' })
     await settle()
     expect(follower.isCurrent()).toBe(true)
     last().fail()
@@ -247,7 +259,7 @@
 
   it('believes no leader that only itself names, as one that has just died', async () => {
     const third = '10.0.0.3:1'
-    const { last, follower } = followerWorld()
+    const { last, follower } = createFollowerHarness()
     const members = [CONTROL, OTHER, third]
     last().answer({ leader: CONTROL, members })
     await settle()
--- a/request/gateway/test/coldFleet.test.ts
+++ b/request/gateway/test/coldFleet.test.ts
@@ -66,7 +66,7 @@
   }
 
   leave(id: string): void {
-    this.directory.leave(id)
+    this.directory.markLeft(id)
     for (const { pool } of this.pools) pool.update([{ ...engine(id, 'decode', 0), state: 'left' }])
   }
 
@@ -115,7 +115,7 @@
       clock,
       random,
       leftMs: (id) => (this.isBounded ? this.leftMs(id, clock.now()) : 0),
-      hasReportedCold: (id) => this.directory.hasSaidCold(id),
+      hasReportedCold: (id) => this.directory.hasReportedCold(id),
       perSecond: () => BOUND,
       entries: () => ENTRIES,
     })
--- a/request/gateway/test/restartedEndpoint.test.ts
+++ b/request/gateway/test/restartedEndpoint.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { lifeId, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
+import { instanceIdOf, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
 import { GatewayHarness } from './gatewayHarness'
 import { streams } from './relayHarness'
@@ -16,7 +16,7 @@
 
 function incarnation(born: number, address: string, stage?: Stage): Partial<RegisteredEndpoint> {
   const service = stage === undefined ? 'plain' : 'model'
-  return { id: lifeId('i-1', born), name: 'i-1', born, address, service, stage }
+  return { id: instanceIdOf('i-1', born), name: 'i-1', born, address, service, stage }
 }
 
 async function startHarness(
@@ -32,7 +32,7 @@
   /** The directory hears of another life, at an address of its own. */
   const restart = async (next: (request: SeenRequest) => void) => {
     const other = await FakeWorker.start(next)
-    const over = { ...world.pool.get(lifeId('i-1', 100))!.endpoint, state: 'ended' as const }
+    const over = { ...world.pool.get(instanceIdOf('i-1', 100))!.endpoint, state: 'ended' as const }
     world.pool.update([
       { ...over, ...incarnation(200, other.address, stage), state: 'ready' } as RegisteredEndpoint,
       over,
@@ -65,7 +65,11 @@
     const other = await restart(answers)
     expect(await answer).toMatchObject({ status: 200, body: 'hello' })
     expect(other.seen[0]!.headers['x-expect']).toBe('i-1')
-    expect(world.pool.get(lifeId('i-1', 200))).toMatchObject({ inFlight: 0, failures: 0, ejectedUntil: 0 })
+    expect(world.pool.get(instanceIdOf('i-1', 200))).toMatchObject({
+      inFlight: 0,
+      failures: 0,
+      ejectedUntil: 0,
+    })
     await Promise.all([world.stop(), worker.stop(), other.stop()])
   })
 
--- a/tools/bench/src/stateSlopes.ts
+++ b/tools/bench/src/stateSlopes.ts
@@ -1,4 +1,4 @@
-import { ControlMachine } from '@forkstage/control'
+import { ControlStateMachine } from '@forkstage/control'
 import { JournalMachine, type JournalCommand } from '@forkstage/claims'
 import { PrefixIndex, promptBlocks } from '@forkstage/load'
 import { OwnerMap } from '@forkstage/owners'
@@ -44,7 +44,7 @@
       ...table,
       endpoints: table.endpoints.map((row, index) => (index === 0 ? { ...row, weight: 2 } : row)),
     }
-    const machine = new ControlMachine()
+    const machine = new ControlStateMachine()
     machine.apply(confirm(0, { endpoints: [], links: [] }, table))
     const change = confirm(1, table, next)
     return {
@@ -79,7 +79,7 @@
 
 function changeSlopes(): Slope[] {
   const points = CHANGE_COUNTS.map((count): [number, number] => {
-    const machine = new ControlMachine()
+    const machine = new ControlStateMachine()
     let table = createWideTable(12)
     machine.apply(confirm(0, { endpoints: [], links: [] }, table))
     const empty = machine.snapshot().length
