--- a/claims/claims/src/journalClient.ts
+++ b/claims/claims/src/journalClient.ts
@@ -20,7 +20,7 @@
   constructor(private readonly options: JournalClientOptions) {}
 
   claim(key: string, bodyDigest: string, request: RequestId, repeatable: boolean): Promise<JournalResult> {
-    return this.send(
+    return this.propose(
       key,
       { type: 'claim', key, bodyDigest, request, owner: this.options.owner, repeatable },
       'claim',
@@ -28,19 +28,24 @@
   }
 
   takeOver(key: string, epoch: number): Promise<JournalResult> {
-    return this.send(key, { type: 'takeover', key, epoch, owner: this.options.owner }, 'take over')
+    return this.propose(key, { type: 'takeover', key, epoch, owner: this.options.owner }, 'take over')
   }
 
-  noteDecoding(key: string, epoch: number, endpoint: EndpointName, attempt: number): Promise<JournalResult> {
-    return this.send(key, { type: 'decoding', key, epoch, endpoint, attempt }, 'note decoding')
+  recordDecoding(
+    key: string,
+    epoch: number,
+    endpoint: EndpointName,
+    attempt: number,
+  ): Promise<JournalResult> {
+    return this.propose(key, { type: 'decoding', key, epoch, endpoint, attempt }, 'note decoding')
   }
 
   settle(key: string, epoch: number, outcome: Outcome): Promise<JournalResult> {
-    return this.send(key, { type: 'settle', key, epoch, outcome }, 'settle')
+    return this.propose(key, { type: 'settle', key, epoch, outcome }, 'settle')
   }
 
   forget(key: string, epoch: number): Promise<JournalResult> {
-    return this.send(key, { type: 'forget', key, epoch }, 'forget claim')
+    return this.propose(key, { type: 'forget', key, epoch }, 'forget claim')
   }
 
   /** The claim of a key as the journal has it, changing nothing; undefined where there is none. */
@@ -61,7 +66,7 @@
     return found.find((claim) => claim !== null) ?? undefined
   }
 
-  private send(key: string, command: JournalCommand, step: string): Promise<JournalResult> {
+  private propose(key: string, command: JournalCommand, step: string): Promise<JournalResult> {
     const { groups, deadline } = this.options
     return groups[groupOfKey(key, groups.length)]!.propose(command, { deadline, step })
   }
--- a/claims/claims/src/journalMachine.ts
+++ b/claims/claims/src/journalMachine.ts
@@ -62,15 +62,15 @@
       case 'takeover':
         return this.takeOver(command)
       case 'decoding':
-        return this.change(command.key, command.epoch, (claim) => {
+        return this.updateClaim(command.key, command.epoch, (claim) => {
           claim.decode = { endpoint: command.endpoint, epoch: command.attempt }
         })
       case 'settle':
-        return this.change(command.key, command.epoch, (claim) => this.settle(claim, command.outcome))
+        return this.updateClaim(command.key, command.epoch, (claim) => this.settle(claim, command.outcome))
       case 'forget':
-        return this.change(command.key, command.epoch, (claim) => void this.open.delete(claim.key))
+        return this.updateClaim(command.key, command.epoch, (claim) => void this.open.delete(claim.key))
       case 'tick':
-        this.tick(command.elapsed)
+        this.advanceTime(command.elapsed)
         return { type: 'ok' }
     }
   }
@@ -97,21 +97,21 @@
     let offset = 0
     for (const length of stored.lengths) {
       const packed = Uint8Array.from(stored.settled.subarray(offset, offset + length))
-      this.keepSettled(unpack(packed) as Claim, packed)
+      this.storeSettled(unpack(packed) as Claim, packed)
       offset += length
     }
   }
 
   private claim(command: ClaimCommand): JournalResult {
     const known = this.find(command.key)
-    if (known !== undefined) return this.answerKnown(known, command)
+    if (known !== undefined) return this.resultForKnown(known, command)
     if (this.size >= this.limits.maxClaims) return { type: 'full' }
     const { key, bodyDigest, request, owner, repeatable } = command
     this.open.set(key, { key, bodyDigest, request, epoch: 1, owner, repeatable, claimedAt: this.time })
     return { type: 'new', epoch: 1, request }
   }
 
-  private answerKnown(known: Claim, command: ClaimCommand): JournalResult {
+  private resultForKnown(known: Claim, command: ClaimCommand): JournalResult {
     if (known.bodyDigest !== command.bodyDigest) return { type: 'mismatch' }
     if (known.outcome !== undefined) return { type: 'done', claim: known }
     // The same claim sent twice, because its answer was lost.
@@ -132,7 +132,7 @@
   }
 
   /** Changes an open claim on behalf of its newest owner. */
-  private change(key: string, epoch: number, apply: (claim: Claim) => void): JournalResult {
+  private updateClaim(key: string, epoch: number, apply: (claim: Claim) => void): JournalResult {
     const claim = this.find(key)
     if (claim === undefined) return { type: 'unknown' }
     if (claim.epoch !== epoch) return { type: 'fenced' }
@@ -143,21 +143,21 @@
 
   private settle(claim: Claim, outcome: Outcome): void {
     assertInvariant(claim.outcome === undefined, 'a request has one outcome', () => claim.key)
-    const tooMuch = this.outcomeBytes + (outcome.body?.length ?? 0) > this.limits.maxOutcomeBytes
-    claim.outcome = tooMuch ? { ...outcome, body: undefined } : outcome
+    const exceedsLimit = this.outcomeBytes + (outcome.body?.length ?? 0) > this.limits.maxOutcomeBytes
+    claim.outcome = exceedsLimit ? { ...outcome, body: undefined } : outcome
     claim.settledAt = this.time
     this.open.delete(claim.key)
     // A copy of its own: the packer's buffer is shared and much larger.
-    this.keepSettled(claim, Uint8Array.from(pack(claim)))
+    this.storeSettled(claim, Uint8Array.from(pack(claim)))
   }
 
-  private keepSettled(claim: Claim, packed: Uint8Array): void {
+  private storeSettled(claim: Claim, packed: Uint8Array): void {
     const bodyBytes = claim.outcome?.body?.length ?? 0
     this.settled.set(claim.key, { packed, settledAt: claim.settledAt ?? this.time, bodyBytes })
     this.outcomeBytes += bodyBytes
   }
 
-  private tick(elapsed: number): void {
+  private advanceTime(elapsed: number): void {
     assertInvariant(elapsed >= 0, 'journal time never goes back', () => `${elapsed}`)
     this.time += elapsed
     const { retainMs, openMs } = this.limits
--- a/claims/claims/src/journalTicker.ts
+++ b/claims/claims/src/journalTicker.ts
@@ -7,20 +7,20 @@
 
 const TICK_MS = 2_000
 /** A frozen leader may count at most this much at once: time may only be lost, never invented. */
-const MOST_AT_ONCE_MS = 10_000
+const MAX_TICK_MS = 10_000
 
 /** Lets journal time pass while this box leads the group. */
 export function startJournalTicker(
   host: GroupHost<JournalCommand, JournalResult>,
   clock: Clock,
 ): CancelTimer {
-  let last: Millis | undefined
+  let lastTickAt: Millis | undefined
   return every(clock, TICK_MS, () => {
     const { replica } = host
-    if (replica === undefined || !replica.leads) return void (last = undefined)
+    if (replica === undefined || !replica.leads) return void (lastTickAt = undefined)
     const now = clock.now()
-    const elapsed = last === undefined ? 0 : Math.min(now - last, MOST_AT_ONCE_MS)
-    last = now
+    const elapsed = lastTickAt === undefined ? 0 : Math.min(now - lastTickAt, MAX_TICK_MS)
+    lastTickAt = now
     if (elapsed > 0) replica.propose({ type: 'tick', elapsed }).catch(() => undefined)
   })
 }
--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -3,7 +3,7 @@
 import { Directory, type RegisteredEndpoint } from '@forkstage/directory'
 import { seedAddresses, type FleetSettings } from '@forkstage/fleet-settings'
 import { GroupClient, type GroupHost, type ReplicaStatus } from '@forkstage/group'
-import { MembershipKeeper } from '@forkstage/keeper'
+import { MembershipReconciler } from '@forkstage/keeper'
 import { startPeerServer, type PeerMethod, type PeerServer } from '@forkstage/peer-rpc'
 import type { QuotaLedger } from '@forkstage/quota'
 import { RouteBook } from '@forkstage/routes'
@@ -47,7 +47,7 @@
   private readonly machine = new SheetMachine()
   private readonly directory = new Directory(() => this.basics.clock.now())
   private readonly host: GroupHost<SheetCommand, SheetResult>
-  private readonly keeper: MembershipKeeper<SheetCommand, SheetResult>
+  private readonly keeper: MembershipReconciler<SheetCommand, SheetResult>
   private readonly follower: ControlFollower
   private readonly hub: WatchHub
   private readonly office: SheetOffice
@@ -96,7 +96,7 @@
       isKnown: (raw) => this.directory.isKnown(raw),
     })
     const replicas = () => this.controlAddresses()
-    this.keeper = new MembershipKeeper({
+    this.keeper = new MembershipReconciler({
       group: GROUP,
       host: this.host,
       addresses: replicas,
@@ -105,7 +105,7 @@
       clock,
       logger,
       rules: membershipRules(settings),
-      lonelyMs: settings.control.election_timeout_ms,
+      rejoinAfterMs: settings.control.election_timeout_ms,
     })
     const crashBook = createCrashBook(settings.crashes, clock)
     this.hub = new WatchHub({
--- a/daemon/fleet/src/membershipRules.ts
+++ b/daemon/fleet/src/membershipRules.ts
@@ -7,5 +7,5 @@
 /** What the group of control machines has to bear, by the settings. */
 export function membershipRules({ control }: FleetSettings): MembershipRules {
   const { losses, domain_losses: domainLosses, silent_ms: silentMs } = control
-  return { enoughVoters: losses * 2 + 1, domainLosses, silentMs, askingMs: ASKING_MS }
+  return { requiredVoters: losses * 2 + 1, domainLosses, silentMs, joinRequestTtlMs: ASKING_MS }
 }
--- a/replication/group/src/groupClient.ts
+++ b/replication/group/src/groupClient.ts
@@ -22,10 +22,10 @@
 }
 
 const CALL_DEADLINE_MS = 1_500
-const PAUSE_MS = 40
+const RETRY_PAUSE_MS = 40
 const NOT_LEADER = 'FORKSTAGE_NOT_LEADER'
 /** Codes after which the same command is sent again, to the same or another replica. */
-const RETRIED = new Set([
+const RETRYABLE_CODES = new Set([
   NOT_LEADER,
   'FORKSTAGE_OUTCOME_UNKNOWN',
   'FORKSTAGE_PEER_UNREACHABLE',
@@ -50,12 +50,12 @@
   /** Calls a method that only the leader answers. */
   async callLeader<Answer>(method: string, params: unknown, options: ProposeOptions): Promise<Answer> {
     const { clock, peers, group } = this.options
-    const end = clock.now() + options.deadline
+    const endsAt = clock.now() + options.deadline
     let lastError: unknown
-    while (clock.now() < end) {
+    while (clock.now() < endsAt) {
       const address = this.leader ?? this.nextReplica()
       if (address === undefined) break
-      const deadline = Math.min(options.callDeadline ?? CALL_DEADLINE_MS, end - clock.now())
+      const deadline = Math.min(options.callDeadline ?? CALL_DEADLINE_MS, endsAt - clock.now())
       try {
         const answer = await peers.call<Answer>(address, `${group}.${method}`, params, {
           deadline,
@@ -65,9 +65,9 @@
         return answer
       } catch (error) {
         lastError = error
-        if (!RETRIED.has((error as { code?: string }).code ?? '')) throw error
-        this.leader = leaderNamedBy(error, address)
-        if (this.leader === undefined) await delay(clock, PAUSE_MS)
+        if (!RETRYABLE_CODES.has((error as { code?: string }).code ?? '')) throw error
+        this.leader = leaderFromError(error, address)
+        if (this.leader === undefined) await delay(clock, RETRY_PAUSE_MS)
       }
     }
     throw new GroupUnavailableError(group, lastError)
@@ -80,7 +80,7 @@
   }
 }
 
-function leaderNamedBy(error: unknown, asked: Address): Address | undefined {
+function leaderFromError(error: unknown, asked: Address): Address | undefined {
   const { code, peer } = error as { code?: string; peer?: Address }
   return code === NOT_LEADER && peer !== asked ? peer : undefined
 }
--- a/replication/group/src/groupHost.ts
+++ b/replication/group/src/groupHost.ts
@@ -42,8 +42,8 @@
   fileSystem?: FileSystem
 }
 
-const ASK_AGAIN_MS = 150
-const ASK_DEADLINE_MS = 1_000
+const IDENTITY_RETRY_MS = 150
+const IDENTITY_DEADLINE_MS = 1_000
 
 /** Raised where this box has no working replica of the group. */
 export class ReplicaNotRunningError extends ForkstageError {
@@ -61,7 +61,7 @@
 
 /** Brings up this box's replica of a group: opens the disk, founds or joins the group, answers its peers. */
 export class GroupHost<Command, Result> {
-  private replicaOrNone: GroupReplica<Command, Result> | undefined
+  private runningReplica: GroupReplica<Command, Result> | undefined
   private opened: { storage: ReplicaStorage; stored: StoredReplica } | undefined
   private stopped = false
   /** Why the replica takes no part, once it has failed. */
@@ -70,7 +70,7 @@
   constructor(private readonly options: GroupHostOptions<Command, Result>) {}
 
   get replica(): GroupReplica<Command, Result> | undefined {
-    return this.replicaOrNone
+    return this.runningReplica
   }
 
   /** Who this replica is; known once its disk is open. */
@@ -80,8 +80,8 @@
 
   /** The running replica. @throws ReplicaNotRunningError where there is none. */
   require(): GroupReplica<Command, Result> {
-    if (this.replicaOrNone === undefined) throw new ReplicaNotRunningError(this.options.group)
-    return this.replicaOrNone
+    if (this.runningReplica === undefined) throw new ReplicaNotRunningError(this.options.group)
+    return this.runningReplica
   }
 
   /** The running replica, if it leads. @throws NotLeaderError naming who does, where that is known. */
@@ -96,7 +96,7 @@
     const { group } = this.options
     return {
       [`${group}.message`]: (params: { from: Member; message: unknown }) =>
-        this.replicaOrNone?.receive(params.from, decodeMessage(params.message)),
+        this.runningReplica?.receive(params.from, decodeMessage(params.message)),
       [`${group}.identity`]: () => this.identity(),
       [`${group}.propose`]: (params: { command: Command }) => this.require().propose(params.command),
       [`${group}.reconfigure`]: (params: { change: ConfigChange }) =>
@@ -110,8 +110,8 @@
     const { group, folder, fileSystem, logger } = this.options
     try {
       this.opened = await openReplicaStorage(folder, { fileSystem })
-      if (this.opened.stored.snapshot === undefined) await this.begin(this.opened.stored)
-      if (!this.stopped) this.run()
+      if (this.opened.stored.snapshot === undefined) await this.foundOrJoin(this.opened.stored)
+      if (!this.stopped) this.startReplica()
       this.failure = undefined
     } catch (error) {
       this.failure = error
@@ -123,7 +123,7 @@
   /** After a failure of the disk, takes up again what the disk holds once it works. */
   private async reopen(error: unknown): Promise<void> {
     const { reopenAfter, clock } = this.options
-    if (reopenAfter === undefined || isFinal(error)) return
+    if (reopenAfter === undefined || isPermanent(error)) return
     await this.opened?.storage.close().catch(() => undefined)
     await delay(clock, reopenAfter)
     if (!this.stopped) await this.start()
@@ -131,7 +131,7 @@
 
   async stop(): Promise<void> {
     this.stopped = true
-    if (this.replicaOrNone !== undefined) await this.replicaOrNone.stop()
+    if (this.runningReplica !== undefined) await this.runningReplica.stop()
     else await this.opened?.storage.close().catch(() => undefined)
   }
 
@@ -139,7 +139,7 @@
     if (this.opened === undefined) throw new ReplicaNotRunningError(this.options.group)
     const self = this.self()
     const started = this.opened.stored.snapshot
-    return { ...self, founding: started?.meta.config, config: this.replicaOrNone?.config }
+    return { ...self, founding: started?.meta.config, config: this.runningReplica?.config }
   }
 
   private self(): Member {
@@ -148,12 +148,12 @@
   }
 
   /** Waits until the group is founded with this replica, or exists without it. */
-  private async begin(stored: StoredReplica): Promise<void> {
+  private async foundOrJoin(stored: StoredReplica): Promise<void> {
     while (!this.stopped) {
-      const decision = this.decide(await this.askIdentities())
+      const decision = this.decide(await this.fetchIdentities())
       if (decision.type === 'found') return this.saveFounding(stored, decision.config)
       if (decision.type === 'join') return this.saveFounding(stored, { voters: [], learners: [] })
-      await delay(this.options.clock, ASK_AGAIN_MS)
+      await delay(this.options.clock, IDENTITY_RETRY_MS)
     }
   }
 
@@ -163,7 +163,7 @@
     return isFounder && this.options.mayFound === false ? { type: 'wait' } : decision
   }
 
-  private askIdentities(): Promise<(IdentityAnswer | undefined)[]> {
+  private fetchIdentities(): Promise<(IdentityAnswer | undefined)[]> {
     const { group, firstReplicas, address, peers } = this.options
     const asked = firstReplicas.map((first) => {
       if (first.address === address) return Promise.resolve(this.identity())
@@ -171,7 +171,7 @@
         first.address,
         `${group}.identity`,
         {},
-        { deadline: ASK_DEADLINE_MS, step: 'found group' },
+        { deadline: IDENTITY_DEADLINE_MS, step: 'found group' },
       )
       return answer.catch(() => undefined)
     })
@@ -187,10 +187,10 @@
     logger.info('replica.founded', { group, replica: stored.identity.replica, voters })
   }
 
-  private run(): void {
+  private startReplica(): void {
     const { group, peers } = this.options
     const self = this.self()
-    this.replicaOrNone = new GroupReplica({
+    this.runningReplica = new GroupReplica({
       ...this.options,
       ...this.opened!,
       self,
@@ -202,7 +202,7 @@
 
   private fail(error: unknown): void {
     this.failure = error
-    this.replicaOrNone = undefined
+    this.runningReplica = undefined
     void this.reopen(error)
     this.options.logger.error('replica.refused', {
       group: this.options.group,
@@ -213,6 +213,6 @@
 }
 
 /** Whether opening the disk again cannot help. */
-function isFinal(error: unknown): boolean {
+function isPermanent(error: unknown): boolean {
   return error instanceof InvariantError || error instanceof DamagedLogError
 }
--- a/replication/group/src/groupReplica.ts
+++ b/replication/group/src/groupReplica.ts
@@ -97,7 +97,7 @@
     this.queue = new PersistQueue({
       storage: options.storage,
       onPersisted: (last) => this.step({ type: 'persisted', ...last }),
-      onSnapshot: (saved, bytes) => this.noteSnapshot(saved.meta.index, bytes),
+      onSnapshot: (saved, bytes) => this.finishSnapshot(saved.meta.index, bytes),
       onFailure: (error) => this.fail(error),
     })
     this.cancelTicks = every(clock, heartbeat / 2, () => this.step({ type: 'tick' }))
@@ -154,11 +154,11 @@
   }
 
   /** Sending time of the newest message that each other replica has answered, where this replica leads. */
-  heardAt(): Record<ReplicaId, Millis> {
-    const heard = [...this.state.progress].map(
+  ackedSentAt(): Record<ReplicaId, Millis> {
+    const ackedSentAt = [...this.state.progress].map(
       ([replica, progress]) => [replica, progress.ackedSentAt] as const,
     )
-    return Object.fromEntries(heard)
+    return Object.fromEntries(ackedSentAt)
   }
 
   get leaderAddress(): Address | undefined {
@@ -292,7 +292,7 @@
         entry.kind === 'command' ? this.options.machine.apply(entry.data as Command, entry.index) : undefined
       this.settleWaiter(entry, result as Result)
     }
-    this.snapshotIfDue()
+    this.takeSnapshotIfDue()
   }
 
   private settleWaiter(entry: LogEntry, result: Result): void {
@@ -303,7 +303,7 @@
     else waiter.reject(new OutcomeUnknownError(this.options.group, 'another leader took over'))
   }
 
-  private snapshotIfDue(): void {
+  private takeSnapshotIfDue(): void {
     const { state } = this
     const due = state.appliedIndex - state.log.snapshot.index >= this.options.snapshotEvery
     if (!due || this.snapshotPending) return
@@ -317,7 +317,7 @@
     this.step({ type: 'compacted', snapshot })
   }
 
-  private noteSnapshot(index: number, bytes: number): void {
+  private finishSnapshot(index: number, bytes: number): void {
     this.snapshotPending = false
     this.options.logger.info('replica.snapshot', { group: this.options.group, index, bytes })
   }
--- a/replication/group/src/persistQueue.ts
+++ b/replication/group/src/persistQueue.ts
@@ -30,20 +30,20 @@
     if (effect.hardState !== undefined) records.push({ type: 'hardState', hardState: effect.hardState })
     if (effect.truncateFrom !== undefined) records.push({ type: 'truncate', from: effect.truncateFrom })
     records.push(...effect.entries.map((entry) => ({ type: 'entry' as const, entry })))
-    this.add({ type: 'records', records, last: effect.entries.at(-1) })
+    this.enqueue({ type: 'records', records, last: effect.entries.at(-1) })
   }
 
   saveSnapshot(snapshot: Snapshot, hardState: HardState, rest: LogEntry[]): void {
-    this.add({ type: 'snapshot', snapshot, hardState, rest })
+    this.enqueue({ type: 'snapshot', snapshot, hardState, rest })
   }
 
   /** Runs once everything queued so far is synced; at once where nothing waits. */
   afterSync(run: () => void): void {
     if (this.jobs.length === 0 && !this.running && !this.failed) return run()
-    this.add({ type: 'then', run })
+    this.enqueue({ type: 'then', run })
   }
 
-  private add(job: Job): void {
+  private enqueue(job: Job): void {
     if (this.failed) return
     this.jobs.push(job)
     if (!this.running) void this.run()
--- a/replication/keeper/src/domainSpread.ts
+++ b/replication/keeper/src/domainSpread.ts
@@ -22,9 +22,9 @@
   const live = voters.filter(({ replica }) => isLive(replica))
   const known = countByDomain(live, domainOf)
   const unknown = live.length - sum(known.values())
-  const fullest = [...known.values()].sort((left, right) => right - left).slice(0, domainLosses)
-  const left = live.length - (domainLosses === 0 ? 0 : unknown + sum(fullest))
-  return Math.floor(voters.length / 2) + 1 - left
+  const largest = [...known.values()].sort((left, right) => right - left).slice(0, domainLosses)
+  const surviving = live.length - (domainLosses === 0 ? 0 : unknown + sum(largest))
+  return Math.floor(voters.length / 2) + 1 - surviving
 }
 
 /** How many members each known failure domain has. */
--- a/replication/keeper/src/index.ts
+++ b/replication/keeper/src/index.ts
@@ -1,7 +1,7 @@
 /** Keeps a group's membership without an operator. */
-export { MembershipKeeper } from './membershipKeeper'
-export type { MembershipKeeperOptions } from './membershipKeeper'
+export { MembershipReconciler } from './membershipReconciler'
+export type { MembershipReconcilerOptions } from './membershipReconciler'
 export { countByDomain, missingAfterLoss } from './domainSpread'
 export type { SpreadRules } from './domainSpread'
-export { domainOutlook, planMembership } from './planMembership'
-export type { DomainOutlook, MembershipRules, MembershipView } from './planMembership'
+export { domainTolerance, planMembership } from './planMembership'
+export type { DomainTolerance, MembershipRules, MembershipView } from './planMembership'
--- a/replication/keeper/src/membershipKeeper.ts
+++ b/replication/keeper/src/membershipReconciler.ts
@@ -5,10 +5,10 @@
 import type { ConfigChange, Member, ReplicaId } from '@forkstage/raft'
 import { ReconfigurationError } from '@forkstage/raft'
 import type { Address, Millis } from '@forkstage/types'
-import { domainOutlook, planMembership, type MembershipRules, type MembershipView } from './planMembership'
+import { domainTolerance, planMembership, type MembershipRules, type MembershipView } from './planMembership'
 
-/** Options of {@link MembershipKeeper}. */
-export interface MembershipKeeperOptions<Command, Result> {
+/** Options of {@link MembershipReconciler}. */
+export interface MembershipReconcilerOptions<Command, Result> {
   group: string
   host: GroupHost<Command, Result>
   /** Where other control machines may be found. */
@@ -19,25 +19,25 @@
   logger: Logger
   rules: MembershipRules
   /** How long without a leader before this replica asks to belong again. */
-  lonelyMs: Millis
+  rejoinAfterMs: Millis
 }
 
-const LOOK_EVERY_MS = 100
-const ASK_EVERY_MS = 250
+const PLAN_INTERVAL_MS = 100
+const JOIN_INTERVAL_MS = 250
 
 /** Asks to belong while this replica is alone, and keeps the membership while it leads. */
-export class MembershipKeeper<Command, Result> {
-  private readonly asking = new Map<ReplicaId, { member: Member; at: Millis }>()
+export class MembershipReconciler<Command, Result> {
+  private readonly joinRequests = new Map<ReplicaId, { member: Member; at: Millis }>()
   private timers: CancelTimer[] = []
   /** What was last said of the loss of failure domains; it is said once, not at each look. */
-  private bearsDomainLoss: boolean | undefined
+  private toleratesDomainLoss: boolean | undefined
 
-  constructor(private readonly options: MembershipKeeperOptions<Command, Result>) {}
+  constructor(private readonly options: MembershipReconcilerOptions<Command, Result>) {}
 
   methods(): Record<string, PeerMethod> {
     return {
       [`${this.options.group}.join`]: (params: { member: Member }) => {
-        this.asking.set(params.member.replica, { member: params.member, at: this.options.clock.now() })
+        this.joinRequests.set(params.member.replica, { member: params.member, at: this.options.clock.now() })
       },
     }
   }
@@ -45,8 +45,8 @@
   start(): void {
     const { clock } = this.options
     this.timers = [
-      every(clock, LOOK_EVERY_MS, () => this.keep()),
-      every(clock, ASK_EVERY_MS, () => this.askToBelong()),
+      every(clock, PLAN_INTERVAL_MS, () => this.reconcile()),
+      every(clock, JOIN_INTERVAL_MS, () => this.sendJoinRequests()),
     ]
   }
 
@@ -58,25 +58,25 @@
    * Tells every known control machine that this replica wants to belong, unless it hears a leader as a voter. One whose
    * failure domain the log does not tell goes on, so that its leader hears of it.
    */
-  private askToBelong(): void {
-    const { host, peers, group, addresses, selfAddress, clock, lonelyMs, rules } = this.options
+  private sendJoinRequests(): void {
+    const { host, peers, group, addresses, selfAddress, clock, rejoinAfterMs, rules } = this.options
     const { replica } = host
     const member = host.member
     if (replica === undefined || member === undefined) return
     const own = replica.config.voters.find((voter) => voter.replica === member.replica)
-    const isKnown = own?.domain !== undefined || member.domain === undefined || !rules.domainLosses
-    const hears = replica.leads || clock.now() - replica.leaderContactAt < lonelyMs
-    if (own !== undefined && isKnown && hears) return
+    const isDomainKnown = own?.domain !== undefined || member.domain === undefined || !rules.domainLosses
+    const hasLeaderContact = replica.leads || clock.now() - replica.leaderContactAt < rejoinAfterMs
+    if (own !== undefined && isDomainKnown && hasLeaderContact) return
     for (const address of addresses())
       if (address !== selfAddress) peers.notify(address, `${group}.join`, { member })
   }
 
-  private keep(): void {
+  private reconcile(): void {
     const { host, clock, rules } = this.options
     const { replica } = host
     const member = host.member
     if (replica === undefined || member === undefined || !replica.holdsLease) {
-      this.bearsDomainLoss = undefined
+      this.toleratesDomainLoss = undefined
       return
     }
     if (replica.configIndex !== replica.committedConfigIndex) return
@@ -85,31 +85,31 @@
       config,
       self: member.replica,
       lastIndex,
-      asking: [...this.asking.values()],
+      joinRequests: [...this.joinRequests.values()],
       matches,
-      heardAt: replica.heardAt(),
+      ackedSentAt: replica.ackedSentAt(),
       leaderSince: replica.leaderSince,
       now: clock.now(),
     }
     const change = planMembership(view, rules)
-    if (change !== undefined) return this.change(change)
-    this.tellDomains(view)
+    if (change !== undefined) return this.applyChange(change)
+    this.logDomainTolerance(view)
   }
 
   /** Says where the loss of failure domains is not borne, and when it is again. */
-  private tellDomains(view: MembershipView): void {
+  private logDomainTolerance(view: MembershipView): void {
     const { group, logger, rules } = this.options
-    const outlook = domainOutlook(view, rules)
-    if (outlook === undefined) return
-    const isBorne = outlook.missing <= 0
-    if (isBorne === (this.bearsDomainLoss ?? true)) return
-    this.bearsDomainLoss = isBorne
-    const fields = { group, losses: rules.domainLosses ?? 0, ...outlook }
-    if (isBorne) logger.info('replica.domains', fields)
+    const tolerance = domainTolerance(view, rules)
+    if (tolerance === undefined) return
+    const isTolerated = tolerance.missing <= 0
+    if (isTolerated === (this.toleratesDomainLoss ?? true)) return
+    this.toleratesDomainLoss = isTolerated
+    const fields = { group, losses: rules.domainLosses ?? 0, ...tolerance }
+    if (isTolerated) logger.info('replica.domains', fields)
     else logger.warn('replica.domains', fields)
   }
 
-  private change(change: ConfigChange): void {
+  private applyChange(change: ConfigChange): void {
     const { host, group, logger } = this.options
     const replica = change.type === 'addLearner' ? change.member.replica : change.replica
     try {
--- a/replication/keeper/src/planMembership.ts
+++ b/replication/keeper/src/planMembership.ts
@@ -8,11 +8,11 @@
   self: ReplicaId
   lastIndex: number
   /** Replicas that have asked to belong, with the time of their last question. */
-  asking: { member: Member; at: Millis }[]
+  joinRequests: { member: Member; at: Millis }[]
   /** The last synced index of each replica. */
   matches: Record<ReplicaId, number>
   /** When each replica was last heard; absent for one never heard in this term. */
-  heardAt: Record<ReplicaId, Millis>
+  ackedSentAt: Record<ReplicaId, Millis>
   /** Since when this replica leads. */
   leaderSince: Millis
   now: Millis
@@ -21,17 +21,17 @@
 /** What the group should bear. */
 export interface MembershipRules {
   /** Voters that are enough to bear the losses that the deployment allows at once. */
-  enoughVoters: number
+  requiredVoters: number
   /** Failure domains whose loss at once should leave a majority; 0 where left out. */
   domainLosses?: number
   /** A voter that was silent this long may make room, where there are enough without it. */
   silentMs: Millis
   /** A question to belong is believed this long. */
-  askingMs: Millis
+  joinRequestTtlMs: Millis
 }
 
 /** How the group's voters lie over failure domains. */
-export interface DomainOutlook {
+export interface DomainTolerance {
   /** Live voters that are missing for a majority after the loss that should be borne; 0 or less where it is borne. */
   missing: number
   /** Live voters by failure domain; those whose domain is unknown are left out. */
@@ -39,7 +39,7 @@
 }
 
 /** Entries that a learner may be behind and still become a voter. */
-const CLOSE_ENOUGH = 16
+const MAX_PROMOTION_LAG_ENTRIES = 16
 
 /**
  * Decides the next change of a group's membership, one replica at a time, or none.
@@ -50,16 +50,16 @@
 export function planMembership(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
   return (
     // First, so that a group is not filled with others of the same domain, from which one by one leads out no more.
-    removeCrowded(view, rules) ??
+    removeOverrepresented(view, rules) ??
     promoteLearner(view, rules) ??
     removeReplaced(view) ??
-    addAsking(view, rules) ??
+    addJoiningLearner(view, rules) ??
     removeSilent(view, rules)
   )
 }
 
 /** Whether the group outlives the loss of failure domains; undefined where that need not be borne. */
-export function domainOutlook(view: MembershipView, rules: MembershipRules): DomainOutlook | undefined {
+export function domainTolerance(view: MembershipView, rules: MembershipRules): DomainTolerance | undefined {
   const spread = spreadRules(view, rules)
   if (spread.domainLosses === 0) return undefined
   const { voters } = view.config
@@ -79,38 +79,41 @@
 /** A member of an older log may have said its domain since. */
 function domainOf(view: MembershipView, member: Member): FailureDomain | undefined {
   if (member.domain !== undefined) return member.domain
-  return view.asking.find((one) => one.member.replica === member.replica)?.member.domain
+  return view.joinRequests.find((one) => one.member.replica === member.replica)?.member.domain
 }
 
-function isAsking(view: MembershipView, rules: MembershipRules, replica: ReplicaId): boolean {
-  return view.asking.some(({ member, at }) => member.replica === replica && view.now - at <= rules.askingMs)
+function hasRecentJoinRequest(view: MembershipView, rules: MembershipRules, replica: ReplicaId): boolean {
+  return view.joinRequests.some(
+    ({ member, at }) => member.replica === replica && view.now - at <= rules.joinRequestTtlMs,
+  )
 }
 
 function isSilent(view: MembershipView, rules: MembershipRules, replica: ReplicaId): boolean {
   if (replica === view.self) return false
-  const heardAt = Math.max(view.heardAt[replica] ?? -Infinity, view.leaderSince)
-  return view.now - heardAt > rules.silentMs
+  const lastAckedAt = Math.max(view.ackedSentAt[replica] ?? -Infinity, view.leaderSince)
+  return view.now - lastAckedAt > rules.silentMs
 }
 
 function promoteLearner(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
   const ready = view.config.learners.filter((learner) => {
-    const behind = view.lastIndex - (view.matches[learner.replica] ?? -Infinity)
-    const isReady = behind <= CLOSE_ENOUGH && isAsking(view, rules, learner.replica)
-    return isReady && !shouldWait(view, rules, learner)
+    const lagEntries = view.lastIndex - (view.matches[learner.replica] ?? -Infinity)
+    const isReady =
+      lagEntries <= MAX_PROMOTION_LAG_ENTRIES && hasRecentJoinRequest(view, rules, learner.replica)
+    return isReady && !shouldDeferPromotion(view, rules, learner)
   })
-  const best = (rules.domainLosses ?? 0) === 0 ? ready[0] : leastCrowded(view, ready)
+  const best = (rules.domainLosses ?? 0) === 0 ? ready[0] : pickLeastRepresented(view, ready)
   return best === undefined ? undefined : { type: 'promote', replica: best.replica }
 }
 
 /** The member whose failure domain has the fewest voters; the first among equals. */
-function leastCrowded(view: MembershipView, members: Member[]): Member | undefined {
+function pickLeastRepresented(view: MembershipView, members: Member[]): Member | undefined {
   const counts = countByDomain(view.config.voters, (voter) => domainOf(view, voter))
-  const crowdOf = (member: Member) => {
+  const votersInDomainOf = (member: Member) => {
     const domain = domainOf(view, member)
     return domain === undefined ? Infinity : (counts.get(domain) ?? 0)
   }
   return members.reduce<Member | undefined>(
-    (best, one) => (best === undefined || crowdOf(one) < crowdOf(best) ? one : best),
+    (best, one) => (best === undefined || votersInDomainOf(one) < votersInDomainOf(best) ? one : best),
     undefined,
   )
 }
@@ -119,11 +122,11 @@
  * Whether a learner would only bring the loss of its failure domain closer. Never where there are fewer live voters
  * than enough, and never for one that takes the place of a voter whose disk is gone.
  */
-function shouldWait(view: MembershipView, rules: MembershipRules, learner: Member): boolean {
+function shouldDeferPromotion(view: MembershipView, rules: MembershipRules, learner: Member): boolean {
   const spread = spreadRules(view, rules)
   const { voters } = view.config
   const live = voters.filter(({ replica }) => spread.isLive(replica))
-  if (spread.domainLosses === 0 || live.length < rules.enoughVoters) return false
+  if (spread.domainLosses === 0 || live.length < rules.requiredVoters) return false
   if (voters.some(({ address }) => address === learner.address)) return false
   return missingAfterLoss([...voters, learner], spread) > missingAfterLoss(voters, spread)
 }
@@ -131,25 +134,25 @@
 /** A voter whose address another voter has now: its disk is gone, and with it the identity. */
 function removeReplaced(view: MembershipView): ConfigChange | undefined {
   const { voters, learners } = view.config
-  const heard = (replica: ReplicaId) =>
-    replica === view.self ? Infinity : (view.heardAt[replica] ?? -Infinity)
+  const lastAckedAt = (replica: ReplicaId) =>
+    replica === view.self ? Infinity : (view.ackedSentAt[replica] ?? -Infinity)
   const replaced = [...learners, ...voters].find((member) =>
     voters.some(
       (other) =>
         other.address === member.address &&
         other.replica !== member.replica &&
-        heard(other.replica) > heard(member.replica),
+        lastAckedAt(other.replica) > lastAckedAt(member.replica),
     ),
   )
   return replaced === undefined ? undefined : { type: 'remove', replica: replaced.replica }
 }
 
-function addAsking(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
+function addJoiningLearner(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
   const known = new Set([...view.config.voters, ...view.config.learners].map((member) => member.replica))
-  const fresh = view.asking
-    .filter(({ member, at }) => !known.has(member.replica) && view.now - at <= rules.askingMs)
+  const joining = view.joinRequests
+    .filter(({ member, at }) => !known.has(member.replica) && view.now - at <= rules.joinRequestTtlMs)
     .map(({ member }) => member)
-  const member = (rules.domainLosses ?? 0) === 0 ? fresh[0] : leastCrowded(view, fresh)
+  const member = (rules.domainLosses ?? 0) === 0 ? joining[0] : pickLeastRepresented(view, joining)
   return member === undefined ? undefined : { type: 'addLearner', member }
 }
 
@@ -159,7 +162,7 @@
   if (silentLearner !== undefined) return { type: 'remove', replica: silentLearner.replica }
   const live = voters.filter(({ replica }) => !isSilent(view, rules, replica))
   const silent = voters.find(({ replica }) => isSilent(view, rules, replica))
-  if (silent === undefined || live.length < rules.enoughVoters) return undefined
+  if (silent === undefined || live.length < rules.requiredVoters) return undefined
   return { type: 'remove', replica: silent.replica }
 }
 
@@ -167,12 +170,14 @@
  * A voter more than enough whose leaving brings the loss of failure domains closer to being borne. Only while all voters
  * are heard: a sound one must not leave for one that may just have been lost.
  */
-function removeCrowded(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
+function removeOverrepresented(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
   const spread = spreadRules(view, rules)
   const { voters } = view.config
-  if (spread.domainLosses === 0 || voters.length <= rules.enoughVoters) return undefined
-  const isHeard = (replica: ReplicaId) => !isSilent(view, { ...rules, silentMs: rules.askingMs }, replica)
-  if (!voters.every(({ replica }) => isHeard(replica)) || removeReplaced(view) !== undefined) return undefined
+  if (spread.domainLosses === 0 || voters.length <= rules.requiredVoters) return undefined
+  const isResponsive = (replica: ReplicaId) =>
+    !isSilent(view, { ...rules, silentMs: rules.joinRequestTtlMs }, replica)
+  if (!voters.every(({ replica }) => isResponsive(replica)) || removeReplaced(view) !== undefined)
+    return undefined
   const missing = missingAfterLoss(voters, spread)
   if (missing <= 0) return undefined
   const without = (member: Member) => voters.filter((other) => other !== member)
--- a/replication/keeper/test/domainLoss.test.ts
+++ b/replication/keeper/test/domainLoss.test.ts
@@ -1,11 +1,11 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { ELECTION_TIMEOUT } from '../../raft/test/cluster'
-import { RepairWorld, type Machines } from './repairWorld'
+import { RepairSimulation, type Machines } from './repairSimulation'
 
 const RUNS = Number(process.env.RUNS ?? 25)
 const SEED = Number(process.env.SEED ?? 20261202)
-const LONGEST_WAIT = 160
+const MAX_WAIT_ROUNDS = 160
 
 /** Three founders in three failure domains; others join. The last layout has a machine more than it needs. */
 const LAYOUTS: { machines: Machines; founders: string[] }[] = [
@@ -16,36 +16,36 @@
   },
 ]
 
-function waitUntil(world: RepairWorld, condition: () => boolean): boolean {
-  for (let round = 0; round < LONGEST_WAIT; round += 1) {
-    world.settle(ELECTION_TIMEOUT / 4)
-    world.keep()
+function waitUntil(simulation: RepairSimulation, condition: () => boolean): boolean {
+  for (let round = 0; round < MAX_WAIT_ROUNDS; round += 1) {
+    simulation.settle(ELECTION_TIMEOUT / 4)
+    simulation.reconcile()
     if (condition()) return true
   }
   return false
 }
 
 /** Some steps of an unreliable day, in which the group's membership is kept. */
-function live(world: RepairWorld, steps: number): void {
+function runUnreliably(simulation: RepairSimulation, steps: number): void {
   for (let step = 0; step < steps; step += 1) {
-    world.now += 6
-    for (const name of world.live()) world.step(name, { type: 'tick' })
-    const leader = world.leader()
-    if (leader !== undefined && world.random() < 0.5)
-      world.step(leader, { type: 'propose', commands: [`${world.now}`] })
-    for (let message = 0; message < 12; message += 1) world.deliverOne(0.03)
-    for (const name of world.live()) if (world.random() < 0.8) world.sync(name)
+    simulation.now += 6
+    for (const name of simulation.replicas()) simulation.step(name, { type: 'tick' })
+    const leader = simulation.leader()
+    if (leader !== undefined && simulation.random() < 0.5)
+      simulation.step(leader, { type: 'propose', commands: [`${simulation.now}`] })
+    for (let message = 0; message < 12; message += 1) simulation.deliverOne(0.03)
+    for (const name of simulation.replicas()) if (simulation.random() < 0.8) simulation.sync(name)
   }
 }
 
 /** Whether a command that is proposed now is acknowledged. */
-function acknowledges(world: RepairWorld): boolean {
-  const command = `after ${world.now}`
-  return waitUntil(world, () => {
-    const leader = world.leader()
-    if (leader !== undefined) world.step(leader, { type: 'propose', commands: [command] })
-    world.settle(ELECTION_TIMEOUT / 4)
-    return world.acknowledged().includes(command)
+function acknowledgesCommand(simulation: RepairSimulation): boolean {
+  const command = `after ${simulation.now}`
+  return waitUntil(simulation, () => {
+    const leader = simulation.leader()
+    if (leader !== undefined) simulation.step(leader, { type: 'propose', commands: [command] })
+    simulation.settle(ELECTION_TIMEOUT / 4)
+    return simulation.acknowledged().includes(command)
   })
 }
 
@@ -64,18 +64,18 @@
         fc.constantFrom(...LAYOUTS),
         losses,
         (seed, layout, all) => {
-          const world = new RepairWorld(seed, { ...layout, domainLosses: 1 })
-          expect(waitUntil(world, () => world.bearsDomainLoss())).toBe(true)
+          const simulation = new RepairSimulation(seed, { ...layout, domainLosses: 1 })
+          expect(waitUntil(simulation, () => simulation.toleratesDomainLoss())).toBe(true)
           for (const { domain, after } of all) {
-            live(world, after)
-            const acknowledged = world.acknowledged()
-            const gone = world.liveIn(domain)
-            for (const name of gone) world.crash(name)
-            expect(acknowledges(world)).toBe(true)
-            const { applied } = world.nodes.get(world.leader()!)!
+            runUnreliably(simulation, after)
+            const acknowledged = simulation.acknowledged()
+            const lost = simulation.replicasIn(domain)
+            for (const name of lost) simulation.crash(name)
+            expect(acknowledgesCommand(simulation)).toBe(true)
+            const { applied } = simulation.nodes.get(simulation.leader()!)!
             expect(applied).toEqual(expect.arrayContaining(acknowledged))
-            for (const name of gone) world.wipe(name)
-            expect(waitUntil(world, () => world.bearsDomainLoss())).toBe(true)
+            for (const name of lost) simulation.wipe(name)
+            expect(waitUntil(simulation, () => simulation.toleratesDomainLoss())).toBe(true)
           }
         },
       ),
@@ -86,9 +86,9 @@
   it('stands as fast with five voters in three domains as where domains do not matter', () => {
     const { machines, founders } = LAYOUTS[0]!
     const roundsUntilWhole = (domainLosses: number) => {
-      const world = new RepairWorld(7, { machines, founders, domainLosses })
+      const simulation = new RepairSimulation(7, { machines, founders, domainLosses })
       let rounds = 0
-      expect(waitUntil(world, () => ((rounds += 1), world.isWhole()))).toBe(true)
+      expect(waitUntil(simulation, () => ((rounds += 1), simulation.isRepaired()))).toBe(true)
       return rounds
     }
     expect(roundsUntilWhole(1)).toBe(roundsUntilWhole(0))
--- a/replication/keeper/test/planDomains.test.ts
+++ b/replication/keeper/test/planDomains.test.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { Member } from '@forkstage/raft'
-import { domainOutlook, missingAfterLoss, planMembership, type MembershipView } from '../src'
+import { domainTolerance, missingAfterLoss, planMembership, type MembershipView } from '../src'
 
-const RULES = { enoughVoters: 5, domainLosses: 1, silentMs: 2_000, askingMs: 1_000 }
+const RULES = { requiredVoters: 5, domainLosses: 1, silentMs: 2_000, joinRequestTtlMs: 1_000 }
 const NOW = 100_000
 
 function member(replica: string, domain?: string): Member {
@@ -20,14 +20,14 @@
   fields: Partial<MembershipView> = {},
   learners: Member[] = [],
 ): MembershipView {
-  const heard = [...voters, ...learners].map(({ replica }) => [replica, NOW - 50] as const)
+  const ackedSentAt = [...voters, ...learners].map(({ replica }) => [replica, NOW - 50] as const)
   return {
     config: { voters, learners },
     self: voters[0]!.replica,
     lastIndex: 100,
-    asking: learners.map((learner) => ({ member: learner, at: NOW - 100 })),
+    joinRequests: learners.map((learner) => ({ member: learner, at: NOW - 100 })),
     matches: Object.fromEntries(learners.map(({ replica }) => [replica, 100])),
-    heardAt: Object.fromEntries(heard),
+    ackedSentAt: Object.fromEntries(ackedSentAt),
     leaderSince: NOW - 60_000,
     now: NOW,
     ...fields,
@@ -49,7 +49,7 @@
     const silent = { 1: NOW, 2: NOW, 3: NOW, 4: NOW - 9_000, 5: NOW, 6: NOW }
     const learner = member('6', 'north')
     const promoted = { type: 'promote', replica: '6' }
-    expect(planMembership(view(SPREAD, { heardAt: silent }, [learner]), RULES)).toEqual(promoted)
+    expect(planMembership(view(SPREAD, { ackedSentAt: silent }, [learner]), RULES)).toEqual(promoted)
     const fresh = { ...learner, address: '10.0.0.2' }
     expect(planMembership(view(SPREAD, {}, [fresh]), RULES)).toEqual(promoted)
   })
@@ -58,8 +58,8 @@
     const three = members({ 1: 'north', 3: 'south', 5: 'west' }).slice(0, 2)
     const learners = members({ 6: 'north', 7: 'south', 8: 'west' })
     expect(planMembership(view(three, {}, learners), RULES)).toEqual({ type: 'promote', replica: '8' })
-    const asking = learners.map((one) => ({ member: one, at: NOW }))
-    expect(planMembership(view(three, { asking }), RULES)).toEqual({
+    const joinRequests = learners.map((one) => ({ member: one, at: NOW }))
+    expect(planMembership(view(three, { joinRequests }), RULES)).toEqual({
       type: 'addLearner',
       member: learners[2],
     })
@@ -73,16 +73,16 @@
     expect(change).toEqual({ type: 'remove', replica: '2' })
     const swapped = [...crowded, west].filter(({ replica }) => replica !== '2')
     expect(planMembership(view(swapped, {}, [member('2', 'north')]), RULES)).toBeUndefined()
-    expect(domainOutlook(view(swapped), RULES)?.missing).toBe(0)
+    expect(domainTolerance(view(swapped), RULES)?.missing).toBe(0)
   })
 
   it('lets no sound voter go while another may have been lost', () => {
     const six = [...SPREAD, member('6', 'north')]
-    const heardAt = { 1: NOW, 2: NOW - 1_500, 3: NOW, 4: NOW, 5: NOW, 6: NOW }
-    expect(planMembership(view(six, { heardAt }), RULES)).toBeUndefined()
+    const ackedSentAt = { 1: NOW, 2: NOW - 1_500, 3: NOW, 4: NOW, 5: NOW, 6: NOW }
+    expect(planMembership(view(six, { ackedSentAt }), RULES)).toBeUndefined()
     const replaced = [...SPREAD, { ...member('6', 'north'), address: '10.0.0.2' }]
-    const justLost = { ...heardAt, 2: NOW - 600 }
-    expect(planMembership(view(replaced, { heardAt: justLost }), RULES)).toEqual({
+    const justLost = { ...ackedSentAt, 2: NOW - 600 }
+    expect(planMembership(view(replaced, { ackedSentAt: justLost }), RULES)).toEqual({
       type: 'remove',
       replica: '2',
     })
@@ -90,15 +90,15 @@
 
   it('takes a voter whose domain is unknown for one that may lie anywhere, until it has said it', () => {
     const old = members({ 1: 'north', 2: 'north', 3: 'south', 4: undefined, 5: undefined })
-    expect(domainOutlook(view(old), RULES)?.missing).toBeGreaterThan(0)
-    const said = members({ 4: 'south', 5: 'west' }).map((one) => ({ member: one, at: NOW - 90_000 }))
-    expect(domainOutlook(view(old, { asking: said }), RULES)?.missing).toBe(0)
-    expect(planMembership(view(old, { asking: said }), RULES)).toBeUndefined()
+    expect(domainTolerance(view(old), RULES)?.missing).toBeGreaterThan(0)
+    const announced = members({ 4: 'south', 5: 'west' }).map((one) => ({ member: one, at: NOW - 90_000 }))
+    expect(domainTolerance(view(old, { joinRequests: announced }), RULES)?.missing).toBe(0)
+    expect(planMembership(view(old, { joinRequests: announced }), RULES)).toBeUndefined()
   })
 
   it('says nothing of domains where none need be lost, and plans as without them', () => {
     const none = { ...RULES, domainLosses: 0 }
-    expect(domainOutlook(view(SPREAD), none)).toBeUndefined()
+    expect(domainTolerance(view(SPREAD), none)).toBeUndefined()
     expect(planMembership(view(SPREAD, {}, [member('6', 'north')]), none)?.type).toBe('promote')
   })
 
@@ -115,11 +115,11 @@
           if (change.type === 'promote')
             voters = [...voters, others.find((one) => one.replica === change.replica)!]
           if (change.type !== 'remove') continue
-          expect(voters.length).toBeGreaterThan(RULES.enoughVoters)
+          expect(voters.length).toBeGreaterThan(RULES.requiredVoters)
           expect(change.replica).not.toBe(voters[0]!.replica)
           voters = voters.filter((one) => one.replica !== change.replica)
         }
-        expect(voters.length).toBeGreaterThanOrEqual(RULES.enoughVoters)
+        expect(voters.length).toBeGreaterThanOrEqual(RULES.requiredVoters)
         const spread = { domainLosses: 1, isLive: () => true, domainOf: (one: Member) => one.domain }
         const counts = ['north', 'south', 'west'].map((name) => all.filter((one) => one === name).length)
         const canBeBorne =
--- a/replication/keeper/test/planMembership.test.ts
+++ b/replication/keeper/test/planMembership.test.ts
@@ -3,7 +3,7 @@
 import type { Member } from '@forkstage/raft'
 import { planMembership, type MembershipView } from '../src'
 
-const RULES = { enoughVoters: 5, silentMs: 2_000, askingMs: 1_000 }
+const RULES = { requiredVoters: 5, silentMs: 2_000, joinRequestTtlMs: 1_000 }
 const NOW = 100_000
 
 function member(replica: string, address = `10.0.0.${replica}`): Member {
@@ -12,21 +12,21 @@
 
 function view(fields: Partial<MembershipView> & { voters?: Member[]; learners?: Member[] }): MembershipView {
   const { voters = ['1', '2', '3', '4', '5'].map((name) => member(name)), learners = [], ...rest } = fields
-  const heard = [...voters, ...learners].map(({ replica }) => [replica, NOW - 50] as const)
+  const ackedSentAt = [...voters, ...learners].map(({ replica }) => [replica, NOW - 50] as const)
   return {
     config: { voters, learners },
     self: '1',
     lastIndex: 100,
-    asking: [],
+    joinRequests: [],
     matches: {},
-    heardAt: Object.fromEntries(heard),
+    ackedSentAt: Object.fromEntries(ackedSentAt),
     leaderSince: NOW - 60_000,
     now: NOW,
     ...rest,
   }
 }
 
-const asks = (asking: Member, at = NOW - 100) => ({ member: asking, at })
+const joinRequest = (joining: Member, at = NOW - 100) => ({ member: joining, at })
 
 describe('planMembership', () => {
   it('changes nothing in a whole group', () => {
@@ -35,39 +35,41 @@
 
   it('takes whoever asks as a learner first, and as a voter once it has caught up', () => {
     const six = member('6')
-    const added = planMembership(view({ asking: [asks(six)] }), RULES)
+    const added = planMembership(view({ joinRequests: [joinRequest(six)] }), RULES)
     expect(added).toEqual({ type: 'addLearner', member: six })
-    const behind = view({ learners: [six], asking: [asks(six)], matches: { 6: 20 } })
+    const behind = view({ learners: [six], joinRequests: [joinRequest(six)], matches: { 6: 20 } })
     expect(planMembership(behind, RULES)).toBeUndefined()
-    const caughtUp = view({ learners: [six], asking: [asks(six)], matches: { 6: 99 } })
+    const caughtUp = view({ learners: [six], joinRequests: [joinRequest(six)], matches: { 6: 99 } })
     expect(planMembership(caughtUp, RULES)).toEqual({ type: 'promote', replica: '6' })
   })
 
   it('does not take one whose question is old', () => {
-    expect(planMembership(view({ asking: [asks(member('6'), NOW - 1_500)] }), RULES)).toBeUndefined()
+    expect(
+      planMembership(view({ joinRequests: [joinRequest(member('6'), NOW - 1_500)] }), RULES),
+    ).toBeUndefined()
   })
 
   it('replaces a lost disk: the new replica votes before the old identity at its address leaves', () => {
     const fresh = member('9', '10.0.0.2')
     const lost = { 1: NOW, 2: NOW - 500, 3: NOW, 4: NOW, 5: NOW, 9: NOW - 20 }
-    const asking = [asks(fresh)]
-    expect(planMembership(view({ asking, heardAt: lost }), RULES)?.type).toBe('addLearner')
-    const learning = view({ learners: [fresh], asking, heardAt: lost, matches: { 9: 100 } })
+    const joinRequests = [joinRequest(fresh)]
+    expect(planMembership(view({ joinRequests, ackedSentAt: lost }), RULES)?.type).toBe('addLearner')
+    const learning = view({ learners: [fresh], joinRequests, ackedSentAt: lost, matches: { 9: 100 } })
     expect(planMembership(learning, RULES)).toEqual({ type: 'promote', replica: '9' })
-    const both = view({ voters: [...view({}).config.voters, fresh], heardAt: lost })
+    const both = view({ voters: [...view({}).config.voters, fresh], ackedSentAt: lost })
     expect(planMembership(both, RULES)).toEqual({ type: 'remove', replica: '2' })
   })
 
   it('removes a silent voter only where enough others are heard', () => {
     const silent = { 1: NOW, 2: NOW - 9_000, 3: NOW, 4: NOW, 5: NOW, 6: NOW }
-    expect(planMembership(view({ heardAt: silent }), RULES)).toBeUndefined()
-    const six = view({ voters: [...view({}).config.voters, member('6')], heardAt: silent })
+    expect(planMembership(view({ ackedSentAt: silent }), RULES)).toBeUndefined()
+    const six = view({ voters: [...view({}).config.voters, member('6')], ackedSentAt: silent })
     expect(planMembership(six, RULES)).toEqual({ type: 'remove', replica: '2' })
   })
 
   it('gives a new leader time to hear the others', () => {
     const voters = [...view({}).config.voters, member('6')]
-    const justElected = view({ voters, heardAt: {}, leaderSince: NOW - 500 })
+    const justElected = view({ voters, ackedSentAt: {}, leaderSince: NOW - 500 })
     expect(planMembership(justElected, RULES)).toBeUndefined()
   })
 
@@ -76,19 +78,19 @@
     fc.assert(
       fc.property(ages, fc.integer({ min: 1, max: 7 }), (silentFor, voterCount) => {
         const voters = Array.from({ length: voterCount }, (_, index) => member(String(index + 1)))
-        const heardAt = Object.fromEntries(
+        const ackedSentAt = Object.fromEntries(
           voters.map(({ replica }, index) => [replica, NOW - silentFor[index]!]),
         )
-        const change = planMembership(view({ voters, heardAt }), RULES)
+        const change = planMembership(view({ voters, ackedSentAt }), RULES)
         if (change === undefined) return
         expect(change.type).toBe('remove')
         if (change.type !== 'remove') return
         expect(change.replica).not.toBe('1')
-        expect(NOW - heardAt[change.replica]!).toBeGreaterThan(RULES.silentMs)
+        expect(NOW - ackedSentAt[change.replica]!).toBeGreaterThan(RULES.silentMs)
         const live = voters.filter(
-          ({ replica }) => replica === '1' || NOW - heardAt[replica]! <= RULES.silentMs,
+          ({ replica }) => replica === '1' || NOW - ackedSentAt[replica]! <= RULES.silentMs,
         )
-        expect(live.length).toBeGreaterThanOrEqual(RULES.enoughVoters)
+        expect(live.length).toBeGreaterThanOrEqual(RULES.requiredVoters)
       }),
     )
   })
--- a/replication/keeper/test/repairWorld.ts
+++ b/replication/keeper/test/repairSimulation.ts
@@ -1,16 +1,16 @@
 import { leaseUntil, ReconfigurationError, type Member } from '@forkstage/raft'
 import { Cluster, ELECTION_TIMEOUT } from '../../raft/test/cluster'
-import { domainOutlook, planMembership, type MembershipRules, type MembershipView } from '../src'
+import { domainTolerance, planMembership, type MembershipRules, type MembershipView } from '../src'
 
-const RULES = { enoughVoters: 5, silentMs: 4 * ELECTION_TIMEOUT, askingMs: ELECTION_TIMEOUT }
+const RULES = { requiredVoters: 5, silentMs: 4 * ELECTION_TIMEOUT, joinRequestTtlMs: ELECTION_TIMEOUT }
 
 /** The machines of a world: failure domain by name; an empty text where nobody knows it. */
 export type Machines = Record<string, string>
 
-const FIVE: Machines = { a: '', b: '', c: '', d: '', e: '' }
+const FIVE_MACHINES: Machines = { a: '', b: '', c: '', d: '', e: '' }
 
 /** What a world may have that differs. */
-export interface RepairWorldOptions {
+export interface RepairSimulationOptions {
   machines?: Machines
   /** Machines that found the group; all where left out. */
   founders?: string[]
@@ -21,20 +21,23 @@
  * A group, of five machines where nothing else is said, on an unreliable network whose leader keeps the membership. A replica is called by the machine it
  * is on and the number of disks that were lost there, as `a.0`.
  */
-export class RepairWorld extends Cluster {
-  private readonly disks: Map<string, number>
+export class RepairSimulation extends Cluster {
+  private readonly lostDisks: Map<string, number>
   private readonly machines: Machines
   private readonly rules: MembershipRules
 
-  constructor(seed: number, { machines = FIVE, founders, domainLosses }: RepairWorldOptions = {}) {
+  constructor(
+    seed: number,
+    { machines = FIVE_MACHINES, founders, domainLosses }: RepairSimulationOptions = {},
+  ) {
     super(0, seed)
     this.machines = machines
     this.rules = { ...RULES, domainLosses }
-    const slots = Object.keys(machines)
-    this.disks = new Map(slots.map((slot) => [slot, 0]))
-    const voters = (founders ?? slots).map((slot) => this.member(`${slot}.0`))
-    for (const slot of slots)
-      this.add(this.member(`${slot}.0`), (founders ?? slots).includes(slot) ? voters : [])
+    const machineNames = Object.keys(machines)
+    this.lostDisks = new Map(machineNames.map((machine) => [machine, 0]))
+    const voters = (founders ?? machineNames).map((machine) => this.member(`${machine}.0`))
+    for (const machine of machineNames)
+      this.add(this.member(`${machine}.0`), (founders ?? machineNames).includes(machine) ? voters : [])
   }
 
   override member(name: string): Member {
@@ -43,21 +46,21 @@
   }
 
   /** The replicas on machines of a failure domain. */
-  liveIn(domain: string): string[] {
-    return this.live().filter((name) => this.member(name).domain === domain)
+  replicasIn(domain: string): string[] {
+    return this.replicas().filter((name) => this.member(name).domain === domain)
   }
 
   /** The replicas whose disks are there. */
-  live(): string[] {
-    return [...this.disks.keys()].map((slot) => `${slot}.${this.disks.get(slot)}`)
+  replicas(): string[] {
+    return [...this.lostDisks.keys()].map((machine) => `${machine}.${this.lostDisks.get(machine)}`)
   }
 
   /** The machine of a replica loses its disk and comes back with an empty one, under a new identity. */
   wipe(name: string): void {
-    const slot = name.split('.')[0]!
+    const machine = name.split('.')[0]!
     this.crash(name)
-    this.disks.set(slot, this.disks.get(slot)! + 1)
-    this.add(this.member(`${slot}.${this.disks.get(slot)}`), [])
+    this.lostDisks.set(machine, this.lostDisks.get(machine)! + 1)
+    this.add(this.member(`${machine}.${this.lostDisks.get(machine)}`), [])
   }
 
   /** What the leader's keeper sees; nothing where none leads with its lease. */
@@ -66,23 +69,23 @@
     const state = name === undefined ? undefined : this.nodes.get(name)?.state
     if (name === undefined || state === undefined || leaseUntil(state) <= this.now) return undefined
     const { voters } = state.log.config
-    const outside = this.live().filter((each) => !voters.some((voter) => voter.replica === each))
-    const asking = outside.filter((each) => this.nodes.get(each)!.state !== undefined && !this.cut.has(each))
+    const outside = this.replicas().filter((each) => !voters.some((voter) => voter.replica === each))
+    const joining = outside.filter((each) => this.nodes.get(each)!.state !== undefined && !this.cut.has(each))
     const progress = [...state.progress]
     return {
       config: state.log.config,
       self: name,
       lastIndex: state.log.lastIndex,
-      asking: asking.map((each) => ({ member: this.member(each), at: this.now })),
+      joinRequests: joining.map((each) => ({ member: this.member(each), at: this.now })),
       matches: Object.fromEntries(progress.map(([replica, { match }]) => [replica, match])),
-      heardAt: Object.fromEntries(progress.map(([replica, { ackedSentAt }]) => [replica, ackedSentAt])),
+      ackedSentAt: Object.fromEntries(progress.map(([replica, { ackedSentAt }]) => [replica, ackedSentAt])),
       leaderSince: state.leaderSince,
       now: this.now,
     }
   }
 
   /** What the leader's keeper does when it looks at its group. */
-  keep(): void {
+  reconcile(): void {
     const view = this.view()
     const change = view && planMembership(view, this.rules)
     if (view === undefined || change === undefined) return
@@ -94,26 +97,26 @@
   }
 
   /** Whether the group has enough voters, changes no more and outlives the loss of a failure domain. */
-  bearsDomainLoss(): boolean {
+  toleratesDomainLoss(): boolean {
     const view = this.view()
     const state = view && this.nodes.get(view.self)!.state
     if (view === undefined || state === undefined || state.log.configIndex > state.commitIndex) return false
     if (planMembership(view, this.rules) !== undefined) return false
-    const live = view.config.voters.filter(({ replica }) => this.live().includes(replica))
+    const live = view.config.voters.filter(({ replica }) => this.replicas().includes(replica))
     return (
-      live.length >= RULES.enoughVoters &&
-      domainOutlook(view, { ...this.rules, domainLosses: 1 })!.missing <= 0
+      live.length >= RULES.requiredVoters &&
+      domainTolerance(view, { ...this.rules, domainLosses: 1 })!.missing <= 0
     )
   }
 
   /** Whether exactly the replicas whose disks are there vote, as far as the leader has committed. */
-  isWhole(): boolean {
+  isRepaired(): boolean {
     const name = this.leader()
     const state = name === undefined ? undefined : this.nodes.get(name)!.state
     if (state === undefined || state.log.configIndex > state.commitIndex) return false
     const { voters, learners } = state.log.config
     const names = voters.map((voter) => voter.replica).sort()
-    return learners.length === 0 && names.join() === this.live().sort().join()
+    return learners.length === 0 && names.join() === this.replicas().sort().join()
   }
 
   /** Commands that were acknowledged: applied somewhere. */
--- a/replication/raft/src/elections.ts
+++ b/replication/raft/src/elections.ts
@@ -27,7 +27,7 @@
   state.votes = new Map([[state.replica, true]])
   state.effects.push({ type: 'role', role: 'preCandidate', term: state.term })
   if (countVotes(state) >= majority(state)) return startElection(state, now, false)
-  askForVotes(state, { type: 'preVote', term: state.term + 1, transfer: false }, false)
+  requestVotes(state, { type: 'preVote', term: state.term + 1, transfer: false }, false)
 }
 
 function startElection(state: RaftState, now: Millis, transfer: boolean): void {
@@ -40,10 +40,10 @@
   resetElectionDeadline(state, now)
   state.effects.push({ type: 'role', role: 'candidate', term: state.term })
   if (countVotes(state) >= majority(state)) return becomeLeader(state, now)
-  askForVotes(state, { type: 'vote', term: state.term, transfer }, true)
+  requestVotes(state, { type: 'vote', term: state.term, transfer }, true)
 }
 
-function askForVotes(
+function requestVotes(
   state: RaftState,
   request: Pick<VoteRequest, 'type' | 'term' | 'transfer'>,
   afterPersist: boolean,
@@ -57,25 +57,25 @@
 /** Answers a vote or a pre-vote. */
 export function handleVoteRequest(state: RaftState, from: Member, request: VoteRequest, now: Millis): void {
   const heardLeader = state.role === 'leader' || now - state.leaderContactAt < state.options.electionTimeout
-  if (heardLeader && !request.transfer) return reply(state, from, request, false)
+  if (heardLeader && !request.transfer) return replyToVote(state, from, request, false)
   if (request.type === 'preVote') return handlePreVote(state, from, request)
   if (request.term > state.term) becomeFollower(state, request.term, null, now)
-  const free = state.votedFor === null || state.votedFor === from.replica
-  const granted = request.term === state.term && free && isUpToDate(state, request)
+  const canVote = state.votedFor === null || state.votedFor === from.replica
+  const granted = request.term === state.term && canVote && isUpToDate(state, request)
   if (granted && state.votedFor === null) {
     state.votedFor = from.replica
     persistHardState(state)
   }
   if (granted) resetElectionDeadline(state, now)
-  reply(state, from, request, granted)
+  replyToVote(state, from, request, granted)
 }
 
 function handlePreVote(state: RaftState, from: Member, request: VoteRequest): void {
   const granted = request.term > state.term && isUpToDate(state, request)
-  reply(state, from, request, granted)
+  replyToVote(state, from, request, granted)
 }
 
-function reply(state: RaftState, to: Member, request: VoteRequest, granted: boolean): void {
+function replyToVote(state: RaftState, to: Member, request: VoteRequest, granted: boolean): void {
   const type = request.type === 'vote' ? 'voteReply' : 'preVoteReply'
   const term = request.type === 'preVote' && granted ? request.term : state.term
   send(state, to, { type, term, granted }, true)
--- a/replication/raft/src/follow.ts
+++ b/replication/raft/src/follow.ts
@@ -6,15 +6,15 @@
 
 /** Takes entries or a heartbeat from a leader. */
 export function handleAppend(state: RaftState, from: Member, request: AppendRequest, now: Millis): void {
-  if (request.term < state.term) return answer(state, from, request.sentAt, false, 0)
+  if (request.term < state.term) return replyToAppend(state, from, request.sentAt, false, 0)
   followLeader(state, from, request.term, now)
   if (request.prevIndex < state.log.snapshot.index)
-    return answer(state, from, request.sentAt, true, state.log.snapshot.index)
+    return replyToAppend(state, from, request.sentAt, true, state.log.snapshot.index)
   if (state.log.termAt(request.prevIndex) !== request.prevTerm) return rejectAppend(state, from, request)
-  takeEntries(state, request.entries)
+  mergeEntries(state, request.entries)
   const match = request.prevIndex + request.entries.length
   commitTo(state, Math.min(request.commit, match))
-  answer(state, from, request.sentAt, true, match)
+  replyToAppend(state, from, request.sentAt, true, match)
 }
 
 function followLeader(state: RaftState, from: Member, term: number, now: Millis): void {
@@ -39,11 +39,11 @@
   let index = hint
   // Skips the whole conflicting term at once, which spares a round trip an entry.
   while (index > state.commitIndex && log.termAt(index) === conflicting) index -= 1
-  answer(state, from, request.sentAt, false, Math.max(index, state.commitIndex))
+  replyToAppend(state, from, request.sentAt, false, Math.max(index, state.commitIndex))
 }
 
 /** Appends what is new, after dropping what contradicts the leader. */
-function takeEntries(state: RaftState, entries: LogEntry[]): void {
+function mergeEntries(state: RaftState, entries: LogEntry[]): void {
   const { log } = state
   const firstNew = entries.findIndex(
     (entry) => log.termAt(entry.index) !== entry.term && entry.index > log.snapshot.index,
@@ -67,14 +67,15 @@
 
 /** Replaces the log by the leader's snapshot, unless it holds as much already. */
 export function handleSnapshot(state: RaftState, from: Member, message: InstallSnapshot, now: Millis): void {
-  if (message.term < state.term) return answer(state, from, message.sentAt, false, 0)
+  if (message.term < state.term) return replyToAppend(state, from, message.sentAt, false, 0)
   followLeader(state, from, message.term, now)
   const { meta } = message.snapshot
-  if (meta.index <= state.commitIndex) return answer(state, from, message.sentAt, true, state.commitIndex)
+  if (meta.index <= state.commitIndex)
+    return replyToAppend(state, from, message.sentAt, true, state.commitIndex)
   if (state.log.termAt(meta.index) === meta.term) {
     // The log holds the snapshot and may hold acknowledged entries after it: those must stay.
     commitTo(state, meta.index)
-    return answer(state, from, message.sentAt, true, meta.index)
+    return replyToAppend(state, from, message.sentAt, true, meta.index)
   }
   state.log.reset(meta)
   state.snapshot = message.snapshot
@@ -83,10 +84,16 @@
   state.persistedIndex = meta.index
   state.effects.push({ type: 'saveSnapshot', snapshot: message.snapshot })
   state.effects.push({ type: 'restore', snapshot: message.snapshot })
-  answer(state, from, message.sentAt, true, meta.index)
+  replyToAppend(state, from, message.sentAt, true, meta.index)
 }
 
-function answer(state: RaftState, to: Member, sentAt: Millis, success: boolean, matchIndex: number): void {
+function replyToAppend(
+  state: RaftState,
+  to: Member,
+  sentAt: Millis,
+  success: boolean,
+  matchIndex: number,
+): void {
   const reply: AppendReply = {
     type: 'appendReply',
     term: state.term,
--- a/replication/raft/src/raftState.ts
+++ b/replication/raft/src/raftState.ts
@@ -85,7 +85,7 @@
 }
 
 /** Takes the effects of the step that has just ended. */
-export function takeEffects(state: RaftState): Effect[] {
+export function drainEffects(state: RaftState): Effect[] {
   const effects = state.effects
   state.effects = []
   return effects
--- a/replication/raft/src/reconfigure.ts
+++ b/replication/raft/src/reconfigure.ts
@@ -18,7 +18,7 @@
 }
 
 /** How far behind, in entries, a learner may be and still be counted as a voter. */
-const CAUGHT_UP_WITHIN = 64
+const MAX_LEARNER_LAG_ENTRIES = 64
 
 /** Proposes a change to the group as the leader. Counts as soon as it is appended. */
 export function proposeConfig(state: RaftState, change: ConfigChange, now: Millis): LogEntry {
@@ -64,9 +64,12 @@
   const learner = learners.find((member) => member.replica === replica)
   if (learner === undefined)
     throw new ReconfigurationError(`${replica} is no learner.`, 'Add it as a learner first.')
-  const behind = state.log.lastIndex - progressOf(state, learner).match
-  if (behind > CAUGHT_UP_WITHIN) {
-    throw new ReconfigurationError(`${replica} is ${behind} entries behind.`, 'Wait until it has caught up.')
+  const lagEntries = state.log.lastIndex - progressOf(state, learner).match
+  if (lagEntries > MAX_LEARNER_LAG_ENTRIES) {
+    throw new ReconfigurationError(
+      `${replica} is ${lagEntries} entries behind.`,
+      'Wait until it has caught up.',
+    )
   }
   return { voters: [...voters, learner], learners: learners.filter((member) => member !== learner) }
 }
@@ -74,12 +77,12 @@
 /** Hands leadership to a voter that has the whole log; used by a planned stop. */
 export function transferLeadership(state: RaftState, now: Millis): boolean {
   if (state.role !== 'leader' || state.transferTo !== null) return false
-  const ready = state.log.config.voters.find(
+  const successor = state.log.config.voters.find(
     (voter) => voter.replica !== state.replica && progressOf(state, voter).match === state.log.lastIndex,
   )
-  if (ready === undefined || !isVoter(state, ready.replica)) return false
-  state.transferTo = ready.replica
+  if (successor === undefined || !isVoter(state, successor.replica)) return false
+  state.transferTo = successor.replica
   state.transferDeadline = now + state.options.electionTimeout
-  send(state, ready, { type: 'timeoutNow', term: state.term }, false)
+  send(state, successor, { type: 'timeoutNow', term: state.term }, false)
   return true
 }
--- a/replication/raft/src/replicate.ts
+++ b/replication/raft/src/replicate.ts
@@ -26,9 +26,9 @@
 function sendAppend(state: RaftState, member: Member, now: Millis, heartbeat: boolean): void {
   const progress = progressOf(state, member)
   if (progress.next <= state.log.snapshot.index) return sendSnapshot(state, member, progress, now)
-  const room = progress.inFlight < (progress.probing ? 1 : state.options.maxInFlight)
+  const hasRoom = progress.inFlight < (progress.probing ? 1 : state.options.maxInFlight)
   const last = progress.next + state.options.maxEntriesPerMessage - 1
-  const entries = room ? state.log.slice(progress.next, last) : []
+  const entries = hasRoom ? state.log.slice(progress.next, last) : []
   if (entries.length === 0 && !heartbeat) return
   const prevIndex = progress.next - 1
   const prevTerm = state.log.termAt(prevIndex) ?? 0
@@ -48,8 +48,8 @@
 }
 
 function sendSnapshot(state: RaftState, member: Member, progress: Progress, now: Millis): void {
-  const patience = state.options.electionTimeout * 5
-  const waiting = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < patience
+  const resendAfter = state.options.electionTimeout * 5
+  const waiting = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < resendAfter
   if (waiting) return
   progress.snapshotSentAt = now
   send(state, member, { type: 'snapshot', term: state.term, snapshot: state.snapshot, sentAt: now }, false)
@@ -78,8 +78,8 @@
   const progress = progressOf(state, from)
   if (progress.lostData) return
   // Only a message sent after the acknowledgement came proves a loss: earlier ones may have been reordered.
-  const fellBelow = reply.lastIndex < progress.match && reply.sentAt > progress.matchKnownAt
-  if (fellBelow) return markLostData(state, from, progress)
+  const hasRegressed = reply.lastIndex < progress.match && reply.sentAt > progress.matchKnownAt
+  if (hasRegressed) return markLostData(state, from, progress)
   progress.ackedSentAt = Math.max(progress.ackedSentAt, reply.sentAt)
   progress.inFlight = Math.max(0, progress.inFlight - 1)
   progress.snapshotSentAt = undefined
@@ -137,34 +137,34 @@
 /** When the message was sent that a majority has answered last, or -Infinity where this replica does not lead. */
 export function leaseSince(state: RaftState): Millis {
   if (state.role !== 'leader' || state.transferTo !== null) return -Infinity
-  const heard = state.log.config.voters.map((voter) =>
+  const ackedSentAts = state.log.config.voters.map((voter) =>
     voter.replica === state.replica
       ? Infinity
       : (state.progress.get(voter.replica)?.ackedSentAt ?? -Infinity),
   )
-  heard.sort((left, right) => right - left)
-  return heard[majority(state) - 1] ?? -Infinity
+  ackedSentAts.sort((left, right) => right - left)
+  return ackedSentAts[majority(state) - 1] ?? -Infinity
 }
 
 /** The time up to which no other replica can have become leader, or -Infinity without a lease. */
 export function leaseUntil(state: RaftState): Millis {
   // The margin covers clocks that run at slightly different rates.
-  return leaseSince(state) + state.options.electionTimeout * LEASE_SHARE
+  return leaseSince(state) + state.options.electionTimeout * LEASE_FRACTION
 }
 
-const LEASE_SHARE = 0.9
+const LEASE_FRACTION = 0.9
 
 /** Steps down when a majority has not been heard for an election timeout. */
 export function checkQuorum(state: RaftState, now: Millis): void {
   if (state.role !== 'leader') return
   const { electionTimeout } = state.options
   if (now - state.leaderSince < electionTimeout) return
-  const heard = state.log.config.voters.filter((voter) => {
+  const responsive = state.log.config.voters.filter((voter) => {
     if (voter.replica === state.replica) return true
     const acked = state.progress.get(voter.replica)?.ackedSentAt ?? -Infinity
     return now - acked < electionTimeout
   })
-  const enough = heard.length >= majority(state)
+  const hasQuorum = responsive.length >= majority(state)
   const removed = !isVoter(state, state.replica) && state.commitIndex >= state.log.configIndex
-  if (!enough || removed) becomeFollower(state, state.term, null, now)
+  if (!hasQuorum || removed) becomeFollower(state, state.term, null, now)
 }
--- a/replication/raft/src/stepRaft.ts
+++ b/replication/raft/src/stepRaft.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@forkstage/types'
 import { campaign, handleVoteReply, handleVoteRequest } from './elections'
 import { handleAppend, handleSnapshot } from './follow'
-import { isVoter, takeEffects, type RaftState } from './raftState'
+import { isVoter, drainEffects, type RaftState } from './raftState'
 import { proposeConfig, transferLeadership, type ConfigChange } from './reconfigure'
 import {
   advanceCommit,
@@ -35,7 +35,7 @@
 /** Advances a replica by one event. The only way its state changes; does no I/O. */
 export function stepRaft(state: RaftState, event: RaftEvent, now: Millis): StepResult {
   const proposed = handleEvent(state, event, now)
-  return { effects: takeEffects(state), proposed }
+  return { effects: drainEffects(state), proposed }
 }
 
 function handleEvent(state: RaftState, event: RaftEvent, now: Millis): LogEntry[] {
--- a/replication/raft/test/cluster.ts
+++ b/replication/raft/test/cluster.ts
@@ -25,7 +25,7 @@
   state?: RaftState
   synced: Disk
   unsynced: Extract<Effect, { type: 'persist' | 'saveSnapshot' }>[]
-  waiting: { to: Member; message: Message }[]
+  awaitingSync: { to: Member; message: Message }[]
   applied: unknown[]
 }
 
@@ -39,8 +39,8 @@
   readonly committed: unknown[] = []
   readonly leaders = new Map<number, string>()
   lostMembers: string[] = []
-  stale: string[] = []
-  protected wire: { from: Member; to: Member; message: Message }[] = []
+  staleReplicas: string[] = []
+  protected inTransit: { from: Member; to: Member; message: Message }[] = []
   readonly cut = new Set<string>()
   readonly random: Random
 
@@ -61,7 +61,7 @@
   add(member: Member, voters: Member[]): void {
     const meta = { index: 0, term: 0, configIndex: 0, config: { voters, learners: [] } }
     const synced: Disk = { hardState: EMPTY, snapshot: { meta, data: new Uint8Array() }, entries: [] }
-    this.nodes.set(member.replica, { member, synced, unsynced: [], waiting: [], applied: [] })
+    this.nodes.set(member.replica, { member, synced, unsynced: [], awaitingSync: [], applied: [] })
     this.start(member.replica)
   }
 
@@ -87,7 +87,7 @@
     const node = this.nodes.get(name)!
     node.state = undefined
     node.unsynced = []
-    node.waiting = []
+    node.awaitingSync = []
   }
 
   step(name: string, event: RaftEvent): LogEntry[] {
@@ -103,17 +103,17 @@
   sync(name: string): void {
     const node = this.nodes.get(name)!
     for (const effect of node.unsynced.splice(0)) persist(node.synced, effect)
-    const waiting = node.waiting.splice(0)
-    for (const { to, message } of waiting) this.wire.push({ from: node.member, to, message })
+    const waiting = node.awaitingSync.splice(0)
+    for (const { to, message } of waiting) this.inTransit.push({ from: node.member, to, message })
     const last = node.synced.entries.at(-1) ?? node.synced.snapshot.meta
     this.step(name, { type: 'persisted', index: last.index, term: last.term })
   }
 
   /** Delivers, loses or doubles one message, any of those on the way. */
   deliverOne(lossRate: number): void {
-    if (this.wire.length === 0) return
-    const index = Math.floor(this.random() * this.wire.length)
-    const [item] = this.random() < 0.1 ? [this.wire[index]!] : this.wire.splice(index, 1)
+    if (this.inTransit.length === 0) return
+    const index = Math.floor(this.random() * this.inTransit.length)
+    const [item] = this.random() < 0.1 ? [this.inTransit[index]!] : this.inTransit.splice(index, 1)
     if (this.random() < lossRate || this.cut.has(item!.from.replica) || this.cut.has(item!.to.replica)) return
     this.step(item!.to.replica, {
       type: 'message',
@@ -128,7 +128,7 @@
       for (const name of this.nodes.keys()) this.step(name, { type: 'tick' })
       for (let round = 0; round < 4; round += 1) {
         for (const name of this.nodes.keys()) this.sync(name)
-        const sending = this.wire.splice(0)
+        const sending = this.inTransit.splice(0)
         for (const { from, to, message } of sending) {
           if (this.cut.has(from.replica) || this.cut.has(to.replica)) continue
           this.step(to.replica, { type: 'message', from, message: structuredClone(message) })
@@ -157,8 +157,8 @@
   private perform(node: Node, effect: Effect): void {
     if (effect.type === 'persist' || effect.type === 'saveSnapshot')
       node.unsynced.push(structuredClone(effect))
-    if (effect.type === 'send' && effect.afterPersist) node.waiting.push(effect)
-    if (effect.type === 'send' && !effect.afterPersist) this.wire.push({ from: node.member, ...effect })
+    if (effect.type === 'send' && effect.afterPersist) node.awaitingSync.push(effect)
+    if (effect.type === 'send' && !effect.afterPersist) this.inTransit.push({ from: node.member, ...effect })
     if (effect.type === 'apply') this.apply(node, effect.entries)
     if (effect.type === 'restore')
       node.applied = JSON.parse(Buffer.from(effect.snapshot.data).toString()) as unknown[]
@@ -168,7 +168,7 @@
   }
 
   private retire(name: string): void {
-    this.stale.push(name)
+    this.staleReplicas.push(name)
     this.crash(name)
   }
 
--- a/replication/raft/test/stepRaft.test.ts
+++ b/replication/raft/test/stepRaft.test.ts
@@ -23,7 +23,7 @@
   },
 )
 
-function act(cluster: Cluster, kind: string, name: string, value: number): void {
+function applyAction(cluster: Cluster, kind: string, name: string, value: number): void {
   const node = cluster.nodes.get(name)!
   if (kind === 'deliver') for (let n = 0; n < 6; n += 1) cluster.deliverOne(0.05)
   if (kind === 'tick') {
@@ -54,7 +54,7 @@
         fc.array(fc.tuple(action, fc.nat(4)), { minLength: 200, maxLength: 600 }),
         (seed, actions) => {
           const cluster = new Cluster(5, seed)
-          actions.forEach(([kind, index], value) => act(cluster, kind, `r${index}`, value))
+          actions.forEach(([kind, index], value) => applyAction(cluster, kind, `r${index}`, value))
           heal(cluster)
           cluster.step(cluster.leader()!, { type: 'propose', commands: ['last'] })
           cluster.settle(4 * ELECTION_TIMEOUT)
@@ -109,7 +109,7 @@
     cluster.step(leader, { type: 'propose', commands: ['d'] })
     cluster.settle(3 * ELECTION_TIMEOUT)
     expect(cluster.lostMembers).toContain(older)
-    expect(cluster.stale).toContain(older)
+    expect(cluster.staleReplicas).toContain(older)
     expect(cluster.nodes.get(leader)!.applied).not.toContain('d')
   })
 
--- a/replication/storage/src/records.ts
+++ b/replication/storage/src/records.ts
@@ -55,7 +55,7 @@
 }
 
 /** Decodes a file that holds a single record, as snapshots do. */
-export function decodeSingle<T>(bytes: Buffer, path: string): T {
+export function decodeSingleRecord<T>(bytes: Buffer, path: string): T {
   const payload = readPayload(bytes, 0)
   if (payload === undefined) throw new DamagedLogError(path, 0)
   return packr.unpack(payload) as T
--- a/replication/storage/src/replicaStorage.ts
+++ b/replication/storage/src/replicaStorage.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from 'node:crypto'
 import type { HardState, LogEntry, ReplicaId, Snapshot } from '@forkstage/raft'
 import { createFileSystem, type AppendFile, type FileSystem } from './fileSystem'
-import { decodeRecords, decodeSingle, encodeRecord, type LogRecord } from './records'
+import { decodeRecords, decodeSingleRecord, encodeRecord, type LogRecord } from './records'
 import { DiskError } from './storageErrors'
 
 /** Who this disk is. Made once, at random, and lost with the disk. */
@@ -27,9 +27,9 @@
   createId?: () => ReplicaId
 }
 
-const IDENTITY = 'replica.json'
-const LOG = 'log'
-const SNAPSHOT = 'snapshot'
+const IDENTITY_FILE = 'replica.json'
+const LOG_FILE = 'log'
+const SNAPSHOT_FILE = 'snapshot'
 
 /** Opens, or makes, the folder of one replica of one group. */
 export async function openReplicaStorage(
@@ -41,12 +41,15 @@
   await files.makeFolder(folder)
   const names = await files.list(folder)
   const identity = await openIdentity(files, folder, names, createId)
-  const snapshot = names.includes(SNAPSHOT)
-    ? decodeSingle<Snapshot>(await files.read(`${folder}/${SNAPSHOT}`), `${folder}/${SNAPSHOT}`)
+  const snapshot = names.includes(SNAPSHOT_FILE)
+    ? decodeSingleRecord<Snapshot>(
+        await files.read(`${folder}/${SNAPSHOT_FILE}`),
+        `${folder}/${SNAPSHOT_FILE}`,
+      )
     : undefined
-  const records = names.includes(LOG) ? await readLog(files, `${folder}/${LOG}`) : []
+  const records = names.includes(LOG_FILE) ? await readLog(files, `${folder}/${LOG_FILE}`) : []
   const { hardState, entries } = replay(records, snapshot)
-  const log = await files.openAppend(`${folder}/${LOG}`)
+  const log = await files.openAppend(`${folder}/${LOG_FILE}`)
   return {
     storage: new ReplicaStorage(files, folder, log),
     stored: { identity, hardState, snapshot, entries },
@@ -59,10 +62,10 @@
   names: string[],
   createId: () => ReplicaId,
 ): Promise<ReplicaIdentity> {
-  const path = `${folder}/${IDENTITY}`
-  const known = names.includes(IDENTITY)
-  const old = known ? (JSON.parse((await files.read(path)).toString()) as ReplicaIdentity) : undefined
-  const identity = { replica: old?.replica ?? createId(), boots: (old?.boots ?? 0) + 1 }
+  const path = `${folder}/${IDENTITY_FILE}`
+  const exists = names.includes(IDENTITY_FILE)
+  const stored = exists ? (JSON.parse((await files.read(path)).toString()) as ReplicaIdentity) : undefined
+  const identity = { replica: stored?.replica ?? createId(), boots: (stored?.boots ?? 0) + 1 }
   await files.replace(path, Buffer.from(JSON.stringify(identity)))
   return identity
 }
@@ -122,10 +125,10 @@
     ]
     const bytes = encodeRecord(snapshot)
     try {
-      await this.files.replace(`${this.folder}/${SNAPSHOT}`, bytes)
+      await this.files.replace(`${this.folder}/${SNAPSHOT_FILE}`, bytes)
       await this.log.close()
-      await this.files.replace(`${this.folder}/${LOG}`, Buffer.concat(records.map(encodeRecord)))
-      this.log = await this.files.openAppend(`${this.folder}/${LOG}`)
+      await this.files.replace(`${this.folder}/${LOG_FILE}`, Buffer.concat(records.map(encodeRecord)))
+      this.log = await this.files.openAppend(`${this.folder}/${LOG_FILE}`)
     } catch (error) {
       throw new DiskError('save a snapshot', error)
     }
--- a/request/runner/src/modelRun.ts
+++ b/request/runner/src/modelRun.ts
@@ -200,7 +200,7 @@
     const { key, resumable } = this.model
     // Only lets a takeover find the stream; without it the takeover generates the answer again.
     if (resumable)
-      this.parts.journal.noteDecoding(key, this.claimEpoch, endpoint, epoch).catch(() => undefined)
+      this.parts.journal.recordDecoding(key, this.claimEpoch, endpoint, epoch).catch(() => undefined)
   }
 
   private noteWasted({ tokens, cause, endpoint }: Extract<RequestEffect, { type: 'wasted' }>): void {
