--- a/daemon/daemon/src/buildContainer.ts
+++ b/daemon/daemon/src/buildContainer.ts
@@ -67,7 +67,7 @@
     return new PeerClient({ credentials, clock: context.get(PARTS.clock), logger: context.get(PARTS.logger) })
   })
   container.bind(PARTS.engines).toDynamicValue((context) => {
-    return new EngineClient({ clock: context.get(PARTS.clock), callMs: ENGINE_CALL_MS })
+    return new EngineClient({ clock: context.get(PARTS.clock), callTimeoutMs: ENGINE_CALL_MS })
   })
 }
 
--- a/engine/client/src/engineClient.ts
+++ b/engine/client/src/engineClient.ts
@@ -6,7 +6,7 @@
 import type {
   AttemptId,
   CacheEvent,
-  DecodeOrder,
+  DecodeParams,
   EngineHold,
   EngineLine,
   EngineOrder,
@@ -27,7 +27,7 @@
 export interface EngineClientOptions {
   clock: Clock
   /** How long a call that does no model work may take. */
-  callMs: Millis
+  callTimeoutMs: Millis
 }
 
 /** An open decode stream. */
@@ -56,33 +56,33 @@
   constructor(private readonly options: EngineClientOptions) {}
 
   report(engine: EngineAddress): Promise<EngineReport> {
-    return this.json(engine, 'GET', '/v1/report', undefined, 'report', this.options.callMs)
+    return this.requestJson(engine, 'GET', '/v1/report', undefined, 'report', this.options.callTimeoutMs)
   }
 
   holds(engine: EngineAddress): Promise<EngineHold[]> {
-    return this.json(engine, 'GET', '/v1/holds', undefined, 'holds', this.options.callMs)
+    return this.requestJson(engine, 'GET', '/v1/holds', undefined, 'holds', this.options.callTimeoutMs)
   }
 
   cacheEvents(engine: EngineAddress, after: number): Promise<CacheEvent[]> {
-    return this.json(
+    return this.requestJson(
       engine,
       'GET',
       `/v1/cache-events?after=${after}`,
       undefined,
       'cache events',
-      this.options.callMs,
+      this.options.callTimeoutMs,
     )
   }
 
   /** Reserves decode memory; runs nothing. */
   async reserve(engine: EngineAddress, attempt: AttemptId, tokens: number, leaseMs: Millis): Promise<void> {
-    await this.json(
+    await this.requestJson(
       engine,
       'POST',
       '/v1/slots',
       { ...attempt, tokens, leaseMs },
       'reserve',
-      this.options.callMs,
+      this.options.callTimeoutMs,
     )
   }
 
@@ -90,57 +90,57 @@
     engine: EngineAddress,
     attempt: AttemptId,
     prompt: EnginePrompt,
-    deadline: Millis,
+    timeoutMs: Millis,
   ): Promise<PrefillResult> {
-    return this.json(engine, 'POST', '/v1/prefills', { ...attempt, prompt }, 'prefill', deadline)
+    return this.requestJson(engine, 'POST', '/v1/prefills', { ...attempt, prompt }, 'prefill', timeoutMs)
   }
 
   /** Starts decoding; the lines come to the listener. */
   decode(
     engine: EngineAddress,
     attempt: AttemptId,
-    order: DecodeOrder,
+    params: DecodeParams,
     listener: DecodeListener,
   ): DecodeStream {
-    return this.stream(engine, 'POST', '/v1/streams', { ...attempt, ...order }, 'decode', listener)
+    return this.openStream(engine, 'POST', '/v1/streams', { ...attempt, ...params }, 'decode', listener)
   }
 
   /** Goes on with a stream from a token's number, under this epoch. */
   resume(engine: EngineAddress, attempt: AttemptId, from: number, listener: DecodeListener): DecodeStream {
     const path = `/v1/streams/${encodeURIComponent(attempt.request)}?epoch=${attempt.epoch}&from=${from}`
-    return this.stream(engine, 'GET', path, undefined, 'resume', listener)
+    return this.openStream(engine, 'GET', path, undefined, 'resume', listener)
   }
 
   /** Releases everything held for a request up to this epoch; returns once the engine confirms. */
   async release(engine: EngineAddress, attempt: AttemptId): Promise<void> {
     const path = `/v1/requests/${encodeURIComponent(attempt.request)}?epoch=${attempt.epoch}`
-    await this.json(engine, 'DELETE', path, undefined, 'release', this.options.callMs)
+    await this.requestJson(engine, 'DELETE', path, undefined, 'release', this.options.callTimeoutMs)
   }
 
-  async order(engine: EngineAddress, order: EngineOrder, deadline: Millis): Promise<void> {
-    await this.json(engine, 'POST', '/v1/orders', order, 'order', deadline)
+  async order(engine: EngineAddress, order: EngineOrder, timeoutMs: Millis): Promise<void> {
+    await this.requestJson(engine, 'POST', '/v1/orders', order, 'order', timeoutMs)
   }
 
   close(): Promise<void> {
     return this.agent.destroy()
   }
 
-  private async json<Answer>(
+  private async requestJson<Answer>(
     engine: EngineAddress,
     method: Dispatcher.HttpMethod,
     path: string,
     body: unknown,
     step: string,
-    deadline: Millis,
+    timeoutMs: Millis,
   ): Promise<Answer> {
     const abort = new AbortController()
-    const cancel = this.options.clock.after(deadline, () =>
-      abort.abort(new Error(`no answer within ${deadline} ms`)),
+    const cancel = this.options.clock.after(timeoutMs, () =>
+      abort.abort(new Error(`no answer within ${timeoutMs} ms`)),
     )
     try {
       const response = await this.send(engine, method, path, body, abort.signal)
       const text = await response.body.text()
-      if (response.statusCode >= 300) throw refusal(engine, step, response, text)
+      if (response.statusCode >= 300) throw toRefusalError(engine, step, response, text)
       return (text === '' ? undefined : JSON.parse(text)) as Answer
     } catch (error) {
       throw toEndpointError(engine, step, error)
@@ -149,7 +149,7 @@
     }
   }
 
-  private stream(
+  private openStream(
     engine: EngineAddress,
     method: Dispatcher.HttpMethod,
     path: string,
@@ -158,14 +158,14 @@
     listener: DecodeListener,
   ): DecodeStream {
     const abort = new AbortController()
-    this.pump(engine, method, path, body, step, listener, abort.signal).then(
+    this.readStream(engine, method, path, body, step, listener, abort.signal).then(
       () => listener.onClose(),
       (error: unknown) => listener.onClose(toEndpointError(engine, step, error)),
     )
     return { close: () => abort.abort(new Error('closed')) }
   }
 
-  private async pump(
+  private async readStream(
     engine: EngineAddress,
     method: Dispatcher.HttpMethod,
     path: string,
@@ -175,7 +175,7 @@
     signal: AbortSignal,
   ): Promise<void> {
     const response = await this.send(engine, method, path, body, signal)
-    if (response.statusCode >= 300) throw refusal(engine, step, response, await response.body.text())
+    if (response.statusCode >= 300) throw toRefusalError(engine, step, response, await response.body.text())
     await readLines(response.body, (line) => listener.onLine(JSON.parse(line) as EngineLine))
   }
 
@@ -196,7 +196,7 @@
   }
 }
 
-function refusal(
+function toRefusalError(
   engine: EngineAddress,
   step: string,
   response: Dispatcher.ResponseData,
@@ -204,11 +204,13 @@
 ): EndpointError {
   const notRun = response.headers[NOT_RUN_HEADER] === NOT_RUN_VALUE
   const { statusCode, headers } = response
-  const rest = readRetryAfter({ status: statusCode, rawHeaders: flattenHeaders(headers) })
-  return new EndpointError(engine.endpoint, step, reasonIn(text) ?? `status ${statusCode}`, notRun, { rest })
+  const retryAfter = readRetryAfter({ status: statusCode, rawHeaders: flattenHeaders(headers) })
+  return new EndpointError(engine.endpoint, step, readErrorCode(text) ?? `status ${statusCode}`, notRun, {
+    retryAfter,
+  })
 }
 
-function reasonIn(text: string): string | undefined {
+function readErrorCode(text: string): string | undefined {
   try {
     return (JSON.parse(text) as { code?: string }).code
   } catch {
--- a/engine/client/src/engineErrors.ts
+++ b/engine/client/src/engineErrors.ts
@@ -13,14 +13,14 @@
   /** The endpoint's own code, where it answered. */
   readonly reason: string
   /** When it wants to be asked again, where it answered so. */
-  readonly rest: RetryAfter
+  readonly retryAfter: RetryAfter
 
   constructor(
     peer: string,
     step: string,
     reason: string,
     notRun: boolean,
-    { cause, rest = { type: 'none' } }: { cause?: unknown; rest?: RetryAfter } = {},
+    { cause, retryAfter = { type: 'none' } }: { cause?: unknown; retryAfter?: RetryAfter } = {},
   ) {
     super(
       'FORKSTAGE_ENDPOINT',
@@ -34,6 +34,6 @@
     )
     this.reason = reason
     this.notRun = notRun
-    this.rest = rest
+    this.retryAfter = retryAfter
   }
 }
--- a/engine/client/src/engineTypes.ts
+++ b/engine/client/src/engineTypes.ts
@@ -34,7 +34,7 @@
 }
 
 /** Starts decoding in a slot that was reserved before. */
-export interface DecodeOrder {
+export interface DecodeParams {
   prompt: EnginePrompt
   maxTokens: number
   /** Same seed, same answer: lets a lost stream be made again. */
--- a/engine/client/src/neverConnected.ts
+++ b/engine/client/src/neverConnected.ts
@@ -1,7 +1,12 @@
 /** Error codes of a connection that never came about: nothing can have reached the endpoint. */
-const CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+const CONNECT_ERROR_CODES = new Set([
+  'ECONNREFUSED',
+  'EHOSTUNREACH',
+  'ENETUNREACH',
+  'UND_ERR_CONNECT_TIMEOUT',
+])
 
 /** Whether an error proves that nothing was sent. */
 export function neverConnected(error: unknown): boolean {
-  return CODES.has((error as { code?: string }).code ?? '')
+  return CONNECT_ERROR_CODES.has((error as { code?: string }).code ?? '')
 }
--- a/engine/fakes/src/answerText.ts
+++ b/engine/fakes/src/answerText.ts
@@ -5,13 +5,13 @@
     ' ',
   )
 /** A prompt may say how long its answer shall be, as `[[answer=12]]`. */
-const LENGTH_MARK = /\[\[answer=(\d+)\]\]/
+const ANSWER_TOKENS_MARK = /\[\[answer=(\d+)\]\]/
 
 /** How many tokens the stand-in answers: as the prompt says, or from the seed; at most `maxTokens`. */
-export function answerLength(body: unknown, seed: number, maxTokens: number): number {
-  const marked = LENGTH_MARK.exec(JSON.stringify(body))?.[1]
-  const wanted = marked === undefined ? 8 + (seed % 24) : Number(marked)
-  return Math.max(1, Math.min(wanted, maxTokens))
+export function answerTokenCount(body: unknown, seed: number, maxTokens: number): number {
+  const marked = ANSWER_TOKENS_MARK.exec(JSON.stringify(body))?.[1]
+  const requested = marked === undefined ? 8 + (seed % 24) : Number(marked)
+  return Math.max(1, Math.min(requested, maxTokens))
 }
 
 /** The token at a position: the same for the same seed. */
--- a/engine/fakes/src/engineWork.ts
+++ b/engine/fakes/src/engineScheduler.ts
@@ -1,15 +1,15 @@
-import type { AttemptId, DecodeOrder, EnginePrompt, PrefillResult } from '@forkstage/engine-client'
-import { answerLength } from './answerText'
+import type { AttemptId, DecodeParams, EnginePrompt, PrefillResult } from '@forkstage/engine-client'
+import { answerTokenCount } from './answerText'
 import { EngineRefusal, type DecodeRun, type EngineState, type PrefillJob } from './engineState'
 
 /** Takes prefills one after the other, runs decode steps over all streams together, and keeps results for a while. */
-export class EngineWork {
-  private prefilling = false
-  private stepping = false
+export class EngineScheduler {
+  private isPrefilling = false
+  private isStepping = false
   private readonly sweeper: NodeJS.Timeout
 
   constructor(private readonly state: EngineState) {
-    this.sweeper = setInterval(() => this.sweep(), SWEEP_MS)
+    this.sweeper = setInterval(() => this.sweep(), SWEEP_INTERVAL_MS)
   }
 
   stop(): void {
@@ -18,7 +18,7 @@
 
   prefill(attempt: AttemptId, prompt: EnginePrompt): Promise<PrefillResult> {
     const { state } = this
-    this.admitWork(attempt)
+    this.admitAttempt(attempt)
     if (state.kvTokensUsed + prompt.tokens > state.profile.kvTokens)
       throw new EngineRefusal(503, 'no-memory', false)
     return new Promise((resolve, reject) => {
@@ -40,33 +40,34 @@
 
   reserve(attempt: AttemptId, tokens: number, leaseMs: number): void {
     const { state } = this
-    this.admitWork(attempt)
+    this.admitAttempt(attempt)
     if (state.kvTokensUsed + tokens > state.profile.kvTokens) throw new EngineRefusal(503, 'no-memory', false)
     state.slots.set(attempt.request, { ...attempt, tokens, since: now(), leaseUntil: now() + leaseMs })
   }
 
   /** Starts a stream in the reserved slot; the KV cache is fetched first where a source is named. */
-  decode(attempt: AttemptId, order: DecodeOrder, listener: DecodeRun['listener']): DecodeRun {
+  decode(attempt: AttemptId, params: DecodeParams, listener: DecodeRun['listener']): DecodeRun {
     const { state } = this
-    this.admitWork(attempt)
+    this.admitAttempt(attempt)
     if (!state.slots.delete(attempt.request)) throw new EngineRefusal(409, 'no-slot', false)
-    const own = state.prefills.get(attempt.request)
-    if (order.source === undefined && own?.state !== 'kept') throw new EngineRefusal(409, 'no-prefill', false)
-    const length = answerLength(order.prompt.body, order.seed, order.maxTokens)
+    const ownPrefill = state.prefills.get(attempt.request)
+    if (params.source === undefined && ownPrefill?.state !== 'kept')
+      throw new EngineRefusal(409, 'no-prefill', false)
+    const answerTokens = answerTokenCount(params.prompt.body, params.seed, params.maxTokens)
     const run: DecodeRun = {
       ...attempt,
-      order,
-      length,
-      produced: 0,
+      params,
+      answerTokens,
+      producedTokens: 0,
       since: now(),
       state: 'transfer',
-      moved: 0,
+      movedBytes: 0,
       expiresAt: Infinity,
       listener,
     }
     state.runs.set(attempt.request, run)
     state.record.decodes += 1
-    if (order.source !== undefined) return run
+    if (params.source !== undefined) return run
     state.prefills.delete(attempt.request)
     this.startRun(run)
     return run
@@ -74,7 +75,7 @@
 
   startRun(run: DecodeRun): void {
     run.state = 'running'
-    this.state.cache.add(run.order.prompt.blocks)
+    this.state.cache.add(run.params.prompt.blocks)
     void this.runSteps()
   }
 
@@ -99,12 +100,12 @@
   }
 
   /** The decode side has fetched a result: it is no longer needed here. */
-  exported(attempt: AttemptId): void {
+  dropExportedPrefill(attempt: AttemptId): void {
     const job = this.state.prefills.get(attempt.request)
     if (job !== undefined && job.epoch <= attempt.epoch) this.state.prefills.delete(attempt.request)
   }
 
-  private admitWork(attempt: AttemptId): void {
+  private admitAttempt(attempt: AttemptId): void {
     if (this.state.faults.refuse) throw new EngineRefusal(503, 'refused', false)
     this.state.admit(attempt, now())
   }
@@ -121,10 +122,10 @@
   }
 
   private async runPrefills(): Promise<void> {
-    if (this.prefilling) return
-    this.prefilling = true
+    if (this.isPrefilling) return
+    this.isPrefilling = true
     for (let job = this.nextPrefill(); job !== undefined; job = this.nextPrefill()) await this.runPrefill(job)
-    this.prefilling = false
+    this.isPrefilling = false
   }
 
   private nextPrefill(): PrefillJob | undefined {
@@ -153,15 +154,15 @@
   }
 
   private async runSteps(): Promise<void> {
-    if (this.stepping) return
-    this.stepping = true
+    if (this.isStepping) return
+    this.isStepping = true
     for (let batch = this.batch(); batch.length > 0; batch = this.batch()) {
       const started = now()
       await wait(this.stepDuration(batch))
-      for (const run of batch) this.produce(run)
+      for (const run of batch) this.produceToken(run)
       this.state.stepMs = this.state.stepMs * 0.8 + (now() - started) * 0.2
     }
-    this.stepping = false
+    this.isStepping = false
   }
 
   private batch(): DecodeRun[] {
@@ -170,20 +171,20 @@
 
   private stepDuration(batch: DecodeRun[]): number {
     const { profile, faults } = this.state
-    const tokens = batch.reduce((sum, run) => sum + run.order.prompt.tokens + run.produced, 0)
+    const tokens = batch.reduce((sum, run) => sum + run.params.prompt.tokens + run.producedTokens, 0)
     const duration =
       profile.stepBaseMs +
       profile.stepPerStreamMs * batch.length +
       (profile.stepPer10kTokensMs * tokens) / 10_000
-    return duration * faults.slowFactor * (this.prefilling ? profile.stepFactorInPrefill : 1)
+    return duration * faults.slowFactor * (this.isPrefilling ? profile.stepFactorInPrefill : 1)
   }
 
-  private produce(run: DecodeRun): void {
+  private produceToken(run: DecodeRun): void {
     const { state } = this
     if (state.runs.get(run.request) !== run) return
-    run.produced += 1
+    run.producedTokens += 1
     run.listener?.('token')
-    if (run.produced < run.length) return
+    if (run.producedTokens < run.answerTokens) return
     run.state = 'finished'
     run.expiresAt = now() + state.profile.keepMs
     state.record.completed += 1
@@ -197,12 +198,13 @@
     for (const job of state.prefills.values()) if (job.expiresAt < time) this.dropPrefill(job)
     for (const slot of state.slots.values()) if (slot.leaseUntil < time) state.slots.delete(slot.request)
     for (const run of state.runs.values()) if (run.expiresAt < time) state.runs.delete(run.request)
-    for (const [request, seen] of state.epochs) if (time - seen.at > REMEMBER_MS) state.epochs.delete(request)
+    for (const [request, seen] of state.epochs)
+      if (time - seen.at > EPOCH_RETENTION_MS) state.epochs.delete(request)
   }
 }
 
-const SWEEP_MS = 100
-const REMEMBER_MS = 60_000
+const SWEEP_INTERVAL_MS = 100
+const EPOCH_RETENTION_MS = 60_000
 
 export function now(): number {
   return performance.now()
--- a/engine/fakes/src/engineState.ts
+++ b/engine/fakes/src/engineState.ts
@@ -1,4 +1,4 @@
-import type { AttemptId, DecodeOrder, EngineHold, EnginePrompt } from '@forkstage/engine-client'
+import type { AttemptId, DecodeParams, EngineHold, EnginePrompt } from '@forkstage/engine-client'
 import type { EngineProfile } from './engineProfile'
 import { NO_FAULTS, type EngineFaults } from './faults'
 import { PrefixCache } from './prefixCache'
@@ -21,12 +21,12 @@
 
 /** A stream being decoded, or finished and kept for resuming. */
 export interface DecodeRun extends AttemptId {
-  order: DecodeOrder
-  length: number
-  produced: number
+  params: DecodeParams
+  answerTokens: number
+  producedTokens: number
   since: number
   state: 'transfer' | 'running' | 'finished'
-  moved: number
+  movedBytes: number
   expiresAt: number
   listener?: (event: 'transfer' | 'token' | 'end' | 'fenced') => void
 }
@@ -90,7 +90,7 @@
     const active = [...this.runs.values()].filter((run) => run.state !== 'finished')
     const prefilled = kept.reduce((sum, job) => sum + job.prompt.tokens, 0)
     const reserved = [...this.slots.values()].reduce((sum, slot) => sum + slot.tokens, 0)
-    const running = active.reduce((sum, run) => sum + run.order.prompt.tokens + run.length, 0)
+    const running = active.reduce((sum, run) => sum + run.params.prompt.tokens + run.answerTokens, 0)
     return prefilled + reserved + running
   }
 
@@ -120,7 +120,7 @@
       ...[...this.prefills.values()].map((job) => hold('prefill', job, job.prompt.tokens)),
       ...[...this.slots.values()].map((slot) => hold('slot', slot, slot.tokens)),
       ...active.map((run) =>
-        hold(run.state === 'transfer' ? 'transfer' : 'stream', run, run.order.prompt.tokens),
+        hold(run.state === 'transfer' ? 'transfer' : 'stream', run, run.params.prompt.tokens),
       ),
     ]
   }
--- a/engine/fakes/src/kvTransfer.ts
+++ b/engine/fakes/src/kvTransfer.ts
@@ -1,9 +1,9 @@
 import { request as httpRequest } from 'undici'
-import { now, wait, type EngineWork } from './engineWork'
+import { now, wait, type EngineScheduler } from './engineScheduler'
 import type { DecodeRun, EngineState } from './engineState'
 
 /** Progress is told at least this often. */
-const CHUNK_MS = 20
+const PROGRESS_INTERVAL_MS = 20
 
 /** Links of limited rate, shared by all transfers of this process: when each is free again. */
 const linkFreeAt = new Map<string, number>()
@@ -12,41 +12,41 @@
  * Moves a prompt's KV cache from the prefill engine: asks for it there, then takes the time that the
  * link's rate demands, queued behind what is on the link already. Bytes are counted, not carried.
  */
-export async function fetchKv(state: EngineState, work: EngineWork, run: DecodeRun): Promise<void> {
-  const { source, kvBytes, linkBytesPerMs } = run.order
+export async function fetchKv(state: EngineState, scheduler: EngineScheduler, run: DecodeRun): Promise<void> {
+  const { source, kvBytes, linkBytesPerMs } = run.params
   if (source === undefined) return
-  const known = state.cache.match(run.order.prompt.blocks) * state.profile.blockTokens
-  const share = Math.max(0, 1 - known / Math.max(1, run.order.prompt.tokens))
-  const exported = await askExport(source.address, run)
-  if (!exported) return drop(state, run)
+  const cachedTokens = state.cache.match(run.params.prompt.blocks) * state.profile.blockTokens
+  const missingShare = Math.max(0, 1 - cachedTokens / Math.max(1, run.params.prompt.tokens))
+  const isExported = await requestExport(source.address, run)
+  if (!isExported) return dropRun(state, run)
   const { link } = source
-  const duration = ((kvBytes * share) / linkBytesPerMs) * state.faults.slowFactor
+  const duration = ((kvBytes * missingShare) / linkBytesPerMs) * state.faults.slowFactor
   const start = Math.max(now(), linkFreeAt.get(link) ?? 0)
   const end = start + duration
   linkFreeAt.set(link, end)
   while (now() < end || state.faults.stallTransfers) {
     if (state.runs.get(run.request) !== run) return
     if (!state.faults.stallTransfers)
-      run.moved = Math.max(0, Math.min(1, 1 - (end - now()) / Math.max(1, duration))) * kvBytes
+      run.movedBytes = Math.max(0, Math.min(1, 1 - (end - now()) / Math.max(1, duration))) * kvBytes
     if (!state.faults.stallTransfers) run.listener?.('transfer')
-    await wait(Math.min(CHUNK_MS, Math.max(1, end - now())))
+    await wait(Math.min(PROGRESS_INTERVAL_MS, Math.max(1, end - now())))
   }
   if (state.runs.get(run.request) !== run) return
-  await askDone(source.address, run)
-  work.startRun(run)
+  await confirmFetched(source.address, run)
+  scheduler.startRun(run)
 }
 
-function drop(state: EngineState, run: DecodeRun): void {
+function dropRun(state: EngineState, run: DecodeRun): void {
   if (state.runs.get(run.request) !== run) return
   state.runs.delete(run.request)
   run.listener?.('fenced')
 }
 
-async function askExport(address: string, run: DecodeRun): Promise<boolean> {
+async function requestExport(address: string, run: DecodeRun): Promise<boolean> {
   return post(`http://${address}/v1/kv/${encodeURIComponent(run.request)}/export?epoch=${run.epoch}`)
 }
 
-async function askDone(address: string, run: DecodeRun): Promise<boolean> {
+async function confirmFetched(address: string, run: DecodeRun): Promise<boolean> {
   return post(`http://${address}/v1/kv/${encodeURIComponent(run.request)}/done?epoch=${run.epoch}`)
 }
 
--- a/engine/fakes/src/prefixCache.ts
+++ b/engine/fakes/src/prefixCache.ts
@@ -19,13 +19,13 @@
 
   add(blocks: string[]): void {
     for (const block of blocks) {
-      if (!this.blocks.delete(block)) this.note('added', block)
+      if (!this.blocks.delete(block)) this.recordEvent('added', block)
       this.blocks.set(block, true)
     }
     while (this.blocks.size > this.capacityBlocks) {
       const oldest = this.blocks.keys().next().value!
       this.blocks.delete(oldest)
-      this.note('evicted', oldest)
+      this.recordEvent('evicted', oldest)
     }
   }
 
@@ -33,7 +33,7 @@
     return this.events.filter((event) => event.seq > seq)
   }
 
-  private note(type: CacheEvent['type'], block: string): void {
+  private recordEvent(type: CacheEvent['type'], block: string): void {
     this.seq += 1
     this.events.push({ seq: this.seq, type, block })
     if (this.events.length > MAX_EVENTS) this.events = this.events.slice(MAX_EVENTS / 2)
--- a/engine/fakes/src/writeStream.ts
+++ b/engine/fakes/src/writeStream.ts
@@ -8,41 +8,42 @@
   response.setHeader('content-type', 'application/x-ndjson')
   response.flushHeaders()
   const { request, epoch } = run
-  let sent = from
-  let held: string | undefined
+  let nextSeq = from
+  let heldLine: string | undefined
   const write = (line: EngineLine) => response.write(`${JSON.stringify(line)}\n`)
   const writeToken = (seq: number) => {
-    const text = answerToken(run.order.seed, seq)
+    const text = answerToken(run.params.seed, seq)
     const line = `${JSON.stringify({ type: 'token', request, epoch, seq, text })}\n`
-    if (state.faults.swapFrames && seq % 2 === 0) return void (held = line)
+    if (state.faults.swapFrames && seq % 2 === 0) return void (heldLine = line)
     response.write(line)
-    if (held !== undefined) response.write(held)
-    held = undefined
+    if (heldLine !== undefined) response.write(heldLine)
+    heldLine = undefined
     if (state.faults.doubleFrames) response.write(line)
   }
-  const catchUp = () => {
-    while (sent < run.produced) {
-      writeToken(sent)
-      sent += 1
-      if (state.faults.cutStreamsAfter > 0 && sent - from >= state.faults.cutStreamsAfter)
+  const writeProduced = () => {
+    while (nextSeq < run.producedTokens) {
+      writeToken(nextSeq)
+      nextSeq += 1
+      if (state.faults.cutStreamsAfter > 0 && nextSeq - from >= state.faults.cutStreamsAfter)
         return response.destroy()
     }
-    if (run.state !== 'finished' || sent < run.length) return
-    if (held !== undefined) response.write(held)
-    held = undefined
+    if (run.state !== 'finished' || nextSeq < run.answerTokens) return
+    if (heldLine !== undefined) response.write(heldLine)
+    heldLine = undefined
     write({
       type: 'end',
       request,
       epoch,
-      seq: run.length,
-      finish: run.length >= run.order.maxTokens ? 'length' : 'stop',
+      seq: run.answerTokens,
+      finish: run.answerTokens >= run.params.maxTokens ? 'length' : 'stop',
     })
     response.end()
   }
   run.listener = (event) => {
-    if (event === 'transfer') return write({ type: 'transfer', moved: run.moved, total: run.order.kvBytes })
+    if (event === 'transfer')
+      return write({ type: 'transfer', moved: run.movedBytes, total: run.params.kvBytes })
     if (event === 'fenced') return void response.end()
-    catchUp()
+    writeProduced()
   }
-  catchUp()
+  writeProduced()
 }
--- a/request/runner/src/engineSteps.ts
+++ b/request/runner/src/engineSteps.ts
@@ -118,8 +118,8 @@
       onClose: (error) => {
         const reason = error?.reason ?? 'the stream ended early'
         const at = state.placement?.decode
-        if (error?.rest.type === 'rest' && at !== undefined)
-          parts.tracker.recordRefusal(at, error.rest, id, reason)
+        if (error?.retryAfter.type === 'rest' && at !== undefined)
+          parts.tracker.recordRefusal(at, error.retryAfter, id, reason)
         emit({ type: 'streamClosed', attempt, reason, notRun: error?.notRun ?? false })
       },
     }
@@ -154,7 +154,7 @@
   ): void {
     const { id, parts, emit } = this.options
     const { reason, notRun } = error
-    parts.tracker.recordRefusal(endpoint, error.rest, id, reason)
+    parts.tracker.recordRefusal(endpoint, error.retryAfter, id, reason)
     parts.traces.record(id, 'failed', { step, endpoint, reason, notRun })
     parts.logger.warn('request.failed', { request: id, attempt, ...toErrorBody(error) })
     emit({ type: 'stepFailed', step, attempt, endpoint, reason, notRun })
--- a/tools/bench/src/crashExperiment.ts
+++ b/tools/bench/src/crashExperiment.ts
@@ -5,54 +5,54 @@
 import { round } from './summarise'
 
 /** Requests that an engine runs when it ends. */
-const RUNNING = 64
+const RUNNING_REQUESTS = 64
 /** Ends that are in the book: at the target 200 boxes fail in a day, those of an hour are kept. */
-const END_COUNTS = [3, 10, 30]
+const CRASH_COUNTS = [3, 10, 30]
 const LOOKUPS = 200_000
-const HASHES = 20_000
+const DIGESTS = 20_000
 const BODY_BYTES = [800, 8_000, 32_000]
 const HOUR_MS = 3_600_000
 
 /** Times what each request and each end of an endpoint costs the book of contents, and what passes between machines. */
 export function runCrashExperiment(): void {
-  const ends = END_COUNTS.map(measureEnds)
+  const rows = CRASH_COUNTS.map(measureCrashes)
   printTable(
     ['ends in the book', 'contents', 'µs to take one end', 'bytes of one end', 'ns a lookup'],
-    ends.map((row) => [row.ends, row.contents, row.takeUs, row.endBytes, row.lookupNs]),
+    rows.map((row) => [row.ends, row.contents, row.takeUs, row.endBytes, row.lookupNs]),
   )
   const digests = BODY_BYTES.map(measureDigest)
   printTable(
     ['bytes of a body', 'µs a digest'],
     digests.map((row) => [row.bytes, row.digestUs]),
   )
-  writeJson('crashes', { ends, digests })
+  writeJson('crashes', { ends: rows, digests })
 }
 
-function measureEnds(ends: number) {
+function measureCrashes(ends: number) {
   const from = new CrashTracker({ now: () => performance.now(), ends: 3, keepMs: HOUR_MS })
   const to = new CrashTracker({ now: () => performance.now(), ends: 3, keepMs: HOUR_MS })
-  let takeMs = 0
+  let mergeMs = 0
   let endBytes = 0
   for (let end = 0; end < ends; end += 1) {
-    const under = Array.from({ length: RUNNING }, () => ({
+    const running = Array.from({ length: RUNNING_REQUESTS }, () => ({
       content: randomBytes(12).toString('hex'),
       isEarly: false,
     }))
-    const text = JSON.stringify(from.recordCrash(`i-${randomBytes(5).toString('hex')}~mv47tb9k`, under))
+    const text = JSON.stringify(from.recordCrash(`i-${randomBytes(5).toString('hex')}~mv47tb9k`, running))
     endBytes = text.length
     const started = performance.now()
     to.merge(readCrashRecords(JSON.parse(text)))
-    takeMs += performance.now() - started
+    mergeMs += performance.now() - started
   }
   const started = performance.now()
   for (let count = 0; count < LOOKUPS; count += 1) to.refusalByBlame('a content that is not there')
   const lookupNs = round(((performance.now() - started) * 1e6) / LOOKUPS, 0)
-  return { ends, contents: to.size, takeUs: round((takeMs * 1_000) / ends, 0), endBytes, lookupNs }
+  return { ends, contents: to.size, takeUs: round((mergeMs * 1_000) / ends, 0), endBytes, lookupNs }
 }
 
 function measureDigest(bytes: number) {
   const content = { method: 'POST', host: 'h.example', path: '/p/1', body: randomBytes(bytes) }
   const started = performance.now()
-  for (let count = 0; count < HASHES; count += 1) contentDigest(content)
-  return { bytes, digestUs: round(((performance.now() - started) * 1_000) / HASHES, 1) }
+  for (let count = 0; count < DIGESTS; count += 1) contentDigest(content)
+  return { bytes, digestUs: round(((performance.now() - started) * 1_000) / DIGESTS, 1) }
 }
--- a/tools/bench/src/engineModel.ts
+++ b/tools/bench/src/engineModel.ts
@@ -5,7 +5,7 @@
   stepMs: number
   stepMsPerAnswer: number
   /** Prompt tokens that an engine reads in a millisecond; a decode engine reads at half the pace. */
-  readsPerMs: number
+  prefillTokensPerMs: number
   /** Tokens in one event of an answer. */
   tokensPerEvent: number
 }
@@ -15,13 +15,13 @@
   request: string
   promptTokens: number
   outputTokens: number
-  made: number
+  producedTokens: number
   startedAt: number
   /** Put back for want of memory; what it held has to be read again. */
-  rereadsUntil: number
+  preemptedAt: number
   longestPauseMs: number
   /** When its last event came. */
-  eventAt: number
+  lastEventAt: number
   onEnd: () => void
 }
 
@@ -31,9 +31,9 @@
  */
 export class EngineModel {
   private running: RunningAnswer[] = []
-  private putBack: RunningAnswer[] = []
-  private readsUntil = 0
-  rereadTokens = 0
+  private preempted: RunningAnswer[] = []
+  private prefillUntil = 0
+  recomputedTokens = 0
   /** How many times longer than it should everything takes here now. */
   slowness = 1
   /** Memory in use over time, for its mean. */
@@ -46,66 +46,67 @@
   }
 
   /** Lets an answer go on elsewhere; undefined where it does not run here. */
-  take(request: string): RunningAnswer | undefined {
+  remove(request: string): RunningAnswer | undefined {
     const answer = this.running.find((one) => one.request === request)
     this.running = this.running.filter((one) => one !== answer)
     return answer
   }
 
   /** Reads a prompt here, between the tokens of others, which it holds up. */
-  read(tokens: number, now: number): number {
-    this.readsUntil = Math.max(now, this.readsUntil) + (tokens * 2 * this.slowness) / this.options.readsPerMs
-    return this.readsUntil
+  prefill(tokens: number, now: number): number {
+    this.prefillUntil =
+      Math.max(now, this.prefillUntil) + (tokens * 2 * this.slowness) / this.options.prefillTokensPerMs
+    return this.prefillUntil
   }
 
   /** Lets time pass. */
   advance(now: number, stepMs: number): void {
-    this.heldTokenMs += this.held() * stepMs
-    this.resume(now)
-    if (now >= this.readsUntil) this.makeTokens(stepMs, now)
-    this.makeRoom(now)
-    const ended = this.running.filter((one) => one.made >= one.outputTokens)
-    this.running = this.running.filter((one) => one.made < one.outputTokens)
+    this.heldTokenMs += this.heldTokens() * stepMs
+    this.resumePreempted(now)
+    if (now >= this.prefillUntil) this.produceTokens(stepMs, now)
+    this.preemptForMemory(now)
+    const ended = this.running.filter((one) => one.producedTokens >= one.outputTokens)
+    this.running = this.running.filter((one) => one.producedTokens < one.outputTokens)
     ended.forEach((one) => one.onEnd())
   }
 
-  private held(): number {
-    return this.running.reduce((sum, one) => sum + one.promptTokens + one.made, 0)
+  private heldTokens(): number {
+    return this.running.reduce((sum, one) => sum + one.promptTokens + one.producedTokens, 0)
   }
 
-  private makeTokens(passedMs: number, now: number): void {
+  private produceTokens(passedMs: number, now: number): void {
     const { stepMs, stepMsPerAnswer, tokensPerEvent } = this.options
-    const made = passedMs / ((stepMs + stepMsPerAnswer * this.running.length) * this.slowness)
+    const newTokens = passedMs / ((stepMs + stepMsPerAnswer * this.running.length) * this.slowness)
     for (const one of this.running) {
-      const events = Math.floor(one.made / tokensPerEvent)
-      one.made += made
-      if (Math.floor(one.made / tokensPerEvent) > events) noteEvent(one, now)
+      const events = Math.floor(one.producedTokens / tokensPerEvent)
+      one.producedTokens += newTokens
+      if (Math.floor(one.producedTokens / tokensPerEvent) > events) recordEvent(one, now)
     }
   }
 
-  private makeRoom(now: number): void {
-    while (this.held() > this.options.kvTokens && this.running.length > 1) {
+  private preemptForMemory(now: number): void {
+    while (this.heldTokens() > this.options.kvTokens && this.running.length > 1) {
       const newest = this.running.pop()!
-      const tokens = newest.promptTokens + newest.made
-      this.rereadTokens += tokens
-      newest.rereadsUntil = now
-      this.putBack.push(newest)
+      const tokens = newest.promptTokens + newest.producedTokens
+      this.recomputedTokens += tokens
+      newest.preemptedAt = now
+      this.preempted.push(newest)
     }
   }
 
-  private resume(now: number): void {
-    const next = this.putBack[0]
+  private resumePreempted(now: number): void {
+    const next = this.preempted[0]
     if (next === undefined) return
-    const tokens = next.promptTokens + next.made
-    if (this.held() + tokens > this.options.kvTokens && this.running.length > 0) return
-    this.putBack.shift()
-    const readAt = this.read(tokens, now)
-    next.longestPauseMs = Math.max(next.longestPauseMs, readAt - next.rereadsUntil)
+    const tokens = next.promptTokens + next.producedTokens
+    if (this.heldTokens() + tokens > this.options.kvTokens && this.running.length > 0) return
+    this.preempted.shift()
+    const prefilledAt = this.prefill(tokens, now)
+    next.longestPauseMs = Math.max(next.longestPauseMs, prefilledAt - next.preemptedAt)
     this.running.push(next)
   }
 }
 
-function noteEvent(answer: RunningAnswer, now: number): void {
-  answer.longestPauseMs = Math.max(answer.longestPauseMs, now - answer.eventAt)
-  answer.eventAt = now
+function recordEvent(answer: RunningAnswer, now: number): void {
+  answer.longestPauseMs = Math.max(answer.longestPauseMs, now - answer.lastEventAt)
+  answer.lastEventAt = now
 }
--- a/tools/bench/src/fleetSlopes.ts
+++ b/tools/bench/src/fleetSlopes.ts
@@ -103,9 +103,9 @@
       for (const rate of REQUEST_RATES) {
         const plan = mix.plan({ rate, durationMs: IDLE_SECONDS * 1_000, random: createSeededRandom(rate) })
         const target = deployment.boxes[5]!
-        const before = await cpuOfAll(deployment)
+        const before = await cpuSecondsOfAll(deployment)
         await sendPlanned(plan, { model: mix.site.model, boxes: () => [target] })
-        const after = await cpuOfAll(deployment)
+        const after = await cpuSecondsOfAll(deployment)
         const spent = after.map((each, index) => (each - before[index]!) / IDLE_SECONDS)
         measured.push({
           rate: plan.length / IDLE_SECONDS,
@@ -134,10 +134,12 @@
 
 async function measureIdle(deployment: Deployment): Promise<IdleFigures> {
   await wait(1_500)
-  const cpuBefore = await cpuOfAll(deployment)
+  const cpuBefore = await cpuSecondsOfAll(deployment)
   const bytesBefore = bytesOfAll(deployment)
   await wait(IDLE_SECONDS * 1_000)
-  const cpu = (await cpuOfAll(deployment)).map((each, index) => (each - cpuBefore[index]!) / IDLE_SECONDS)
+  const cpu = (await cpuSecondsOfAll(deployment)).map(
+    (each, index) => (each - cpuBefore[index]!) / IDLE_SECONDS,
+  )
   const bytes = bytesOfAll(deployment).map((each, index) => (each - bytesBefore[index]!) / IDLE_SECONDS)
   const memory = (await Promise.all(deployment.boxes.map(readProcess))).map(
     (each) => each.residentBytes / 1e6,
@@ -162,8 +164,8 @@
   const first = await deployment.confirm(table)
   await deployment.waitInForce(first.version)
   await wait(2_000)
-  const idle = await spentBy(deployment, entry, () => wait(4_000))
-  const changing = await spentBy(deployment, entry, async () => {
+  const idle = await measureUsage(deployment, entry, () => wait(4_000))
+  const changing = await measureUsage(deployment, entry, async () => {
     const started = Date.now()
     for (let step = 0; step < CHANGES; step += 1) {
       table = {
@@ -185,7 +187,7 @@
   }
 }
 
-async function spentBy(deployment: Deployment, box: BoxHandle, run: () => Promise<unknown>) {
+async function measureUsage(deployment: Deployment, box: BoxHandle, run: () => Promise<unknown>) {
   const cpuBefore = (await readProcess(box)).cpuSeconds
   const bytesBefore = bytesOf(deployment, box)
   const started = performance.now()
@@ -198,7 +200,7 @@
   }
 }
 
-async function cpuOfAll(deployment: Deployment): Promise<number[]> {
+async function cpuSecondsOfAll(deployment: Deployment): Promise<number[]> {
   return (await Promise.all(deployment.boxes.map(readProcess))).map((each) => each.cpuSeconds)
 }
 
@@ -209,8 +211,8 @@
   let bytes = 0
   for (const other of deployment.boxes) {
     for (const [host, traffic] of other.proxy?.traffic() ?? []) {
-      const concerns = other === box ? host !== box.host : host === box.host
-      if (concerns) bytes += traffic.toBox + traffic.fromBox
+      const isTrafficOfBox = other === box ? host !== box.host : host === box.host
+      if (isTrafficOfBox) bytes += traffic.toBox + traffic.fromBox
     }
   }
   return bytes
--- a/tools/bench/src/journalExperiment.ts
+++ b/tools/bench/src/journalExperiment.ts
@@ -24,8 +24,9 @@
   const rows = await withDeployment(
     { site: ADDIS, portBase: PORT_BASE, settings, boxes: 3 },
     async (deployment) => {
-      const measured: Awaited<ReturnType<typeof claimFor>>[] = []
-      for (const concurrency of CONCURRENCIES) measured.push(await claimFor(deployment, concurrency, seconds))
+      const measured: Awaited<ReturnType<typeof measureClaims>>[] = []
+      for (const concurrency of CONCURRENCIES)
+        measured.push(await measureClaims(deployment, concurrency, seconds))
       return measured
     },
   )
@@ -36,7 +37,7 @@
   writeJson('journal', rows)
 }
 
-async function claimFor(deployment: Deployment, concurrency: number, seconds: number) {
+async function measureClaims(deployment: Deployment, concurrency: number, seconds: number) {
   const clock = createSystemClock()
   const peers = new PeerClient({
     credentials: { box: 'bench', sharedKey: SHARED_KEY },
@@ -52,7 +53,7 @@
   })
   const times: number[] = []
   const end = Date.now() + seconds * 1_000
-  const before = await cpuOf(deployment)
+  const before = await cpuSecondsOfAll(deployment)
   const worker = async (worker: number) => {
     for (let n = 0; Date.now() < end; n += 1) {
       const started = performance.now()
@@ -62,7 +63,7 @@
     }
   }
   await Promise.all(Array.from({ length: concurrency }, (_, index) => worker(index)))
-  const after = await cpuOf(deployment)
+  const after = await cpuSecondsOfAll(deployment)
   peers.close()
   // The leader is the replica that spent most.
   const leaderSeconds = Math.max(...after.map((each, index) => each - before[index]!))
@@ -77,7 +78,7 @@
   }
 }
 
-async function cpuOf(deployment: Deployment): Promise<number[]> {
+async function cpuSecondsOfAll(deployment: Deployment): Promise<number[]> {
   const figures = await Promise.all(deployment.boxes.map(readProcess))
   return figures.map((each) => each.cpuSeconds)
 }
--- a/tools/bench/src/limitExperiment.ts
+++ b/tools/bench/src/limitExperiment.ts
@@ -10,8 +10,8 @@
 const ENTRIES = 420
 const REPORTS = 2_000
 /** Each 500 ms, and each 250 ms for as long as the leader has fewer permits than are wanted. */
-const REPORTS_A_SECOND = 4
-const SECOND_MS = 1_000
+const REPORTS_PER_SECOND = 4
+const MS_PER_SECOND = 1_000
 
 /** Times the leader's work for one report of named rates, checked and answered, and what passes between the machines. */
 export function runLimitExperiment(): void {
@@ -25,8 +25,8 @@
 
 function measure(endpoints: number) {
   const clock = createSystemClock()
-  const book = new RateTable({ clock, logger: createSilentLogger() })
-  const ledger = new PermitAllocator({ clock, rates: book, term: () => 1 })
+  const rates = new RateTable({ clock, logger: createSilentLogger() })
+  const allocator = new PermitAllocator({ clock, rates, term: () => 1 })
   const row = { word: { perSecond: 12.5, ageMs: 312.25 }, wanted: 3, returned: 0 }
   const named = Object.fromEntries(
     Array.from({ length: endpoints }, (_, index) => [`i-7f3a91c2${index}~mv47tb9k`, row]),
@@ -35,12 +35,12 @@
   const started = performance.now()
   let answer = ''
   for (let count = 0; count < REPORTS; count += 1)
-    answer = JSON.stringify(ledger.allocate(readLimitReport(JSON.parse(text))!))
-  const reportUs = ((performance.now() - started) * SECOND_MS) / REPORTS
+    answer = JSON.stringify(allocator.allocate(readLimitReport(JSON.parse(text))!))
+  const reportUs = ((performance.now() - started) * MS_PER_SECOND) / REPORTS
   return {
     endpoints,
     reportUs: round(reportUs, 1),
-    leaderMs: round((reportUs * ENTRIES * REPORTS_A_SECOND) / SECOND_MS, 1),
+    leaderMs: round((reportUs * ENTRIES * REPORTS_PER_SECOND) / MS_PER_SECOND, 1),
     reportBytes: text.length,
     answerBytes: answer.length,
   }
--- a/tools/bench/src/memoryExperiment.ts
+++ b/tools/bench/src/memoryExperiment.ts
@@ -1,5 +1,10 @@
 import { printTable } from '@forkstage/cli'
-import { MemoryRun, type MemoryExperimentOptions, type RunFigures, type Variant } from './memoryRun'
+import {
+  MemorySimulation,
+  type MemoryExperimentOptions,
+  type RunFigures,
+  type Variant,
+} from './memorySimulation'
 import { writeJson } from './report'
 import { round } from './summarise'
 
@@ -17,9 +22,9 @@
   'memory-0.9': { tuning: { memoryShare: 0.9 } },
   'memory-1.05': { tuning: { memoryShare: 1.05 } },
   'late-memory-0.97': { tuning: { lateMemoryShare: 0.97 } },
-  'refused-late': { promptShare: 0.7 },
+  'refused-late': { promptRefusalShare: 0.7 },
   'no-reports': { withoutReports: true },
-  'no-moves': { withoutMoves: true },
+  'no-moves': { withoutMigrations: true },
 }
 
 /**
@@ -30,7 +35,7 @@
   const rows = options.rates.flatMap((rate) =>
     Object.entries(VARIANTS)
       .filter(([name]) => options.variants.length === 0 || options.variants.includes(name))
-      .map(([name, variant]) => playVariant(options, rate, name, variant)),
+      .map(([name, variant]) => runVariant(options, rate, name, variant)),
   )
   printTable(
     ['rate', 'variant', 'worth', 'worst windows', 'in aim', 'largest', 'refused', '1,000 wasted', 'fill'],
@@ -39,9 +44,9 @@
   writeJson(options.slow.share > 0 ? 'memory-slow' : 'memory', { options, rows })
 }
 
-function playVariant(options: MemoryExperimentOptions, rate: number, name: string, variant: Variant) {
+function runVariant(options: MemoryExperimentOptions, rate: number, name: string, variant: Variant) {
   const runs = Array.from({ length: options.seeds }, (_, seed) =>
-    new MemoryRun(options, rate, variant, seed + 1).play(),
+    new MemorySimulation(options, rate, variant, seed + 1).run(),
   )
   const mean = (pick: (run: RunFigures) => number) =>
     round(runs.reduce((sum, run) => sum + pick(run), 0) / runs.length, 3)
@@ -52,7 +57,7 @@
     worstWindows: mean((run) => run.worstWindows),
     inAim: mean((run) => run.inAim),
     largest: mean((run) => run.largest),
-    refused: mean((run) => run.refused),
+    refused: mean((run) => run.refusedShare),
     wastedThousands: mean((run) => run.wastedTokens / 1_000),
     fill: mean((run) => run.fill),
   }
--- a/tools/bench/src/memoryRun.ts
+++ b/tools/bench/src/memorySimulation.ts
@@ -2,7 +2,15 @@
 import { createSeededRandom, type Random } from '@forkstage/clock'
 import type { RegisteredEndpoint, Stage } from '@forkstage/directory'
 import { EngineModel, type RunningAnswer } from './engineModel'
-import { drawCall, MOST_EVENTS, SHAPES, TARGET_MS, worthOf, type Call, type CallShape } from './memoryCalls'
+import {
+  drawCall,
+  MAX_EVENTS,
+  SHAPES,
+  TARGET_MS,
+  worthOf,
+  type Call,
+  type WorkloadShape,
+} from './memoryCalls'
 
 /** Options of the memory experiment. */
 export interface MemoryExperimentOptions {
@@ -24,16 +32,16 @@
 export interface Variant {
   tuning?: Partial<AllocatorTuning>
   /** The share of the target within which a request without hope is refused. */
-  promptShare?: number
+  promptRefusalShare?: number
   /** Whether nothing is told of answers until they end. */
   withoutReports?: boolean
   /** Whether answers stay where they run. */
-  withoutMoves?: boolean
+  withoutMigrations?: boolean
 }
 
-const SECONDS = 60
+const RUN_SECONDS = 60
 /** In each ten seconds, requests come at this multiple for the last four. */
-const PEAK = 1.9
+const PEAK_FACTOR = 1.9
 const PEAK_EVERY_MS = 10_000
 const PEAK_FROM_MS = 6_000
 const STEP_MS = 5
@@ -42,17 +50,17 @@
 const SLOW_FROM_MS = 10_000
 const REPORT_EVERY_MS = 400
 const ENTRY = 'e'
-const LONGEST_PAUSE_MS = 300
+const MAX_PAUSE_MS = 300
 const SERVICE = 'model'
 const DEADLINE_MS = 14_000
-const PROMPT_SHARE = 0.17
+const PROMPT_REFUSAL_SHARE = 0.17
 const PROMPT_REFUSAL_MS = TARGET_MS / 4
-const RETURN_AFTER_MS = TARGET_MS * 0.3
+const SECOND_TRY_AFTER_MS = TARGET_MS * 0.3
 const TRANSIT_MS = 12
-const REFUSED_AGAIN_COST = 0.3
-const HELD_COST = 0.1
+const SECOND_REFUSAL_COST = 0.3
+const LATE_REFUSAL_COST = 0.1
 /** What a thousand tokens read for nothing cost, in requests. */
-const WASTE_COST = 0.16
+const WASTE_COST_PER_1000_TOKENS = 0.16
 const WINDOW_MS = 2_000
 
 /** What one run of one variant gave. */
@@ -62,13 +70,13 @@
   inAim: number
   /** How often the largest tenth is served, as a share of all. */
   largest: number
-  refused: number
+  refusedShare: number
   wastedTokens: number
   fill: number
 }
 
 /** An answer that runs, as its entry knows it. */
-interface RunningHere {
+interface PlacedRun {
   ask: PlaceAsk
   decode: string
   placedAt: number
@@ -77,18 +85,18 @@
 }
 
 /** One run of one variant: callers, engines and the allocator between them, without any network. */
-export class MemoryRun {
+export class MemorySimulation {
   private readonly random: Random
   private readonly allocator: Allocator
-  private readonly engines = new Map<string, EngineModel>()
-  private readonly readers = new Map<string, { until: number; slowness: number }>()
+  private readonly decodeEngines = new Map<string, EngineModel>()
+  private readonly prefillEngines = new Map<string, { busyUntil: number; slowness: number }>()
   /** Answers that run, as their entry knows them. */
-  private readonly running = new Map<string, RunningHere>()
-  private readonly later: { at: number; act: () => void }[] = []
+  private readonly running = new Map<string, PlacedRun>()
+  private readonly scheduled: { at: number; run: () => void }[] = []
   private readonly calls: Call[] = []
   private now = 0
   private requests = 0
-  private readonly shape: CallShape
+  private readonly shape: WorkloadShape
 
   constructor(
     private readonly options: MemoryExperimentOptions,
@@ -102,8 +110,8 @@
       Array.from({ length: count }, (_, index) => endpoint(`${stage}-${index}`, stage))
     const endpoints = [...names('prefill', options.prefill), ...names('decode', options.decode)]
     for (const one of endpoints) {
-      if (one.stage === 'decode') this.engines.set(one.id, new EngineModel(this.shape.engine))
-      else this.readers.set(one.id, { until: 0, slowness: 1 })
+      if (one.stage === 'decode') this.decodeEngines.set(one.id, new EngineModel(this.shape.engine))
+      else this.prefillEngines.set(one.id, { busyUntil: 0, slowness: 1 })
     }
     const engine = {
       slots: 64,
@@ -122,26 +130,26 @@
     })
   }
 
-  play(): RunFigures {
-    const lengthMs = SECONDS * 1_000
+  run(): RunFigures {
+    const lengthMs = RUN_SECONDS * 1_000
     for (this.now = 0; this.now < lengthMs + DEADLINE_MS; this.now += STEP_MS) {
-      if (this.now < lengthMs) this.arrive()
-      this.actDue()
-      this.turnSlow()
+      if (this.now < lengthMs) this.generateArrival()
+      this.runDue()
+      this.updateSlowness()
       if (this.now % REPORT_EVERY_MS === 0) this.report()
-      for (const engine of this.engines.values()) engine.advance(this.now, STEP_MS)
+      for (const engine of this.decodeEngines.values()) engine.advance(this.now, STEP_MS)
       if (this.now % 25 === 0) this.allocator.tick(this.now)
     }
     return this.figures(lengthMs)
   }
 
   /** The first engines of each half turn slow, and well again. */
-  private turnSlow(): void {
+  private updateSlowness(): void {
     const { share, times } = this.options.slow
     const slowness = this.now % SLOW_EVERY_MS >= SLOW_FROM_MS ? times : 1
-    for (const half of [this.engines, this.readers] as Map<string, { slowness: number }>[]) {
-      const struck = [...half.values()].slice(0, Math.round(half.size * share))
-      for (const engine of struck) engine.slowness = slowness
+    for (const pool of [this.decodeEngines, this.prefillEngines] as Map<string, { slowness: number }>[]) {
+      const slowed = [...pool.values()].slice(0, Math.round(pool.size * share))
+      for (const engine of slowed) engine.slowness = slowness
     }
   }
 
@@ -153,24 +161,24 @@
       decode,
       ageMs: this.now - placedAt,
       decodingForMs: this.now - decodingAt,
-      madeTokens: Math.floor(answer.made),
+      madeTokens: Math.floor(answer.producedTokens),
     }))
     this.allocator.applyReport(ENTRY, holds, this.now)
-    if (this.variant.withoutMoves === true) return
-    for (const { request, to } of this.allocator.planMigrations(ENTRY, this.now)) this.move(request, to)
+    if (this.variant.withoutMigrations === true) return
+    for (const { request, to } of this.allocator.planMigrations(ENTRY, this.now)) this.migrate(request, to)
   }
 
-  private move(request: string, to: string): void {
+  private migrate(request: string, to: string): void {
     const one = this.running.get(request)!
-    const answer = this.engines.get(one.decode)!.take(request)
+    const answer = this.decodeEngines.get(one.decode)!.remove(request)
     if (answer === undefined) return
     one.decode = to
-    this.engines.get(to)!.add(answer)
+    this.decodeEngines.get(to)!.add(answer)
   }
 
-  private arrive(): void {
+  private generateArrival(): void {
     const isPeak = this.now % PEAK_EVERY_MS >= PEAK_FROM_MS
-    const rate = this.rate * (isPeak ? PEAK : 1)
+    const rate = this.rate * (isPeak ? PEAK_FACTOR : 1)
     if (this.random() >= (rate * STEP_MS) / 1_000) return
     const call = drawCall(this.random, this.shape, this.calls.length, this.now)
     this.calls.push(call)
@@ -181,54 +189,57 @@
     const request = `r${(this.requests += 1)}`
     const leftMs = call.firstAt + DEADLINE_MS - this.now
     const elapsed = this.now - call.firstAt
-    const isReturn = elapsed > RETURN_AFTER_MS
+    const isReturn = elapsed > SECOND_TRY_AFTER_MS
     const ask = {
       request,
       entry: ENTRY,
       service: SERVICE,
       className: 'c',
-      promptTokens: Math.round(call.prompt),
-      mostTokens: MOST_EVENTS * this.shape.tokensPerEvent,
-      hintTokens: Math.round(call.hint),
+      promptTokens: Math.round(call.promptTokens),
+      mostTokens: MAX_EVENTS * this.shape.tokensPerEvent,
+      hintTokens: Math.round(call.hintTokens),
       priority: 1,
       targetMs: TARGET_MS - (isReturn ? 0 : elapsed) - TRANSIT_MS,
       isReturn,
-      promptMs: isReturn ? 0 : TARGET_MS * (this.variant.promptShare ?? PROMPT_SHARE) - TRANSIT_MS,
+      promptMs: isReturn
+        ? 0
+        : TARGET_MS * (this.variant.promptRefusalShare ?? PROMPT_REFUSAL_SHARE) - TRANSIT_MS,
       holdMs: Math.min(TARGET_MS * 3.4, leftMs * 0.4),
       leftMs,
-      pauseMs: LONGEST_PAUSE_MS,
+      pauseMs: MAX_PAUSE_MS,
       except: [],
       isPrefilled: false,
     }
-    this.allocator.ask(ask, this.now, (decision) => this.decided(call, ask, decision))
+    this.allocator.ask(ask, this.now, (decision) => this.applyDecision(call, ask, decision))
   }
 
-  private decided(call: Call, ask: PlaceAsk, decision: PlaceDecision): void {
+  private applyDecision(call: Call, ask: PlaceAsk, decision: PlaceDecision): void {
     const { request } = ask
     const placedAt = this.now
-    if (decision.type === 'refused') return this.refused(call, decision.retryAfterMs)
+    if (decision.type === 'refused') return this.applyRefusal(call, decision.retryAfterMs)
     if (decision.prefill === undefined) {
-      const readAt = this.engines.get(decision.decode)!.read(call.prompt, this.now)
-      return this.at(readAt, () => this.decode(call, ask, decision.decode, placedAt))
+      const prefilledAt = this.decodeEngines.get(decision.decode)!.prefill(call.promptTokens, this.now)
+      return this.at(prefilledAt, () => this.decode(call, ask, decision.decode, placedAt))
     }
     const prefill = decision.prefill
-    const reader = this.readers.get(prefill)!
-    const readAt =
-      Math.max(this.now, reader.until) + (call.prompt * reader.slowness) / this.shape.engine.readsPerMs
-    reader.until = readAt
-    this.at(readAt + TRANSIT_MS, () => {
+    const prefillEngine = this.prefillEngines.get(prefill)!
+    const prefilledAt =
+      Math.max(this.now, prefillEngine.busyUntil) +
+      (call.promptTokens * prefillEngine.slowness) / this.shape.engine.prefillTokensPerMs
+    prefillEngine.busyUntil = prefilledAt
+    this.at(prefilledAt + TRANSIT_MS, () => {
       this.allocator.recordPrefilled(request, 'ok', this.now - placedAt, this.now)
       this.decode(call, ask, decision.decode, placedAt)
     })
   }
 
-  private refused(call: Call, retryAfterMs: number): void {
+  private applyRefusal(call: Call, retryAfterMs: number): void {
     const heldMs = this.now - call.arrivedAt
     if (call.isReturn) {
-      call.worth = -REFUSED_AGAIN_COST - (heldMs > PROMPT_REFUSAL_MS ? HELD_COST : 0)
+      call.worth = -SECOND_REFUSAL_COST - (heldMs > PROMPT_REFUSAL_MS ? LATE_REFUSAL_COST : 0)
       return
     }
-    call.wasPrompt = heldMs + TRANSIT_MS < PROMPT_REFUSAL_MS
+    call.wasRefusedPromptly = heldMs + TRANSIT_MS < PROMPT_REFUSAL_MS
     call.isReturn = true
     this.at(this.now + retryAfterMs, () => {
       call.arrivedAt = this.now
@@ -241,48 +252,48 @@
     const firstAt = this.now + TRANSIT_MS
     const answer = {
       request,
-      promptTokens: call.prompt,
-      outputTokens: call.output,
-      made: 0,
+      promptTokens: call.promptTokens,
+      outputTokens: call.outputTokens,
+      producedTokens: 0,
       startedAt: this.now,
-      rereadsUntil: 0,
+      preemptedAt: 0,
       longestPauseMs: 0,
-      eventAt: this.now,
+      lastEventAt: this.now,
       onEnd: () => {
         this.running.delete(request)
-        this.allocator.release(request, 'ok', Math.round(call.output), this.now)
+        this.allocator.release(request, 'ok', Math.round(call.outputTokens), this.now)
         if (this.now >= call.firstAt + DEADLINE_MS) return
         call.worth = worthOf(call, firstAt, answer.longestPauseMs)
-        call.isInAim = call.worth === 1
+        call.metTarget = call.worth === 1
       },
     }
-    this.engines.get(engine)!.add(answer)
+    this.decodeEngines.get(engine)!.add(answer)
     this.running.set(request, { ask, decode: engine, placedAt, decodingAt: this.now, answer })
   }
 
-  private at(time: number, act: () => void): void {
-    this.later.push({ at: time, act })
+  private at(time: number, run: () => void): void {
+    this.scheduled.push({ at: time, run })
   }
 
-  private actDue(): void {
-    const due = this.later.filter((one) => one.at <= this.now).sort((left, right) => left.at - right.at)
+  private runDue(): void {
+    const due = this.scheduled.filter((one) => one.at <= this.now).sort((left, right) => left.at - right.at)
     if (due.length === 0) return
-    this.later.splice(0, this.later.length, ...this.later.filter((one) => one.at > this.now))
-    due.forEach((one) => one.act())
+    this.scheduled.splice(0, this.scheduled.length, ...this.scheduled.filter((one) => one.at > this.now))
+    due.forEach((one) => one.run())
   }
 
-  private servedOfLargest(): number {
+  private servedRatioOfLargest(): number {
     const served = (calls: Call[]) => calls.filter((call) => call.worth > 0).length / calls.length
     const bySize = [...this.calls].sort((left, right) => right.weight - left.weight)
     return served(bySize.slice(0, Math.ceil(bySize.length / 10))) / served(bySize)
   }
 
   private figures(lengthMs: number): RunFigures {
-    const engines = [...this.engines.values()]
-    const wastedTokens = engines.reduce((sum, one) => sum + one.rereadTokens, 0)
-    const cost = (wastedTokens / 1_000) * WASTE_COST
-    const owed = this.calls.reduce((sum, call) => sum + call.weight, 0)
-    const worth = this.calls.reduce((sum, call) => sum + call.worth * call.weight, -cost) / owed
+    const engines = [...this.decodeEngines.values()]
+    const wastedTokens = engines.reduce((sum, one) => sum + one.recomputedTokens, 0)
+    const cost = (wastedTokens / 1_000) * WASTE_COST_PER_1000_TOKENS
+    const totalWeight = this.calls.reduce((sum, call) => sum + call.weight, 0)
+    const worth = this.calls.reduce((sum, call) => sum + call.worth * call.weight, -cost) / totalWeight
     const windows = Array.from({ length: Math.floor(lengthMs / WINDOW_MS) }, (_, index) => {
       const inside = this.calls.filter((call) => Math.floor(call.firstAt / WINDOW_MS) === index)
       const earned = inside.reduce((sum, call) => sum + Math.max(0, call.worth) * call.weight, 0)
@@ -293,9 +304,9 @@
     return {
       worth,
       worstWindows: (windows[0]! + windows[1]!) / 2,
-      inAim: share((call) => call.isInAim),
-      largest: this.servedOfLargest(),
-      refused: share((call) => call.worth < 0),
+      inAim: share((call) => call.metTarget),
+      largest: this.servedRatioOfLargest(),
+      refusedShare: share((call) => call.worth < 0),
       wastedTokens,
       fill: heldTokenMs / (engines.length * this.shape.engine.kvTokens * lengthMs),
     }
--- a/tools/bench/src/mixes.ts
+++ b/tools/bench/src/mixes.ts
@@ -74,7 +74,7 @@
   return times
 }
 
-const between = (random: Random, least: number, most: number) => Math.round(least + random() * (most - least))
+const randomInteger = (random: Random, min: number, max: number) => Math.round(min + random() * (max - min))
 
 /** Addis: a long handbook excerpt that many share, short answers, bursts between rounds. */
 const addis: Mix = {
@@ -84,10 +84,10 @@
     arrivals(options, true).map((at, index) => {
       const { random } = options
       const handbook = textOf(`handbook ${Math.floor(random() * HANDBOOKS)} valve gate`, 2_500)
-      const own = textOf(`reader ${index} ${random()}`, between(random, 60, 400))
+      const own = textOf(`reader ${index} ${random()}`, randomInteger(random, 60, 400))
       const workspace = `gate-${Math.floor(random() * WORKSPACES)}`
       const isCheck = random() < 0.7
-      const answerTokens = isCheck ? between(random, 6, 30) : between(random, 40, 120)
+      const answerTokens = isCheck ? randomInteger(random, 6, 30) : randomInteger(random, 40, 120)
       return toRequest(at, isCheck ? 'answer-check' : 'hint', workspace, handbook, own, answerTokens)
     }),
 }
@@ -109,12 +109,12 @@
           workspace,
           '',
           textOf(`receipt ${index} ${random()}`, tokens),
-          between(random, 1, 4),
+          randomInteger(random, 1, 4),
         )
       }
       const system = textOf('assistant of the ledger', 300)
-      const own = textOf(`chat ${index} ${random()}`, between(random, 200, 1_200))
-      return toRequest(at, 'chat', workspace, system, own, between(random, 40, 150))
+      const own = textOf(`chat ${index} ${random()}`, randomInteger(random, 200, 1_200))
+      return toRequest(at, 'chat', workspace, system, own, randomInteger(random, 40, 150))
     })
   },
 }
--- a/tools/bench/src/placeCallExperiment.ts
+++ b/tools/bench/src/placeCallExperiment.ts
@@ -4,13 +4,13 @@
 import { round } from './summarise'
 
 /** Places that one report names: today's entries have some, those of the target some 130. */
-const SIZES = [4, 16, 64, 128]
+const REPORT_SIZES = [4, 16, 64, 128]
 const READS = 2_000
-const MICROSECONDS = 1_000
+const US_PER_MS = 1_000
 
 /** Measures what the leader spends on checking the reports of places, beside what parsing them costs. */
 export function runPlaceCallExperiment(): void {
-  const rows = SIZES.map((places) => {
+  const rows = REPORT_SIZES.map((places) => {
     const text = JSON.stringify({ entry: 'e1', holds: Array.from({ length: places }, (_, n) => hold(n)) })
     const parsed: unknown = JSON.parse(text)
     const parseUs = usPerPlace(places, () => void JSON.parse(text))
@@ -28,7 +28,7 @@
   for (let warm = 0; warm < READS / 4; warm += 1) run()
   const startedAt = performance.now()
   for (let read = 0; read < READS; read += 1) run()
-  return ((performance.now() - startedAt) * MICROSECONDS) / READS / places
+  return ((performance.now() - startedAt) * US_PER_MS) / READS / places
 }
 
 function hold(index: number) {
--- a/tools/bench/src/policyExperiment.ts
+++ b/tools/bench/src/policyExperiment.ts
@@ -59,14 +59,14 @@
   return runs
 }
 
-type OnceOptions = PolicyExperimentOptions & {
+type RunOptions = PolicyExperimentOptions & {
   policy: string
   load: number
   fault: FaultName
   without: string
 }
 
-async function runOnce(options: OnceOptions): Promise<PolicyRun> {
+async function runOnce(options: RunOptions): Promise<PolicyRun> {
   const { policy, load, fault, without, seconds, seed } = options
   const mix = MIXES[options.mix]
   const settings = {
@@ -89,9 +89,9 @@
       await sendPlanned(warmUp, { model: mix.site.model, boxes })
       const before = await readRecords(deployment)
       const plan = mix.plan({ rate, durationMs: seconds * 1_000, random: createSeededRandom(seed) })
-      const undo = setTimeout(() => void injectFault(deployment, fault), (seconds * 1_000) / 3)
+      const faultTimer = setTimeout(() => void injectFault(deployment, fault), (seconds * 1_000) / 3)
       const samples = await sendPlanned(plan, { model: mix.site.model, boxes })
-      clearTimeout(undo)
+      clearTimeout(faultTimer)
       const after = await readRecords(deployment)
       const records = after.map((record, index) => ({
         ...record,
@@ -139,7 +139,7 @@
   ]
   const rows = runs.map(({ mix, policy, without, load, fault, summary }) => {
     const { goodput, goodShare, refusedShare, failedShare, ttft, tbt, wastedShare, fairness } = summary
-    const three = (each: Summary['ttft']) =>
+    const formatPercentiles = (each: Summary['ttft']) =>
       `${Math.round(each.p50)}/${Math.round(each.p95)}/${Math.round(each.p99)}`
     return [
       mix,
@@ -151,8 +151,8 @@
       goodShare,
       refusedShare,
       failedShare,
-      three(ttft),
-      three(tbt),
+      formatPercentiles(ttft),
+      formatPercentiles(tbt),
       wastedShare,
       fairness,
     ]
--- a/tools/bench/src/quotaExperiment.ts
+++ b/tools/bench/src/quotaExperiment.ts
@@ -8,10 +8,10 @@
 /** Workspaces that one entry serves within two windows, and names in each report. */
 const NAMED_COUNTS = [4, 16, 64]
 /** Workspaces in use over all entries, by the target's share of 23,000 for 420 entries. */
-const WORKSPACES_AN_ENTRY = 55
+const WORKSPACES_PER_ENTRY = 55
 const REPORTS = 20_000
 const WINDOW_MS = 8_000
-const REPORTS_A_SECOND = 2
+const REPORTS_PER_SECOND = 2
 
 /** Times the leader's work for one report, for more and more entries and workspaces named. */
 export function runQuotaExperiment(): void {
@@ -24,7 +24,7 @@
 }
 
 function measure(entries: number, named: number) {
-  const workspaces = entries * WORKSPACES_AN_ENTRY
+  const workspaces = entries * WORKSPACES_PER_ENTRY
   const ledger = new QuotaLedger({
     clock: createSystemClock(),
     limit: () => 1_000_000,
@@ -42,7 +42,7 @@
     entries,
     named,
     reportUs: round(reportUs, 1),
-    leaderMs: round((reportUs * entries * REPORTS_A_SECOND) / 1_000, 2),
+    leaderMs: round((reportUs * entries * REPORTS_PER_SECOND) / 1_000, 2),
     reportBytes: JSON.stringify(reports[0]).length,
   }
 }
--- a/tools/bench/src/relayExperiment.ts
+++ b/tools/bench/src/relayExperiment.ts
@@ -45,11 +45,11 @@
   const accepted = await deployment.confirm(wide)
   await deployment.waitInForce(accepted.version)
   const box = deployment.boxes[3]!
-  await throughRouter(deployment, 8)
-  const direct = await directly(deployment)
+  await measureThroughRouter(deployment, 8)
+  const direct = await measureDirect(deployment)
   const before = await readProcess(box)
   const started = performance.now()
-  const through = await throughRouter(deployment, STREAMS)
+  const through = await measureThroughRouter(deployment, STREAMS)
   const seconds = (performance.now() - started) / 1_000
   const after = await readProcess(box)
   const tokens = STREAMS * TOKENS
@@ -64,10 +64,10 @@
   }
 }
 
-async function throughRouter(deployment: Deployment, streams: number): Promise<Percentiles> {
+async function measureThroughRouter(deployment: Deployment, streams: number): Promise<Percentiles> {
   const box = deployment.boxes[3]!
   const gaps: number[] = []
-  const follow = async (index: number) => {
+  const runStream = async (index: number) => {
     let last = 0
     const onToken = () => {
       const now = performance.now()
@@ -82,14 +82,14 @@
     })
     if (!answer.whole) throw new Error(`not whole: ${JSON.stringify(answer)}`)
   }
-  await Promise.all(Array.from({ length: streams }, (_, index) => follow(index)))
+  await Promise.all(Array.from({ length: streams }, (_, index) => runStream(index)))
   return percentiles(gaps)
 }
 
-async function directly(deployment: Deployment): Promise<Percentiles> {
-  const engines = new EngineClient({ clock: createSystemClock(), callMs: 5_000 })
+async function measureDirect(deployment: Deployment): Promise<Percentiles> {
+  const engines = new EngineClient({ clock: createSystemClock(), callTimeoutMs: 5_000 })
   const gaps: number[] = []
-  const follow = async (index: number) => {
+  const runStream = async (index: number) => {
     const port = deployment.ports.decode[index % deployment.ports.decode.length]!
     const engine = { endpoint: `direct-${port}`, address: `127.0.0.1:${port}` }
     const attempt = { request: `direct-${index}`, epoch: 1 }
@@ -117,7 +117,7 @@
       )
     })
   }
-  await Promise.all(Array.from({ length: STREAMS }, (_, index) => follow(index)))
+  await Promise.all(Array.from({ length: STREAMS }, (_, index) => runStream(index)))
   await engines.close()
   return percentiles(gaps)
 }
--- a/tools/bench/src/report.ts
+++ b/tools/bench/src/report.ts
@@ -4,12 +4,12 @@
 import { parse, View } from 'vega'
 
 /** Where measurements go. */
-export const MEASUREMENTS = 'docs/measurements'
+export const MEASUREMENTS_FOLDER = 'docs/measurements'
 
 /** Writes a measurement as JSON. */
 export function writeJson(name: string, value: unknown): void {
-  mkdirSync(MEASUREMENTS, { recursive: true })
-  writeFileSync(join(MEASUREMENTS, `${name}.json`), `${JSON.stringify(value, null, 1)}\n`)
+  mkdirSync(MEASUREMENTS_FOLDER, { recursive: true })
+  writeFileSync(join(MEASUREMENTS_FOLDER, `${name}.json`), `${JSON.stringify(value, null, 1)}\n`)
 }
 
 /** One line chart: a value of each series over x. */
@@ -37,6 +37,6 @@
     },
   }
   const view = new View(parse(compile(spec).spec), { renderer: 'none' })
-  mkdirSync(MEASUREMENTS, { recursive: true })
-  writeFileSync(join(MEASUREMENTS, `${name}.svg`), await view.toSVG())
+  mkdirSync(MEASUREMENTS_FOLDER, { recursive: true })
+  writeFileSync(join(MEASUREMENTS_FOLDER, `${name}.svg`), await view.toSVG())
 }
--- a/tools/bench/src/slopeFit.ts
+++ b/tools/bench/src/slopeFit.ts
@@ -24,16 +24,16 @@
     what,
     per,
     unit,
-    slope: significant(line.m),
-    intercept: significant(line.b),
+    slope: roundToFourDigits(line.m),
+    intercept: roundToFourDigits(line.b),
     rSquared: round(rSquared(points, linearRegressionLine(line)), 3),
     from: Math.min(...xs),
     to: Math.max(...xs),
-    points: points.map(([x, y]) => [x, significant(y)]),
+    points: points.map(([x, y]) => [x, roundToFourDigits(y)]),
   }
 }
 
 /** Four digits that count. */
-function significant(value: number): number {
+function roundToFourDigits(value: number): number {
   return Number(value.toPrecision(4))
 }
--- a/tools/bench/src/startExperiment.ts
+++ b/tools/bench/src/startExperiment.ts
@@ -16,11 +16,11 @@
 
 /** The flags of an entry in the deploy file; with others V8 refuses the code cache. */
 const FLAGS = ['--max-old-space-size=90', '--max-semi-space-size=2']
-const NANOSECONDS = 1e9
-const STARTED = '"box.started"'
+const NS_PER_SECOND = 1e9
+const STARTED_EVENT = '"box.started"'
 /** What is started, by the name in the table. */
 const PROGRAMS: Record<string, string[]> = {
-  'empty node': ['-e', `console.log('${STARTED}'); setInterval(() => {}, 1_000)`],
+  'empty node': ['-e', `console.log('${STARTED_EVENT}'); setInterval(() => {}, 1_000)`],
   'both roles, no code cache': ['dist/serve.cjs'],
   'entry, no code cache': ['dist/entry.bundle.cjs'],
   'entry, code cache': ['dist/entry.cjs'],
@@ -48,8 +48,8 @@
   const seconds = new Map<string, number[]>(Object.keys(PROGRAMS).map((name) => [name, []]))
   try {
     for (let run = 0; run < options.runs; run += 1)
-      for (const [name, words] of Object.entries(PROGRAMS))
-        seconds.get(name)!.push(await startOnce(words, settingsPath))
+      for (const [name, args] of Object.entries(PROGRAMS))
+        seconds.get(name)!.push(await startOnce(args, settingsPath))
   } finally {
     await rm(folder, { recursive: true, force: true })
   }
@@ -65,16 +65,16 @@
   writeJson('start', rows)
 }
 
-async function startOnce(words: string[], settingsPath: string): Promise<number> {
-  const child = spawn(process.execPath, [...FLAGS, ...words], {
+async function startOnce(args: string[], settingsPath: string): Promise<number> {
+  const child = spawn(process.execPath, [...FLAGS, ...args], {
     env: { ...process.env, FORKSTAGE_CONFIG: settingsPath },
     stdio: ['ignore', 'pipe', 'inherit'],
   })
   const ended = new Promise((resolve) => child.once('close', resolve))
   try {
     for await (const line of createInterface({ input: child.stdout }))
-      if (line.includes(STARTED)) return await processorSeconds(child.pid!)
-    throw new Error(`${words.join(' ')} ended before it had started`)
+      if (line.includes(STARTED_EVENT)) return await processorSeconds(child.pid!)
+    throw new Error(`${args.join(' ')} ended before it had started`)
   } finally {
     child.kill('SIGKILL')
     await ended
@@ -90,5 +90,5 @@
       return Number(text.split(' ')[0])
     }),
   )
-  return used.reduce((sum, nanoseconds) => sum + nanoseconds, 0) / NANOSECONDS
+  return used.reduce((sum, nanoseconds) => sum + nanoseconds, 0) / NS_PER_SECOND
 }
--- a/tools/bench/src/stateSlopes.ts
+++ b/tools/bench/src/stateSlopes.ts
@@ -49,10 +49,10 @@
     const change = confirm(1, table, next)
     return {
       count,
-      check: timed(() => checkTable(table, { services: new Map() })),
-      apply: timed(() => void machine.apply(change), 1),
+      check: measureMs(() => checkTable(table, { services: new Map() })),
+      apply: measureMs(() => void machine.apply(change), 1),
       snapshot: machine.snapshot().length,
-      heap: heapOf(() => createWideTable(count)),
+      heap: measureHeapBytes(() => createWideTable(count)),
     }
   })
   const pick = (key: 'check' | 'apply' | 'snapshot' | 'heap') =>
@@ -121,9 +121,9 @@
       }
       return machine
     }
-    const heap = heapOf(fill)
+    const heap = measureHeapBytes(fill)
     const machine = fill()
-    const snapshotMs = timed(() => machine.snapshot(), 3)
+    const snapshotMs = measureMs(() => machine.snapshot(), 3)
     return { count, heap, snapshotMs, bytes: machine.snapshot().length }
   })
   const pick = (key: 'heap' | 'snapshotMs' | 'bytes') =>
@@ -179,7 +179,7 @@
     owners.update({ version: [1, 1], boxes, leaving: [] })
     for (let index = 0; index < 11_000; index += 1) owners.ownerOf(`worker-${index}`)
     const joined = [...boxes, { ...boxes[0]!, box: 'joined' }]
-    return [count, timed(() => owners.update({ version: [1, 2], boxes: joined, leaving: [] }), 1)]
+    return [count, measureMs(() => owners.update({ version: [1, 2], boxes: joined, leaving: [] }), 1)]
   })
   return fitSlope('owners of 11,000 endpoints after one box came', 'live box', 'ms', points)
 }
@@ -191,7 +191,7 @@
       type: 'added' as const,
       block: `${seq}`.padStart(16, '0'),
     }))
-    return [count, timed(() => new PrefixIndex().applyEvents(events), 3)]
+    return [count, measureMs(() => new PrefixIndex().applyEvents(events), 3)]
   })
   return fitSlope('taking cache events', 'event', 'ms', points)
 }
@@ -199,13 +199,13 @@
 function promptSlope(): Slope {
   const points = [250, 1_000, 4_000, 16_000, 32_000].map((tokens): [number, number] => {
     const text = 'valve '.repeat(tokens)
-    return [tokens, timed(() => promptBlocks(text.slice(0, tokens * 4)), 20)]
+    return [tokens, measureMs(() => promptBlocks(text.slice(0, tokens * 4)), 20)]
   })
   return fitSlope('hashing a prompt into prefix blocks', 'token', 'ms', points)
 }
 
 /** Milliseconds of a call, the least of several. */
-function timed(run: () => unknown, repeats = 5): number {
+function measureMs(run: () => unknown, repeats = 5): number {
   let least = Infinity
   for (let n = 0; n < repeats; n += 1) {
     const started = performance.now()
@@ -216,7 +216,7 @@
 }
 
 /** Heap bytes that what a function returns takes up. */
-function heapOf(create: () => unknown): number {
+function measureHeapBytes(create: () => unknown): number {
   const collect = (globalThis as { gc?: () => void }).gc
   if (collect === undefined) throw new Error('run node with --expose-gc')
   collect()
--- a/tools/bench/src/tableExperiment.ts
+++ b/tools/bench/src/tableExperiment.ts
@@ -19,15 +19,17 @@
     { site: COLOMBO, portBase: PORT_BASE, cutProxies: true, settings },
     async (deployment) => {
       const measured: Row[] = []
-      measured.push(await inForce(deployment, 'accepted to in force on 8 boxes', deployment.boxes))
-      const cut = deployment.boxes[7]!
-      deployment.cutOff(cut, true)
-      measured.push(await inForce(deployment, 'the same on 7, one cut off', deployment.boxes.slice(0, 7)))
-      measured.push(await cutBoxLease(deployment, cut))
-      deployment.cutOff(cut, false)
+      measured.push(await measureInForce(deployment, 'accepted to in force on 8 boxes', deployment.boxes))
+      const cutOffBox = deployment.boxes[7]!
+      deployment.cutOff(cutOffBox, true)
+      measured.push(
+        await measureInForce(deployment, 'the same on 7, one cut off', deployment.boxes.slice(0, 7)),
+      )
+      measured.push(await measureCutOffLease(deployment, cutOffBox))
+      deployment.cutOff(cutOffBox, false)
       await deployment.waitReady()
-      measured.push(await leaderChange(deployment))
-      measured.push(...(await restart(deployment)))
+      measured.push(await measureLeaderChange(deployment))
+      measured.push(...(await measureRestart(deployment)))
       return measured
     },
   )
@@ -38,7 +40,7 @@
   writeJson('table', rows)
 }
 
-function changed(table: Table, step: number): Table {
+function withChangedWeights(table: Table, step: number): Table {
   const change = (row: EndpointRow): EndpointRow =>
     row.pool === 'plain' ? { ...row, weight: 1 + (step % 9) } : row
   return { ...table, endpoints: table.endpoints.map(change) }
@@ -55,14 +57,14 @@
   return line === undefined ? undefined : (JSON.parse(line) as { time: number }).time
 }
 
-async function inForce(deployment: Deployment, what: string, boxes: BoxHandle[]): Promise<Row> {
+async function measureInForce(deployment: Deployment, what: string, boxes: BoxHandle[]): Promise<Row> {
   const times: number[] = []
   for (let step = 0; step < CHANGES; step += 1) {
     const { version, table } = await tableOn(deployment, boxes[0]!)
-    const answer = await deployment.confirm(changed(table, step), { box: boxes[0], base: version })
+    const answer = await deployment.confirm(withChangedWeights(table, step), { box: boxes[0], base: version })
     const acceptedAt = Date.now()
-    const all = () => boxes.every((box) => installedAt(box, answer.version) !== undefined)
-    await waitUntil(all, { what: 'the table on every box', everyMs: 5 })
+    const isOnEveryBox = () => boxes.every((box) => installedAt(box, answer.version) !== undefined)
+    await waitUntil(isOnEveryBox, { what: 'the table on every box', everyMs: 5 })
     const last = Math.max(...boxes.map((box) => installedAt(box, answer.version)!))
     times.push(Math.max(0, last - acceptedAt))
   }
@@ -70,9 +72,9 @@
 }
 
 /** How long the control leader says that a cut box may still act, at most. */
-async function cutBoxLease(deployment: Deployment, cut: BoxHandle): Promise<Row> {
+async function measureCutOffLease(deployment: Deployment, cutOffBox: BoxHandle): Promise<Row> {
   const { boxes } = await deployment.control(deployment.boxes[0])
-  const left = boxes.find((box) => box.box === cut.name)?.leaseLeftMs ?? 0
+  const left = boxes.find((box) => box.box === cutOffBox.name)?.leaseLeftMs ?? 0
   return { what: 'lease left to the box cut off by then', ...percentiles([left]), unit: 'ms', count: 1 }
 }
 
@@ -86,17 +88,17 @@
 }
 
 /** From the kill of the leader until the next confirm is accepted. */
-async function leaderChange(deployment: Deployment): Promise<Row> {
+async function measureLeaderChange(deployment: Deployment): Promise<Row> {
   const times: number[] = []
   for (let round = 0; round < 5; round += 1) {
-    const doomed = await leaderOf(deployment)
-    const through = deployment.boxes[3]!
-    const { version, table } = await tableOn(deployment, through)
-    await deployment.kill(doomed)
+    const leader = await leaderOf(deployment)
+    const viaBox = deployment.boxes[3]!
+    const { version, table } = await tableOn(deployment, viaBox)
+    await deployment.kill(leader)
     const started = Date.now()
-    await deployment.confirm(changed(table, 100 + round), { box: through, base: version })
+    await deployment.confirm(withChangedWeights(table, 100 + round), { box: viaBox, base: version })
     times.push(Date.now() - started)
-    deployment.startBox(doomed)
+    deployment.startBox(leader)
     await deployment.waitReady()
   }
   return {
@@ -107,13 +109,16 @@
   }
 }
 
-async function restart(deployment: Deployment): Promise<Row[]> {
-  const through = deployment.boxes[0]!
-  let { version } = await tableOn(deployment, through)
-  const { table } = await tableOn(deployment, through)
+async function measureRestart(deployment: Deployment): Promise<Row[]> {
+  const viaBox = deployment.boxes[0]!
+  let { version } = await tableOn(deployment, viaBox)
+  const { table } = await tableOn(deployment, viaBox)
   const started = Date.now()
   for (let step = 0; step < CHANGES_BEFORE_RESTART; step += 1) {
-    const answer = await deployment.confirm(changed(table, step + version), { box: through, base: version })
+    const answer = await deployment.confirm(withChangedWeights(table, step + version), {
+      box: viaBox,
+      base: version,
+    })
     version = answer.version
   }
   const perSecond = (CHANGES_BEFORE_RESTART * 1_000) / (Date.now() - started)
