--- a/daemon/daemon/src/buildContainer.ts
+++ b/daemon/daemon/src/buildContainer.ts
@@ -73,7 +73,7 @@
     })
   })
   container.bind(TOKENS.engines).toDynamicValue((context) => {
-    return new EngineClient({ clock: context.get(TOKENS.clock), callMs: ENGINE_CALL_TIMEOUT_MS })
+    return new EngineClient({ clock: context.get(TOKENS.clock), callTimeoutMs: ENGINE_CALL_TIMEOUT_MS })
   })
 }
 
