--- a/api/caller/src/callerErrors.ts
+++ b/api/caller/src/callerErrors.ts
@@ -25,7 +25,7 @@
 
 /** Answers with an error: code, message, hint, and what is promised about execution. */
 export function sendError(response: Response, error: unknown, request?: string): void {
-  const { status, execution, retryAfterMs } = describe(error)
+  const { status, execution, retryAfterMs } = outcomeOf(error)
   if (response.headersSent) return void response.end()
   response.setHeader('x-forkstage-execution', execution)
   if (request !== undefined) response.setHeader('x-forkstage-request', request)
@@ -41,7 +41,7 @@
 }
 
 /** What is known of the execution of a request that ended with this error. */
-export function describe(error: unknown): { status: number; execution: Execution; retryAfterMs?: number } {
+export function outcomeOf(error: unknown): { status: number; execution: Execution; retryAfterMs?: number } {
   if (error instanceof AnswerError) return error
   const unavailable = error instanceof ForkstageError && error.code === 'FORKSTAGE_GROUP_UNAVAILABLE'
   return { status: unavailable ? 503 : 500, execution: 'may-have-run' }
--- a/api/caller/src/createCallerApp.ts
+++ b/api/caller/src/createCallerApp.ts
@@ -16,7 +16,7 @@
 import { BadRequestError, sendError } from './callerErrors'
 import { readHeaders } from './readHeaders'
 import { parseChatBody, toModelRequest } from './readModelRequest'
-import { endAnswer, writeEvents, writeWhole } from './writeAnswer'
+import { endWithFailure, writeEventStream, writeJson } from './writeAnswer'
 
 /** Options of {@link createCallerApp}. */
 export interface CallerAppOptions {
@@ -31,7 +31,7 @@
   logger: Logger
 }
 
-interface KnownCaller {
+interface CallerLocals {
   caller: string
 }
 
@@ -67,7 +67,7 @@
 function authenticate(settings: Settings) {
   return (request: Request, response: Response, next: NextFunction) => {
     const token = /^Bearer (.+)$/.exec(request.get('authorization') ?? '')?.[1] ?? ''
-    const known = settings.callers.find((each) => sameText(each.token, token))
+    const known = settings.callers.find((each) => equalInConstantTime(each.token, token))
     if (known === undefined) {
       const hint = 'Send "authorization: Bearer <token>" with a token from the settings.'
       return sendError(
@@ -75,20 +75,20 @@
         new BadRequestError('FORKSTAGE_UNKNOWN_CALLER', 'The token is not known.', hint, 401),
       )
     }
-    ;(response.locals as KnownCaller).caller = known.name
+    ;(response.locals as CallerLocals).caller = known.name
     next()
   }
 }
 
 /** Compares two texts in constant time. */
-export function sameText(expected: string, given: string): boolean {
-  const left = Buffer.from(digestOf(expected))
-  return timingSafeEqual(left, Buffer.from(digestOf(given)))
+export function equalInConstantTime(expected: string, given: string): boolean {
+  const expectedDigest = Buffer.from(digestOf(expected))
+  return timingSafeEqual(expectedDigest, Buffer.from(digestOf(given)))
 }
 
 function handle(serve: (request: Request, response: Response) => Promise<void>) {
   return (request: Request, response: Response) => {
-    serve(request, response).catch((error: unknown) => endAnswer(response, error, undefined))
+    serve(request, response).catch((error: unknown) => endWithFailure(response, error, undefined))
   }
 }
 
@@ -102,7 +102,7 @@
   response.json({ object: 'list', data })
 }
 
-function assertTakesWork(options: CallerAppOptions): void {
+function assertAcceptsWork(options: CallerAppOptions): void {
   const reason = options.refusesWork()
   if (reason === undefined) return
   throw new AnswerError(
@@ -118,13 +118,13 @@
 
 async function serveChat(request: Request, response: Response, options: CallerAppOptions): Promise<void> {
   const { settings, runs } = options
-  const { caller } = response.locals as KnownCaller
+  const { caller } = response.locals as CallerLocals
   const headers = readHeaders(request, caller, settings)
   const bytes = await readChatBody(request, settings)
   const body = parseChatBody(bytes)
   const key = headers.key ?? randomUUID()
   const model = toModelRequest(bytes, body, headers, caller, key, settings)
-  assertTakesWork(options)
+  assertAcceptsWork(options)
   const source = await runs.open(model, headers.lastEventId)
   options.logger.info('request.received', {
     request: source.request,
@@ -133,28 +133,28 @@
     key,
     repeatable: true,
   })
-  const frame = {
+  const metadata = {
     model: model.model,
     promptTokens: model.promptTokens,
     created: Math.floor(Date.now() / 1_000),
   }
-  const leave = leaveOnce(source)
-  response.on('close', leave)
+  const close = closeOnce(source)
+  response.on('close', close)
   try {
-    if (body.stream) await writeEvents(response, source, frame, headers.lastEventId)
-    else await writeWhole(response, source, frame)
+    if (body.stream) await writeEventStream(response, source, metadata, headers.lastEventId)
+    else await writeJson(response, source, metadata)
   } catch (error) {
-    endAnswer(response, error, source.request)
+    endWithFailure(response, error, source.request)
   } finally {
-    leave()
+    close()
   }
 }
 
-function leaveOnce(source: AnswerSource): () => void {
-  let left = false
+function closeOnce(source: AnswerSource): () => void {
+  let isClosed = false
   return () => {
-    if (left) return
-    left = true
+    if (isClosed) return
+    isClosed = true
     source.close()
   }
 }
@@ -166,10 +166,10 @@
 }
 
 function tooLarge(settings: Settings): BadRequestError {
-  const { max_body_bytes: most } = settings.request
+  const { max_body_bytes: maxBytes } = settings.request
   return new BadRequestError(
     'FORKSTAGE_BODY_TOO_LARGE',
-    `The body is larger than ${most} bytes.`,
+    `The body is larger than ${maxBytes} bytes.`,
     'Send less, or raise request.max_body_bytes.',
     413,
   )
@@ -187,22 +187,22 @@
       404,
     )
   }
-  const { caller } = response.locals as KnownCaller
+  const { caller } = response.locals as CallerLocals
   const headers = readHeaders(request, caller, settings)
   const repeatable = headers.repeatable ?? (isSafe(request.method) || rows.every((row) => row.repeatable))
-  const isRemembered = headers.key !== undefined || !repeatable
+  const needsClaim = headers.key !== undefined || !repeatable
   const length = Number(request.get('content-length') ?? 0)
   if (length > settings.request.max_body_bytes) throw tooLarge(settings)
-  const body = isRemembered
+  const body = needsClaim
     ? await readBody(request, settings.request.max_body_bytes)
     : limitBody(request, settings.request.max_body_bytes)
   if (body === undefined) throw tooLarge(settings)
-  assertTakesWork(options)
+  assertAcceptsWork(options)
   const call: PlainRequest = {
     request: runs.createId(),
     caller,
     service,
-    key: isRemembered ? `${caller}/${headers.key ?? randomUUID()}` : undefined,
+    key: needsClaim ? `${caller}/${headers.key ?? randomUUID()}` : undefined,
     bodyDigest: Buffer.isBuffer(body)
       ? digestOf(Buffer.concat([Buffer.from(`${request.method} ${request.url}\n`), body]))
       : '',
--- a/api/caller/src/index.ts
+++ b/api/caller/src/index.ts
@@ -1,3 +1,3 @@
 /** The listener for callers. */
-export { createCallerApp, sameText } from './createCallerApp'
+export { createCallerApp, equalInConstantTime } from './createCallerApp'
 export type { CallerAppOptions } from './createCallerApp'
--- a/api/caller/src/readHeaders.ts
+++ b/api/caller/src/readHeaders.ts
@@ -23,7 +23,7 @@
 
 /** Reads and checks the headers. @throws BadRequestError naming the first header that is wrong. */
 export function readHeaders(request: Request, caller: string, settings: Settings): CallerHeaders {
-  const { key_header: keyHeader, deadline_ms: longest } = settings.request
+  const { key_header: keyHeader, deadline_ms: maxDeadlineMs } = settings.request
   const key = request.get(keyHeader)
   if (key !== undefined && (key.length === 0 || key.length > MAX_KEY_CHARS)) {
     throw wrongHeader(keyHeader, `must have 1 to ${MAX_KEY_CHARS} characters`)
@@ -31,8 +31,8 @@
   const lastEventId = readNumber(request, 'last-event-id', 0, 0, 1_000_000)
   if (lastEventId > 0 && key === undefined)
     throw wrongHeader('last-event-id', `needs the ${keyHeader} of the request it goes on with`)
-  const deadlineMs = readNumber(request, 'x-forkstage-deadline-ms', longest, 1, longest)
-  const ttftMs = readNumber(request, 'x-forkstage-ttft-ms', settings.policy.ttft_target_ms, 1, longest)
+  const deadlineMs = readNumber(request, 'x-forkstage-deadline-ms', maxDeadlineMs, 1, maxDeadlineMs)
+  const ttftMs = readNumber(request, 'x-forkstage-ttft-ms', settings.policy.ttft_target_ms, 1, maxDeadlineMs)
   if (request.get('x-forkstage-ttft-ms') !== undefined && ttftMs > deadlineMs) {
     throw wrongHeader('x-forkstage-ttft-ms', 'is later than the deadline')
   }
@@ -48,12 +48,12 @@
   }
 }
 
-function readNumber(request: Request, name: string, fallback: number, least: number, most: number): number {
+function readNumber(request: Request, name: string, fallback: number, min: number, max: number): number {
   const text = request.get(name)
   if (text === undefined) return fallback
   const value = Number(text)
-  if (!Number.isInteger(value) || value < least || value > most) {
-    throw wrongHeader(name, `"${text}" is not a whole number from ${least} to ${most}`)
+  if (!Number.isInteger(value) || value < min || value > max) {
+    throw wrongHeader(name, `"${text}" is not a whole number from ${min} to ${max}`)
   }
   return value
 }
--- a/api/caller/src/writeAnswer.ts
+++ b/api/caller/src/writeAnswer.ts
@@ -5,7 +5,7 @@
 import { errorBody, sendError } from './callerErrors'
 
 /** What the answer's frame says besides its text. */
-export interface AnswerFrame {
+export interface AnswerMetadata {
   model: string
   promptTokens: number
   /** Seconds since 1970. */
@@ -13,10 +13,10 @@
 }
 
 /** Writes an answer as one JSON body, once it is whole. */
-export async function writeWhole(
+export async function writeJson(
   response: Response,
   source: AnswerSource,
-  frame: AnswerFrame,
+  metadata: AnswerMetadata,
 ): Promise<void> {
   const tokens: string[] = []
   for (;;) {
@@ -25,24 +25,24 @@
     if (part.end === undefined || (part.end.type === 'answered' && tokens.length < part.end.tokens)) continue
     if (part.end.type !== 'answered') throw toAnswerError(part.end)
     setAnswerHeaders(response, source.request)
-    return void response.json(wholeBody(source.request, frame, tokens, part.end.finish))
+    return void response.json(completionBody(source.request, metadata, tokens, part.end.finish))
   }
 }
 
 /** Writes an answer as server-sent events, a token an event; the event's id counts the tokens so far. */
-export async function writeEvents(
+export async function writeEventStream(
   response: Response,
   source: AnswerSource,
-  frame: AnswerFrame,
+  metadata: AnswerMetadata,
   from: number,
 ): Promise<void> {
   let sent = from
-  const chunk = createChunkWriter(source, frame)
+  const chunk = createChunkWriter(source, metadata)
   for (;;) {
     const part = await source.next(sent)
     if (part.end !== undefined && part.end.type !== 'answered' && !response.headersSent)
       throw toAnswerError(part.end)
-    startEvents(response, source.request)
+    startEventStream(response, source.request)
     for (const token of part.tokens) response.write(chunk(++sent, token))
     if (response.closed) return
     if (response.writableNeedDrain) await Promise.race([once(response, 'drain'), once(response, 'close')])
@@ -54,7 +54,7 @@
   }
 }
 
-function startEvents(response: Response, request: string): void {
+function startEventStream(response: Response, request: string): void {
   if (response.headersSent) return
   setAnswerHeaders(response, request)
   response.setHeader('content-type', 'text/event-stream; charset=utf-8')
@@ -68,12 +68,12 @@
 }
 
 /** Prepares all of a chunk that stays the same from token to token. */
-function createChunkWriter(source: AnswerSource, frame: AnswerFrame) {
+function createChunkWriter(source: AnswerSource, metadata: AnswerMetadata) {
   const head = JSON.stringify({
     id: source.request,
     object: 'chat.completion.chunk',
-    created: frame.created,
-    model: frame.model,
+    created: metadata.created,
+    model: metadata.model,
   })
   const open = `${head.slice(0, -1)},"choices":[{"index":0,"delta":`
   return (count: number, token: string | undefined, finish: string | null = null): string => {
@@ -82,8 +82,8 @@
   }
 }
 
-function wholeBody(request: string, frame: AnswerFrame, tokens: string[], finish: string) {
-  const { model, promptTokens, created } = frame
+function completionBody(request: string, metadata: AnswerMetadata, tokens: string[], finish: string) {
+  const { model, promptTokens, created } = metadata
   const message = { role: 'assistant', content: tokens.join('') }
   const usage = {
     prompt_tokens: promptTokens,
@@ -139,7 +139,7 @@
 }
 
 /** Answers a caller with an error, in the form that its answer has taken so far. */
-export function endAnswer(response: Response, error: unknown, request: string | undefined): void {
+export function endWithFailure(response: Response, error: unknown, request: string | undefined): void {
   if (!response.headersSent) return sendError(response, error, request)
   response.end(`event: error\ndata: ${JSON.stringify(errorBody(error, 'may-have-run', request))}\n\n`)
 }
--- a/api/operator/src/createOperatorApp.ts
+++ b/api/operator/src/createOperatorApp.ts
@@ -1,6 +1,6 @@
 import express, { type NextFunction, type Request, type Response } from 'express'
 import { z } from 'zod'
-import { sameText } from '@forkstage/caller-api'
+import { equalInConstantTime } from '@forkstage/caller-api'
 import { ForkstageError, toErrorBody } from '@forkstage/error'
 import type { Settings } from '@forkstage/settings'
 import type { OperatorService } from './operatorService'
@@ -12,8 +12,8 @@
 }
 
 /** A table of 11,000 rows is about 3 MB of JSON. */
-const MAX_BODY = '64mb'
-const DEFAULT_LIMIT = 20
+const MAX_BODY_SIZE = '64mb'
+const DEFAULT_ENTRY_LIMIT = 20
 
 const endpointRow = z.strictObject({
   endpoint: z.string(),
@@ -47,53 +47,53 @@
 export function createOperatorApp({ settings, service }: OperatorAppOptions): express.Express {
   const app = express()
   app.disable('x-powered-by')
-  addOpenRoutes(app, service)
+  addUnauthenticatedRoutes(app, service)
   app.use(authenticate(settings))
-  app.use(express.json({ limit: MAX_BODY }))
+  app.use(express.json({ limit: MAX_BODY_SIZE }))
   app.get(
     '/v1/table',
-    answer(async () => service.table()),
+    respond(async () => service.table()),
   )
   app.post(
     '/v1/table/confirm',
-    answer(async (request, response) => {
-      return service.confirm(read(confirmBody, request.body), String(response.locals.operator))
+    respond(async (request, response) => {
+      return service.confirm(parseBody(confirmBody, request.body), String(response.locals.operator))
     }),
   )
   app.get(
     '/v1/table/history',
-    answer((request) => service.history(limitOf(request))),
+    respond((request) => service.history(limitOf(request))),
   )
   app.get(
     '/v1/control',
-    answer(() => service.control()),
+    respond(() => service.control()),
   )
   app.get(
     '/v1/status',
-    answer(() => service.status()),
+    respond(() => service.status()),
   )
   app.get(
     '/v1/decisions',
-    answer(async (request) => service.decisions(limitOf(request))),
+    respond(async (request) => service.decisions(limitOf(request))),
   )
   app.get(
     '/v1/explain/:request',
-    answer((request) => service.explain(String(request.params.request))),
+    respond((request) => service.explain(String(request.params.request))),
   )
   app.post(
     '/v1/control/replace',
-    answer((request) => {
-      const { lost, withAddress } = read(replaceBody, request.body)
+    respond((request) => {
+      const { lost, withAddress } = parseBody(replaceBody, request.body)
       return service.replace(lost, withAddress)
     }),
   )
   app.post(
     '/v1/orders',
-    answer((request) => service.order(read(orderBody, request.body))),
+    respond((request) => service.order(parseBody(orderBody, request.body))),
   )
   app.post(
     '/v1/stop',
-    answer(async () => {
+    respond(async () => {
       service.stop()
       return { stopping: true }
     }),
@@ -104,7 +104,7 @@
   return app
 }
 
-function addOpenRoutes(app: express.Express, service: OperatorService): void {
+function addUnauthenticatedRoutes(app: express.Express, service: OperatorService): void {
   app.get('/healthz', (_request, response) => void response.json({ live: true }))
   app.get('/readyz', (_request, response) => {
     const ready = service.isReady()
@@ -118,7 +118,7 @@
 function authenticate(settings: Settings) {
   return (request: Request, response: Response, next: NextFunction) => {
     const token = /^Bearer (.+)$/.exec(request.get('authorization') ?? '')?.[1] ?? ''
-    const operator = settings.operators.find((each) => sameText(each.token, token))
+    const operator = settings.operators.find((each) => equalInConstantTime(each.token, token))
     if (operator === undefined) {
       const hint = 'Send "authorization: Bearer <token>" with an operator token from the settings.'
       return sendFailure(
@@ -132,7 +132,7 @@
   }
 }
 
-function read<Schema extends z.ZodType>(schema: Schema, body: unknown): z.infer<Schema> {
+function parseBody<Schema extends z.ZodType>(schema: Schema, body: unknown): z.infer<Schema> {
   const result = schema.safeParse(body)
   if (result.success) return result.data
   const faults = result.error.issues.slice(0, 20).map((issue) => `${issue.path.join('.')}: ${issue.message}`)
@@ -144,11 +144,11 @@
 }
 
 function limitOf(request: Request): number {
-  const limit = Number(request.query.limit ?? DEFAULT_LIMIT)
-  return Number.isInteger(limit) && limit > 0 ? limit : DEFAULT_LIMIT
+  const limit = Number(request.query.limit ?? DEFAULT_ENTRY_LIMIT)
+  return Number.isInteger(limit) && limit > 0 ? limit : DEFAULT_ENTRY_LIMIT
 }
 
-function answer(handle: (request: Request, response: Response) => Promise<unknown>) {
+function respond(handle: (request: Request, response: Response) => Promise<unknown>) {
   return (request: Request, response: Response) => {
     handle(request, response).then(
       (body) => response.json(body),
--- a/cli/forkstage/src/commands/losses.ts
+++ b/cli/forkstage/src/commands/losses.ts
@@ -49,7 +49,7 @@
   if (readInVain > 0) parts.push(`read in vain ${readInVain}`)
   if (alone > 0) parts.push(`placed alone ${alone}`)
   if (leaders > 0) parts.push('another leader')
-  const stand = engines === undefined ? '' : `${engines.decoders} decode, ${engines.readers} prefill`
+  const engineSummary = engines === undefined ? '' : `${engines.decoders} decode, ${engines.readers} prefill`
   const time = `${(fromMs / SECOND_MS).toFixed(0)} s`.padStart(7)
-  return `${time}  ${String(answered).padStart(5)} answered  ${stand.padEnd(22)} ${parts.join(', ')}`.trimEnd()
+  return `${time}  ${String(answered).padStart(5)} answered  ${engineSummary.padEnd(22)} ${parts.join(', ')}`.trimEnd()
 }
--- a/cli/forkstage/src/commands/status.ts
+++ b/cli/forkstage/src/commands/status.ts
@@ -1,6 +1,6 @@
 import type { BoxReport, FleetStatus } from '@forkstage/operator-api'
 import { EXIT, type BoxArguments, type Command } from '../cliTypes'
-import { askEach, withControl, type ControlArguments } from '../controlClient'
+import { fetchEvacuations, withControl, type ControlArguments } from '../controlClient'
 import { callBox, withBox } from '../operatorClient'
 import { print, printTable } from '../print'
 
@@ -13,7 +13,7 @@
       .example('$0 status', 'boxes that are cut off show until when they may act')
       .example('$0 status --control 10.0.0.1:9001', 'what each of these control machines knows is evacuated'),
   async handler(args) {
-    if (args.control.length > 0) return printControl(args)
+    if (args.control.length > 0) return printEvacuations(args)
     const status = await callBox<FleetStatus>(args, '/v1/status')
     if (args.json) print(JSON.stringify(status, null, 2))
     else printStatus(status)
@@ -21,19 +21,19 @@
   },
 }
 
-async function printControl({ control, json }: ControlArguments): Promise<number> {
-  const answers = await askEach(control)
-  if (json) print(JSON.stringify(answers, null, 2))
+async function printEvacuations({ control, json }: ControlArguments): Promise<number> {
+  const reports = await fetchEvacuations(control)
+  if (json) print(JSON.stringify(reports, null, 2))
   else
     printTable(
       ['control', 'evacuated', 'since index'],
-      answers.map(({ address, known, reason }) =>
+      reports.map(({ address, known, reason }) =>
         known === undefined
           ? [address, `not known: ${reason}`, '-']
           : [address, known.domains.join(', ') || 'none', known.index],
       ),
     )
-  return answers.some(({ known }) => known !== undefined) ? EXIT.ok : EXIT.failed
+  return reports.some(({ known }) => known !== undefined) ? EXIT.ok : EXIT.failed
 }
 
 function printStatus(status: FleetStatus): void {
--- a/cli/forkstage/src/commands/tableConfirm.ts
+++ b/cli/forkstage/src/commands/tableConfirm.ts
@@ -16,7 +16,7 @@
   waitMs: number
 }
 
-const ASK_EVERY_MS = 100
+const POLL_INTERVAL_MS = 100
 
 /** `forkstage table confirm`. */
 export const tableConfirmCommand: Command<ConfirmArguments> = {
@@ -106,7 +106,7 @@
     const { boxes, settled } = await callBox<ControlStatus>(args, '/v1/control')
     const everywhere = settled && boxes.every((box) => isInForce(box, version))
     if (everywhere || Date.now() > end) return boxes
-    await new Promise((resolve) => setTimeout(resolve, ASK_EVERY_MS))
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS))
   }
 }
 
--- a/cli/forkstage/src/controlClient.ts
+++ b/cli/forkstage/src/controlClient.ts
@@ -12,7 +12,7 @@
 }
 
 /** What one control machine says of evacuations. */
-export interface KnownEvacuations {
+export interface EvacuationReport {
   address: string
   known?: EvacuationSet
   /** Why it did not say. */
@@ -20,9 +20,9 @@
 }
 
 /** A control machine says within 0.9 s that it is not sure; the rest is the way. */
-const ASK_WITHIN_MS = 1_500
-const TRY_FOR_MS = 10_000
-const PAUSE_MS = 200
+const CALL_TIMEOUT_MS = 1_500
+const TOTAL_TIMEOUT_MS = 10_000
+const RETRY_DELAY_MS = 200
 
 /** Adds the option with which a command finds control machines. */
 export function withControl(argv: Argv): Argv {
@@ -47,34 +47,34 @@
   isEvacuated: boolean,
 ): Promise<EvacuationResult> {
   if (control.length === 0) throw noAddress()
-  if (!isDomainName(domain)) throw notAName(domain)
+  if (!isDomainName(domain)) throw invalidDomainName(domain)
   const path = platformControl.evacuationPath.replace(':domain', encodeURIComponent(domain))
-  const end = Date.now() + TRY_FOR_MS
+  const end = Date.now() + TOTAL_TIMEOUT_MS
   let reason: unknown
-  for (let turn = 0; Date.now() < end; turn += 1) {
-    const address = control[turn % control.length]!
+  for (let attempt = 0; Date.now() < end; attempt += 1) {
+    const address = control[attempt % control.length]!
     try {
       return await got(`http://${address}${path}`, {
         method: isEvacuated ? 'POST' : 'DELETE',
-        timeout: { request: ASK_WITHIN_MS },
+        timeout: { request: CALL_TIMEOUT_MS },
         retry: { limit: 0 },
       }).json<EvacuationResult>()
     } catch (error) {
-      if (isRefused(error)) throw notAName(domain, address)
+      if (isBadRequest(error)) throw invalidDomainName(domain, address)
       reason = error
-      await new Promise((resolve) => setTimeout(resolve, PAUSE_MS))
+      await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS))
     }
   }
-  throw notSure(reason)
+  throw unconfirmed(reason)
 }
 
 /** What each control machine knows of evacuations. */
-export function askEach(control: string[]): Promise<KnownEvacuations[]> {
+export function fetchEvacuations(control: string[]): Promise<EvacuationReport[]> {
   return Promise.all(
     control.map(async (address) => {
       try {
         const url = `http://${address}${platformControl.evacuationsPath}`
-        const options = { timeout: { request: ASK_WITHIN_MS }, retry: { limit: 0 } }
+        const options = { timeout: { request: CALL_TIMEOUT_MS }, retry: { limit: 0 } }
         return { address, known: await got(url, options).json<EvacuationSet>() }
       } catch (error) {
         return { address, reason: toErrorBody(error).message }
@@ -83,7 +83,7 @@
   )
 }
 
-function isRefused(error: unknown): boolean {
+function isBadRequest(error: unknown): boolean {
   return error instanceof RequestError && error.response?.statusCode === 400
 }
 
@@ -94,7 +94,7 @@
   })
 }
 
-function notAName(domain: string, peer?: string): ForkstageError {
+function invalidDomainName(domain: string, peer?: string): ForkstageError {
   const hint = 'Letters, digits, dots, underlines and hyphens, the first a letter or digit, at most 63.'
   return new ForkstageError('FORKSTAGE_DOMAIN_NAME', `"${domain}" cannot be a failure domain's name.`, hint, {
     step: 'evacuate',
@@ -102,7 +102,7 @@
   })
 }
 
-function notSure(reason: unknown): ForkstageError {
+function unconfirmed(reason: unknown): ForkstageError {
   const message = `No control machine was sure in time: ${toErrorBody(reason).message}`
   const hint = 'It may have been taken. Send it again: what holds already stays as it is.'
   return new ForkstageError('FORKSTAGE_NOT_SURE', message, hint, { step: 'evacuate' })
--- a/cli/forkstage/src/findLosses.ts
+++ b/cli/forkstage/src/findLosses.ts
@@ -37,7 +37,7 @@
   targetMs: number
 }
 
-interface Engines {
+interface EngineCounts {
   decoders: number
   readers: number
 }
@@ -51,17 +51,17 @@
 export function findLosses(lines: LogLine[], { windowMs, targetMs }: FindLossesOptions): LossRow[] {
   const sorted = [...lines].sort((left, right) => left.time - right.time)
   const first = sorted[0]?.time ?? 0
-  const most = mostEngines(sorted)
-  const model = new Set(sorted.filter(isDecision).map(({ fields }) => fields.request))
+  const most = maxEngines(sorted)
+  const modelRequests = new Set(sorted.filter(isDecision).map(({ fields }) => fields.request))
   const rows = new Map<number, LossRow>()
-  let engines: Engines | undefined
+  let engines: EngineCounts | undefined
   for (const line of sorted) {
     const fromMs = Math.floor((line.time - first) / windowMs) * windowMs
     const row = rows.get(fromMs) ?? newRow(fromMs)
     rows.set(fromMs, row)
     engines = enginesOf(line) ?? engines
-    const isShort = engines !== undefined && total(engines) < most
-    note(row, line, { targetMs, isShort, isModel: model.has(line.fields.request) })
+    const lacksEngines = engines !== undefined && countEngines(engines) < most
+    countLine(row, line, { targetMs, lacksEngines, isModelRequest: modelRequests.has(line.fields.request) })
     if (enginesOf(line) !== undefined) row.engines = enginesOf(line)
   }
   return [...rows.values()].filter((row) => row.answered > 0 || row.leaders > 0)
@@ -71,15 +71,15 @@
   return { fromMs, answered: 0, causes: {}, readInVain: 0, leaders: 0, alone: 0 }
 }
 
-interface Judgement {
+interface LossContext {
   targetMs: number
   /** Whether fewer engines take work than at the best time. */
-  isShort: boolean
+  lacksEngines: boolean
   /** Whether the leader decided on the request: plain calls need no decision. */
-  isModel: boolean
+  isModelRequest: boolean
 }
 
-function note(row: LossRow, line: LogLine, options: Judgement): void {
+function countLine(row: LossRow, line: LogLine, options: LossContext): void {
   if (line.event === 'replica.role' && line.fields.role === 'leader') row.leaders += 1
   if (line.event === 'place.alone') row.alone += 1
   if (line.event !== 'request.answered') return
@@ -91,10 +91,13 @@
 }
 
 /** Why a request was not answered well; undefined where it was. */
-function causeOf({ fields }: LogLine, { targetMs, isShort, isModel }: Judgement): LossCause | undefined {
+function causeOf(
+  { fields }: LogLine,
+  { targetMs, lacksEngines, isModelRequest }: LossContext,
+): LossCause | undefined {
   const outcome = String(fields.outcome).replace(/^cut: /, '')
-  if (NO_ROOM.has(outcome) && !isModel) return 'beyond the plain endpoints'
-  if (NO_ROOM.has(outcome)) return isShort ? 'engines missing' : 'beyond the engines'
+  if (NO_ROOM.has(outcome) && !isModelRequest) return 'beyond the plain endpoints'
+  if (NO_ROOM.has(outcome)) return lacksEngines ? 'engines missing' : 'beyond the engines'
   if (NO_LEADER.has(outcome)) return 'no leader'
   if (JUST_STARTED.has(outcome)) return 'just started'
   if (outcome === 'no repeated sending is left') return 'allowance used up'
@@ -120,16 +123,16 @@
   return event === 'place.decided'
 }
 
-function enginesOf(line: LogLine): Engines | undefined {
-  return isDecision(line) ? (line.fields.engines as Engines | undefined) : undefined
+function enginesOf(line: LogLine): EngineCounts | undefined {
+  return isDecision(line) ? (line.fields.engines as EngineCounts | undefined) : undefined
 }
 
-function mostEngines(lines: LogLine[]): number {
+function maxEngines(lines: LogLine[]): number {
   return lines
     .map(enginesOf)
-    .reduce((most, one) => (one === undefined ? most : Math.max(most, total(one))), 0)
+    .reduce((most, one) => (one === undefined ? most : Math.max(most, countEngines(one))), 0)
 }
 
-function total({ decoders, readers }: Engines): number {
+function countEngines({ decoders, readers }: EngineCounts): number {
   return decoders + readers
 }
--- a/cli/forkstage/src/main.ts
+++ b/cli/forkstage/src/main.ts
@@ -30,7 +30,7 @@
   commands: Command<never>[]
 }
 
-const SINGLE: Command<never>[] = [
+const TOP_LEVEL_COMMANDS: Command<never>[] = [
   runCommand,
   serveCommand,
   traceCommand,
@@ -42,7 +42,7 @@
   stopCommand,
   versionCommand,
 ]
-const GROUPS: CommandGroup[] = [
+const COMMAND_GROUPS: CommandGroup[] = [
   { word: 'settings', help: 'Settings of a box', commands: [settingsCheckCommand] },
   {
     word: 'table',
@@ -61,8 +61,8 @@
 
 async function main(): Promise<void> {
   const parser = yargs(hideBin(process.argv)).scriptName('forkstage').version(false).strict().demandCommand(1)
-  SINGLE.forEach((command) => addCommand(parser, command, command.command))
-  for (const { word, help, commands } of GROUPS) {
+  TOP_LEVEL_COMMANDS.forEach((command) => addCommand(parser, command, command.command))
+  for (const { word, help, commands } of COMMAND_GROUPS) {
     parser.command(word, help, (group) => {
       commands.forEach((command) => addCommand(group, command, command.command.slice(word.length + 1)))
       return group.demandCommand(1)
@@ -77,8 +77,8 @@
   await parser.parseAsync()
 }
 
-function addCommand(parser: Argv, command: Command<never>, words: string): void {
-  parser.command(words, command.help, command.options, async (args) => {
+function addCommand(parser: Argv, command: Command<never>, usage: string): void {
+  parser.command(usage, command.help, command.options, async (args) => {
     process.exitCode = await command.handler(args as never).catch((error: unknown) => {
       printError(error)
       return error instanceof SettingsError || error instanceof TableError ? EXIT.usage : EXIT.failed
--- a/cli/forkstage/src/traceRequest.ts
+++ b/cli/forkstage/src/traceRequest.ts
@@ -8,9 +8,9 @@
 }
 
 /** How far around a request's own lines those of its endpoints and of the leader are shown, in milliseconds. */
-const AROUND_MS = 3_000
+const CONTEXT_MS = 3_000
 /** Events that explain a decision though they name no request. */
-const BACKGROUND = new Set([
+const CONTEXT_EVENTS = new Set([
   'endpoint.ejected',
   'endpoint.registered',
   'stage.ordered',
@@ -51,36 +51,36 @@
   if (own.length === 0) return []
   const times = own.map((line) => line.time)
   const tookMs = Math.max(0, ...own.map((line) => Number(line.fields.tookMs ?? 0)))
-  const [from, to] = [Math.min(...times) - tookMs - AROUND_MS, Math.max(...times)]
+  const [from, to] = [Math.min(...times) - tookMs - CONTEXT_MS, Math.max(...times)]
   const boxes = new Set(own.map((line) => line.box))
   const endpoints = new Set(own.flatMap(endpointsOf))
-  const around = lines.filter((line) => {
-    if (!BACKGROUND.has(line.event) || line.time < from || line.time > to) return false
+  const context = lines.filter((line) => {
+    if (!CONTEXT_EVENTS.has(line.event) || line.time < from || line.time > to) return false
     const { endpoint } = line.fields
     return endpoint === undefined
       ? boxes.has(line.box)
       : endpoints.has(String(endpoint)) || line.event === 'stage.ordered'
   })
-  return [...own, ...around, ...evacuationsAt(lines, boxes, from, to)].sort(
+  return [...own, ...context, ...evacuationLines(lines, boxes, from, to)].sort(
     (left, right) => left.time - right.time,
   )
 }
 
 /** What the request's machines believed of evacuations, however old, and the orders that brought it about. */
-function evacuationsAt(lines: LogLine[], boxes: ReadonlySet<string>, from: number, to: number): LogLine[] {
-  const beliefs = [...boxes].flatMap((box) => {
-    const heard = lines.filter(
+function evacuationLines(lines: LogLine[], boxes: ReadonlySet<string>, from: number, to: number): LogLine[] {
+  const inForce = [...boxes].flatMap((box) => {
+    const changes = lines.filter(
       (line) => line.event === 'evacuation.in-force' && line.box === box && line.time <= to,
     )
-    const last = heard.sort((left, right) => left.time - right.time).at(-1)
+    const last = changes.sort((left, right) => left.time - right.time).at(-1)
     return last !== undefined && (Number(last.fields.count) > 0 || last.time >= from) ? [last] : []
   })
-  const indexes = new Set(beliefs.map((line) => line.fields.index))
+  const indexes = new Set(inForce.map((line) => line.fields.index))
   const orders = lines.filter(
     ({ event, fields }) =>
       event === 'evacuation.taken' && fields.outcome === 'changed' && indexes.has(fields.index),
   )
-  return [...orders, ...beliefs]
+  return [...orders, ...inForce]
 }
 
 function endpointsOf(line: LogLine): string[] {
--- a/cli/forkstage/test/controlClient.test.ts
+++ b/cli/forkstage/test/controlClient.test.ts
@@ -1,13 +1,13 @@
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
-import { askEach, orderEvacuation } from '../src/controlClient'
+import { fetchEvacuations, orderEvacuation } from '../src/controlClient'
 
 const open: Server[] = []
 afterEach(() => open.splice(0).forEach((server) => server.close()))
 
 /** A control machine that answers with some statuses by turns. */
-async function control(...statuses: number[]) {
+async function startControl(...statuses: number[]) {
   const calls: string[] = []
   const server = createServer((request, response) => {
     calls.push(`${request.method} ${request.url}`)
@@ -21,7 +21,7 @@
 
 describe('orderEvacuation', () => {
   it('asks one control machine after the other until one is sure', async () => {
-    const [unsure, sure] = [await control(503), await control(200)]
+    const [unsure, sure] = [await startControl(503), await startControl(200)]
     expect(await orderEvacuation([unsure.address, sure.address], 'ør-a', true)).toMatchObject({ index: 7 })
     expect(unsure.calls).toEqual(['POST /evacuate/%C3%B8r-a'])
     expect(sure.calls).toEqual(['POST /evacuate/%C3%B8r-a'])
@@ -30,7 +30,7 @@
   })
 
   it('ends at once where the name cannot be one, or no address is known', async () => {
-    const [refuses, other] = [await control(400), await control(200)]
+    const [refuses, other] = [await startControl(400), await startControl(200)]
     await expect(orderEvacuation([other.address], '', true)).rejects.toMatchObject({
       code: 'FORKSTAGE_DOMAIN_NAME',
     })
@@ -45,8 +45,8 @@
 
 describe('askEach', () => {
   it('says what each knows, and why one does not say', async () => {
-    const [one, broken] = [await control(200), await control(500)]
-    const answers = await askEach([one.address, broken.address])
+    const [one, broken] = [await startControl(200), await startControl(500)]
+    const answers = await fetchEvacuations([one.address, broken.address])
     expect(answers[0]).toMatchObject({ known: { index: 7, domains: ['a'] } })
     expect(answers[1]).toMatchObject({ address: broken.address, reason: expect.stringContaining('500') })
   })
--- a/core/answers/src/index.ts
+++ b/core/answers/src/index.ts
@@ -1,2 +1,2 @@
 /** Answers of an HTTP server that have not left yet. */
-export { OpenAnswers } from './openAnswers'
+export { PendingResponses } from './pendingResponses'
--- a/core/answers/test/openAnswers.test.ts
+++ b/core/answers/test/pendingResponses.test.ts
@@ -2,20 +2,20 @@
 import { createServer, type ServerResponse } from 'node:http'
 import { connect, type Socket } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
-import { OpenAnswers } from '../src'
+import { PendingResponses } from '../src'
 
 const open: (() => void)[] = []
 afterEach(() => open.splice(0).forEach((close) => close()))
 
-const eventually = async (holds: () => boolean) => {
-  while (!holds()) await new Promise((resolve) => setImmediate(resolve))
+const waitUntil = async (condition: () => boolean) => {
+  while (!condition()) await new Promise((resolve) => setImmediate(resolve))
 }
 
 /** A server that hands its answers to the test, and a caller's bare connection. */
 async function start() {
   const responses: ServerResponse[] = []
   const server = createServer((_request, response) => void responses.push(response))
-  const answers = new OpenAnswers(server)
+  const answers = new PendingResponses(server)
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const { port } = server.address() as { port: number }
   open.push(() => answers.closeAll())
@@ -29,50 +29,50 @@
   return { answers, responses, caller }
 }
 
-const ASK = 'GET / HTTP/1.1\r\nHost: h\r\n\r\n'
+const REQUEST = 'GET / HTTP/1.1\r\nHost: h\r\n\r\n'
 /** More than two sockets on loopback buffer. */
 const LARGE = Buffer.alloc(15 * 1024 * 1024)
 
-describe('OpenAnswers', () => {
+describe('PendingResponses', () => {
   it('counts an answer from its request until its last bytes have left', async () => {
     const { answers, responses, caller } = await start()
     const socket = await caller()
-    socket.write(ASK)
-    await eventually(() => responses.length === 1)
+    socket.write(REQUEST)
+    await waitUntil(() => responses.length === 1)
     expect(answers.count).toBe(1)
     responses[0]!.end(LARGE)
     await new Promise((resolve) => setImmediate(resolve))
     expect(answers.count).toBe(1)
     socket.resume()
-    await eventually(() => answers.count === 0)
+    await waitUntil(() => answers.count === 0)
   })
 
   it('leaves a connection whose answer has not left when it closes, and ends one that rests', async () => {
     const { answers, responses, caller } = await start()
     const [slow, resting] = [await caller(), await caller()]
-    resting.write(ASK)
-    await eventually(() => responses.length === 1)
+    resting.write(REQUEST)
+    await waitUntil(() => responses.length === 1)
     responses[0]!.end('ok')
     await once(resting, 'data')
-    slow.write(ASK)
-    await eventually(() => responses.length === 2)
+    slow.write(REQUEST)
+    await waitUntil(() => responses.length === 2)
     responses[1]!.end(LARGE)
-    await eventually(() => answers.count === 1)
+    await waitUntil(() => answers.count === 1)
     answers.close()
     await once(resting, 'close')
     let bytes = 0
     slow.on('data', (data: Buffer) => (bytes += data.length))
-    await eventually(() => bytes >= LARGE.length)
+    await waitUntil(() => bytes >= LARGE.length)
     expect(answers.count).toBe(0)
   })
 
   it('no longer counts an answer whose caller has gone, once', async () => {
     const { answers, responses, caller } = await start()
     const socket = await caller()
-    socket.write(ASK)
-    await eventually(() => responses.length === 1)
+    socket.write(REQUEST)
+    await waitUntil(() => responses.length === 1)
     socket.destroy()
-    await eventually(() => answers.count === 0)
+    await waitUntil(() => answers.count === 0)
     responses[0]!.end('late')
     await new Promise((resolve) => setImmediate(resolve))
     expect(answers.count).toBe(0)
@@ -82,11 +82,11 @@
     const { answers, responses, caller } = await start()
     const socket = await caller()
     for (let each = 0; each < 20; each += 1) {
-      socket.write(ASK)
-      await eventually(() => responses.length === each + 1)
+      socket.write(REQUEST)
+      await waitUntil(() => responses.length === each + 1)
       responses[each]!.end('ok')
       await once(socket, 'data')
-      await eventually(() => answers.count === 0)
+      await waitUntil(() => answers.count === 0)
     }
     expect(responses[0]!.req.socket.listenerCount('close')).toBeLessThan(10)
   })
--- a/core/clock/src/clock.ts
+++ b/core/clock/src/clock.ts
@@ -1,6 +1,6 @@
 import { uptime } from 'node:os'
 import type { Millis } from '@forkstage/types'
-import { SuspensionWatch } from './suspensionWatch'
+import { SuspensionDetector } from './suspensionDetector'
 
 /** Cancels a timer that has not fired yet. */
 export type CancelTimer = () => void
@@ -24,12 +24,12 @@
 
 /** The clock of the operating system. */
 export function createSystemClock(): Clock {
-  const steady = () => performance.now()
+  const monotonic = () => performance.now()
   const wall = () => Date.now()
-  const watch = new SuspensionWatch({ steady, wall, uptime: () => uptime() * SECOND_MS })
+  const detector = new SuspensionDetector({ monotonic, wall, uptime: () => uptime() * SECOND_MS })
   return {
-    now: steady,
-    suspendedAt: () => watch.suspendedAt(),
+    now: monotonic,
+    suspendedAt: () => detector.suspendedAt(),
     wallNow: wall,
     after(delay, callback) {
       const timer = setTimeout(callback, delay)
--- a/core/clock/src/manualClock.ts
+++ b/core/clock/src/manualClock.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@forkstage/types'
 import type { Clock } from './clock'
 
-interface Pending {
+interface PendingTimer {
   due: Millis
   order: number
   callback: () => void
@@ -12,7 +12,7 @@
   private time: Millis
   private suspended: Millis = -Infinity
   private order = 0
-  private pending: Pending[] = []
+  private pending: PendingTimer[] = []
 
   constructor(start: Millis = 0) {
     this.time = start
@@ -37,7 +37,7 @@
   }
 
   after(delay: Millis, callback: () => void): () => void {
-    const entry: Pending = { due: this.time + delay, order: this.order++, callback }
+    const entry: PendingTimer = { due: this.time + delay, order: this.order++, callback }
     this.pending.push(entry)
     return () => {
       this.pending = this.pending.filter((other) => other !== entry)
@@ -55,7 +55,7 @@
     this.time = end
   }
 
-  private nextDue(end: Millis): Pending | undefined {
+  private nextDue(end: Millis): PendingTimer | undefined {
     return this.pending
       .filter((entry) => entry.due <= end)
       .sort((left, right) => left.due - right.due || left.order - right.order)[0]
--- a/core/clock/test/suspensionWatch.test.ts
+++ b/core/clock/test/suspensionDetector.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
-import { ManualClock, SuspensionWatch } from '../src'
+import { ManualClock, SuspensionDetector } from '../src'
 
 /** Three clocks that can be moved one by one. */
-function clocks() {
+function createHarness() {
   const time = { steady: 0, wall: 1e12, uptime: 5_000 }
-  const watch = new SuspensionWatch({
-    steady: () => time.steady,
+  const watch = new SuspensionDetector({
+    monotonic: () => time.steady,
     wall: () => time.wall,
     uptime: () => time.uptime,
   })
@@ -24,9 +24,9 @@
   }
 }
 
-describe('SuspensionWatch', () => {
+describe('SuspensionDetector', () => {
   it('notices nothing while all clocks go on alike, also where the time of day is slewed', () => {
-    const { time, watch, pass } = clocks()
+    const { time, watch, pass } = createHarness()
     for (let second = 0; second < 60; second += 1) {
       pass(1_000)
       time.wall += second % 2 === 0 ? 0.5 : -0.5
@@ -35,7 +35,7 @@
   })
 
   it('notices at the first look after it that the time of day has moved ahead', () => {
-    const { time, watch, pass } = clocks()
+    const { time, watch, pass } = createHarness()
     pass(1_000)
     time.wall += 5_000
     time.uptime += 5_000
@@ -45,7 +45,7 @@
   })
 
   it('notices by the uptime what a time of day that was set back hides', () => {
-    const { time, watch, pass } = clocks()
+    const { time, watch, pass } = createHarness()
     pass(8_000)
     time.uptime += 5_000
     pass(1_000)
@@ -53,7 +53,7 @@
   })
 
   it('notices one suspension once, also where both clocks show it', () => {
-    const { time, watch, pass } = clocks()
+    const { time, watch, pass } = createHarness()
     pass(8_000)
     time.wall += 5_000
     time.uptime += 5_000
@@ -63,7 +63,7 @@
   })
 
   it('takes a time of day that is set back for nothing', () => {
-    const { time, watch, pass } = clocks()
+    const { time, watch, pass } = createHarness()
     pass(1_000)
     time.wall -= 5_000
     pass(1_000)
@@ -71,7 +71,7 @@
   })
 
   it.each([0.4, 3, 1.2])('does not believe an uptime that is another machine’s (pace %s)', (rate) => {
-    const { watch, pass } = clocks()
+    const { watch, pass } = createHarness()
     pass(60_000, rate)
     expect(watch.suspendedAt()).toBe(-Infinity)
   })
--- a/core/logger/src/createLogger.ts
+++ b/core/logger/src/createLogger.ts
@@ -1,6 +1,6 @@
 import './enableRoarr'
 import { ROARR, Roarr } from 'roarr'
-import type { LogBudget } from './logBudget'
+import type { LogLimiter } from './logLimiter'
 import type { LogEventName, LogEvents } from './logEvents'
 import type { LogLevel } from './logLevel'
 
@@ -21,7 +21,7 @@
   /** Receives each line without its line end; standard output where not given. */
   write?: (line: string) => void
   /** Decides which lines are written; all are where not given. */
-  budget?: LogBudget
+  limiter?: LogLimiter
 }
 
 const LEVELS: LogLevel[] = ['debug', 'info', 'warn', 'error']
@@ -31,12 +31,12 @@
   const write = options.write ?? ((line: string) => void process.stdout.write(`${line}\n`))
   ROARR.write = write
   const roarr = Roarr.child({ ...options.context })
-  const least = LEVELS.indexOf(options.level)
+  const minLevel = LEVELS.indexOf(options.level)
   const at = (level: LogLevel) => {
-    if (LEVELS.indexOf(level) < least) return () => undefined
+    if (LEVELS.indexOf(level) < minLevel) return () => undefined
     return <Name extends LogEventName>(event: Name, fields: LogEvents[Name]) => {
-      if (options.budget?.take(event, level) === false) return
-      const counts = options.budget?.takeOmitted()
+      if (options.limiter?.allow(event, level) === false) return
+      const counts = options.limiter?.takeOmitted()
       if (counts !== undefined) roarr.warn({ event: 'log.omitted', counts } as never, 'log.omitted')
       roarr[level]({ event, ...(fields as object) } as never, event)
     }
--- a/core/logger/src/logBudget.ts
+++ b/core/logger/src/logLimiter.ts
@@ -1,7 +1,7 @@
 import type { LogLevel } from './logLevel'
 
-/** Options of {@link LogBudget}. */
-export interface LogBudgetOptions {
+/** Options of {@link LogLimiter}. */
+export interface LogLimiterOptions {
   /** Lines of one event a second, at info and below. */
   perSecond: number
   /** Steady milliseconds. */
@@ -17,24 +17,24 @@
 const URGENT_FACTOR = 20
 
 /** Decides which lines are written, so that neither load nor a reader that stops can hold the process up. */
-export class LogBudget {
-  private secondStarted = -Infinity
+export class LogLimiter {
+  private secondStartedAt = -Infinity
   private readonly written = new Map<string, number>()
   private omitted = new Map<string, number>()
   /** Lines left out since the start. */
   omittedTotal = 0
 
-  constructor(private readonly options: LogBudgetOptions) {}
+  constructor(private readonly options: LogLimiterOptions) {}
 
   /** Whether a line of an event may be written; counts it where not. */
-  take(event: string, level: LogLevel): boolean {
-    this.turnSecond()
+  allow(event: string, level: LogLevel): boolean {
+    this.startNewSecond()
     const isUrgent = level === 'warn' || level === 'error'
     const { perSecond, queuedBytes, maxQueuedBytes } = this.options
     const written = this.written.get(event) ?? 0
-    const isWithin = written < (isUrgent ? perSecond * URGENT_FACTOR : perSecond)
+    const isWithinRate = written < (isUrgent ? perSecond * URGENT_FACTOR : perSecond)
     const hasRoom = queuedBytes() < (isUrgent ? maxQueuedBytes * 2 : maxQueuedBytes)
-    if (!isWithin || !hasRoom) {
+    if (!isWithinRate || !hasRoom) {
       this.omitted.set(event, (this.omitted.get(event) ?? 0) + 1)
       this.omittedTotal += 1
       return false
@@ -52,10 +52,10 @@
     return counts
   }
 
-  private turnSecond(): void {
+  private startNewSecond(): void {
     const now = this.options.now()
-    if (now - this.secondStarted < SECOND_MS) return
-    this.secondStarted = now
+    if (now - this.secondStartedAt < SECOND_MS) return
+    this.secondStartedAt = now
     this.written.clear()
   }
 }
--- a/core/logger/test/logBudget.test.ts
+++ b/core/logger/test/logLimiter.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
-import { createLogger, LogBudget } from '../src'
+import { createLogger, LogLimiter } from '../src'
 
-function world(perSecond = 3) {
+function createHarness(perSecond = 3) {
   const state = { now: 0, queued: 0 }
-  const budget = new LogBudget({
+  const limiter = new LogLimiter({
     perSecond,
     now: () => state.now,
     queuedBytes: () => state.queued,
@@ -11,13 +11,13 @@
   })
   const lines: { event: string; counts?: Record<string, number> }[] = []
   const write = (line: string) => lines.push((JSON.parse(line) as { context: never }).context)
-  const logger = createLogger({ context: { box: 'b' }, level: 'info', write, budget })
-  return { state, budget, lines, logger, events: () => lines.map((line) => line.event) }
+  const logger = createLogger({ context: { box: 'b' }, level: 'info', write, limiter })
+  return { state, limiter, lines, logger, events: () => lines.map((line) => line.event) }
 }
 
-describe('LogBudget', () => {
+describe('LogLimiter', () => {
   it('bounds the lines of one event a second, and says what was left out', () => {
-    const { state, lines, logger, events } = world()
+    const { state, lines, logger, events } = createHarness()
     for (let index = 0; index < 10; index += 1) logger.info('control.regained', { peer: 'p' })
     expect(events()).toEqual(['control.regained', 'control.regained', 'control.regained'])
     state.now = 1_000
@@ -27,20 +27,20 @@
   })
 
   it('leaves out warnings last', () => {
-    const { logger, events } = world()
+    const { logger, events } = createHarness()
     for (let index = 0; index < 10; index += 1) logger.warn('control.lost', { peer: 'p', reason: 'r' })
     expect(events()).toHaveLength(10)
   })
 
   it('writes warnings only where lines wait, and nothing where too many do, until the reader reads on', () => {
-    const { state, budget, logger, events } = world()
+    const { state, limiter, logger, events } = createHarness()
     state.queued = 1_500
     logger.info('control.regained', { peer: 'p' })
     logger.warn('control.lost', { peer: 'p', reason: 'r' })
     state.queued = 2_500
     logger.warn('control.lost', { peer: 'p', reason: 'r' })
     expect(events()).toEqual(['control.lost'])
-    expect(budget.omittedTotal).toBe(2)
+    expect(limiter.omittedTotal).toBe(2)
     state.queued = 0
     logger.info('control.regained', { peer: 'p' })
     expect(events()).toEqual(['control.lost', 'log.omitted', 'control.regained'])
--- a/core/rates/src/index.ts
+++ b/core/rates/src/index.ts
@@ -1,3 +1,3 @@
 /** Sums and rates over time. */
-export { FadingSum } from './fadingSum'
+export { DecayingSum } from './decayingSum'
 export { WindowSum } from './windowSum'
--- a/core/rates/src/windowSum.ts
+++ b/core/rates/src/windowSum.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@forkstage/types'
 
 /** A window is kept in so many slots: what is older than the window goes within a sixty-fourth of it. */
-const SLOTS = 64
+const SLOTS_PER_WINDOW = 64
 
 /** The sum of what was added within a sliding window, never too small. */
 export class WindowSum {
@@ -11,7 +11,7 @@
   constructor(private readonly windowMs: Millis) {}
 
   add(amount: number, now: Millis): void {
-    this.dropOld(now)
+    this.dropExpired(now)
     const index = this.indexOf(now)
     const newest = this.slots.at(-1)
     if (newest?.index === index) newest.amount += amount
@@ -26,15 +26,15 @@
   }
 
   total(now: Millis): number {
-    this.dropOld(now)
+    this.dropExpired(now)
     return this.sum
   }
 
   private indexOf(now: Millis): number {
-    return Math.floor((now * SLOTS) / this.windowMs)
+    return Math.floor((now * SLOTS_PER_WINDOW) / this.windowMs)
   }
 
-  private dropOld(now: Millis): void {
+  private dropExpired(now: Millis): void {
     const oldest = this.indexOf(now - this.windowMs)
     while (this.slots.length > 0 && this.slots[0]!.index < oldest) this.sum -= this.slots.shift()!.amount
     // Rounding must not leave a rest behind.
--- a/core/rates/test/rates.test.ts
+++ b/core/rates/test/rates.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { FadingSum, WindowSum } from '../src'
+import { DecayingSum, WindowSum } from '../src'
 
 const WINDOW_MS = 8_000
 /** A window is kept in slots, so that what is older than it may still count for so long. */
@@ -52,9 +52,9 @@
   })
 })
 
-describe('FadingSum', () => {
+describe('DecayingSum', () => {
   it('counts an amount for a third after its memory', () => {
-    const sum = new FadingSum(1_000)
+    const sum = new DecayingSum(1_000)
     sum.add(9, 0)
     expect(sum.total(1_000)).toBeCloseTo(9 / Math.E)
   })
--- a/core/topology/src/index.ts
+++ b/core/topology/src/index.ts
@@ -1,5 +1,5 @@
 /** Failure domains, their regions, and how far they are apart. */
-export { bothHomes, isWithin, withinHomes } from './homes'
-export type { AtHome, Homes } from './homes'
+export { intersectRegions, isWithinRegions, withinRegions } from './allowedRegions'
+export type { InRegion, AllowedRegions } from './allowedRegions'
 export { Topology } from './topology'
 export type { Distance, Region } from './topology'
--- a/daemon/daemon/src/boxDaemon.ts
+++ b/daemon/daemon/src/boxDaemon.ts
@@ -1,6 +1,6 @@
 import type { Server } from 'node:http'
 import type { Container } from 'inversify'
-import { OpenAnswers } from '@forkstage/answers'
+import { PendingResponses } from '@forkstage/answers'
 import { createCallerApp } from '@forkstage/caller-api'
 import { delay, every, type CancelTimer } from '@forkstage/clock'
 import { createOperatorApp } from '@forkstage/operator-api'
@@ -28,7 +28,7 @@
   private readonly timers: CancelTimer[] = []
   private servers: Server[] = []
   /** Answers to callers that have not left yet. */
-  private answers: OpenAnswers | undefined
+  private answers: PendingResponses | undefined
   private peerServer: PeerServer | undefined
   private stopping: Promise<number> | undefined
   private markStopped: (cut: number) => void = () => undefined
@@ -54,7 +54,7 @@
     const callers = this.createCallers()
     const forOperators = await listenHttp(operators, settings.listen.operators)
     const forCallers = await listenHttp(callers, settings.listen.callers)
-    this.answers = new OpenAnswers(forCallers)
+    this.answers = new PendingResponses(forCallers)
     this.servers = [forOperators, forCallers]
     parts.get(PARTS.groups).start()
     parts.get(PARTS.follower).start()
--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -6,7 +6,7 @@
 import { MembershipKeeper } from '@forkstage/keeper'
 import { startPeerServer, type PeerMethod, type PeerServer } from '@forkstage/peer-rpc'
 import type { QuotaLedger } from '@forkstage/quota'
-import { RouteBook } from '@forkstage/routes'
+import { RouteStore } from '@forkstage/routes'
 import { createFileSystem } from '@forkstage/storage'
 import { SheetMachine, type SheetCommand, type SheetDocument, type SheetResult } from '@forkstage/sheet'
 import { Topology } from '@forkstage/topology'
@@ -65,7 +65,7 @@
   private listeners: Listener[] = []
   private readonly meters: FleetMeters
   private newest: SheetDocument | undefined
-  private readonly book = new RouteBook()
+  private readonly book = new RouteStore()
   private toldLeader: Address | undefined
   private cancelLook: CancelTimer = () => undefined
 
--- a/daemon/fleet/src/createQuotaLedger.ts
+++ b/daemon/fleet/src/createQuotaLedger.ts
@@ -1,13 +1,13 @@
 import type { FleetSettings } from '@forkstage/fleet-settings'
 import { QuotaLedger, quotaLimit, type QuotaLedgerOptions } from '@forkstage/quota'
-import type { RouteBook } from '@forkstage/routes'
+import type { RouteStore } from '@forkstage/routes'
 
 const SECOND_MS = 1_000
 
 /** The ledger of what entries spend of workspaces' quotas, which are those of the sheet in force. */
 export function createQuotaLedger(
   settings: FleetSettings['quota'],
-  book: RouteBook,
+  book: RouteStore,
   options: Pick<QuotaLedgerOptions, 'clock' | 'term' | 'entries'>,
 ): QuotaLedger {
   const windowMs = settings.window_s * SECOND_MS
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -20,7 +20,7 @@
 import { LIMIT_REPORT } from '@forkstage/limits'
 import { startPeerServer, type PeerServer } from '@forkstage/peer-rpc'
 import { QUOTA_REPORT, QuotaLimiter, type QuotaAnswer } from '@forkstage/quota'
-import { RouteBook, type RouteSheet } from '@forkstage/routes'
+import { RouteStore, type RouteSheet } from '@forkstage/routes'
 import { AvailabilityTracker } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import { ControlFollower, type WatchedSheet } from '@forkstage/watch'
@@ -58,7 +58,7 @@
 
 /** An entry: callers' listener, routing and relays. Keeps nothing on disk. */
 export class EntryMachine {
-  private readonly book = new RouteBook()
+  private readonly book = new RouteStore()
   private readonly directory = new Directory(() => this.basics.clock.now())
   private readonly cold: ColdEndpoints
   private readonly coldGate: ColdEndpointLimiter
--- a/daemon/fleet/src/machineBasics.ts
+++ b/daemon/fleet/src/machineBasics.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from 'node:crypto'
 import { createSystemClock, createSystemRandom, type Clock, type Random } from '@forkstage/clock'
 import type { FleetSettings } from '@forkstage/fleet-settings'
-import { createLogger, LogBudget, type Logger } from '@forkstage/logger'
+import { createLogger, LogLimiter, type Logger } from '@forkstage/logger'
 import { parseAddress, PeerClient } from '@forkstage/peer-rpc'
 
 /** What every machine of a self-registering deployment has. */
@@ -10,7 +10,7 @@
   clock: Clock
   random: Random
   logger: Logger
-  logBudget: LogBudget
+  logBudget: LogLimiter
   peers: PeerClient
   /** Names this life of the process. */
   epoch: string
@@ -21,14 +21,14 @@
 /** Makes clock, logger and connections to other machines. */
 export function createMachineBasics(settings: FleetSettings): MachineBasics {
   const clock = createSystemClock()
-  const logBudget = new LogBudget({
+  const logBudget = new LogLimiter({
     perSecond: settings.log.lines_per_second,
     now: () => clock.now(),
     queuedBytes: () => process.stdout.writableLength,
     maxQueuedBytes: MAX_QUEUED_LOG_BYTES,
   })
   const context = { box: settings.machine.name }
-  const logger = createLogger({ context, level: settings.log.level, budget: logBudget })
+  const logger = createLogger({ context, level: settings.log.level, limiter: logBudget })
   const credentials = {
     box: settings.machine.name,
     sharedKey: settings.peers.shared_key,
--- a/peer/rpc/src/lineChannel.ts
+++ b/peer/rpc/src/lineChannel.ts
@@ -20,7 +20,7 @@
 /** Frames a socket into lines, bounded in both directions. */
 export function openLineChannel(socket: Socket, options: LineChannelOptions): LineChannel {
   let parts: string[] = []
-  let pending = 0
+  let pendingChars = 0
   let closed = false
   const close = (reason: string) => {
     if (closed) return
@@ -28,23 +28,23 @@
     socket.destroy()
     options.onClose(reason)
   }
-  const takeLine = (line: string) => {
+  const emitLine = (line: string) => {
     if (!closed && line !== '') options.onLine(line)
   }
-  const take = (chunk: string) => {
+  const handleChunk = (chunk: string) => {
     const lines = chunk.split('\n')
     parts.push(lines[0]!)
-    pending += lines[0]!.length
-    if (pending > MAX_LINE_BYTES) return close('a line is too long')
+    pendingChars += lines[0]!.length
+    if (pendingChars > MAX_LINE_BYTES) return close('a line is too long')
     if (lines.length === 1) return
-    takeLine(parts.join(''))
-    for (const line of lines.slice(1, -1)) takeLine(line)
+    emitLine(parts.join(''))
+    for (const line of lines.slice(1, -1)) emitLine(line)
     parts = [lines.at(-1)!]
-    pending = parts[0]!.length
+    pendingChars = parts[0]!.length
   }
   socket.setNoDelay(true)
   socket.setEncoding('utf8')
-  socket.on('data', take as (chunk: unknown) => void)
+  socket.on('data', handleChunk as (chunk: unknown) => void)
   socket.on('error', (error) => close(error.message))
   socket.on('close', () => close('connection closed'))
   return {
--- a/peer/rpc/src/openSocket.ts
+++ b/peer/rpc/src/openSocket.ts
@@ -7,7 +7,7 @@
   /** Begins one try; `onOpen` is called once its connection can be used. */
   connect: (onOpen: () => void) => Socket
   /** How long to try altogether. */
-  limitMs: Millis
+  timeoutMs: Millis
   clock: Clock
 }
 
@@ -17,40 +17,40 @@
  * would be found only when the whole limit has passed. Above a round trip
  * between far regions, some 100 ms, so that a machine that answers is asked once.
  */
-export const ANOTHER_TRY_MS = 200
+export const NEXT_ATTEMPT_DELAY_MS = 200
 
 /**
  * Opens a connection; the first try that succeeds is taken and the others are dropped.
  * @throws the error of the first try that is answered with a refusal, or one that says the time was up.
  */
 export function openSocket(options: OpenSocketOptions): Promise<Socket> {
-  const { connect, limitMs, clock } = options
-  const tries = new Set<Socket>()
+  const { connect, timeoutMs, clock } = options
+  const attempts = new Set<Socket>()
   let cancelNext = () => {}
   let isSettled = false
   return new Promise((resolve, reject) => {
     const settle = (chosen?: Socket) => {
       isSettled = true
       cancelNext()
-      cancelLimit()
-      tries.forEach((socket) => socket !== chosen && socket.destroy())
+      cancelTimeout()
+      attempts.forEach((socket) => socket !== chosen && socket.destroy())
     }
     const fail = (error: Error) => {
       if (isSettled) return
       settle()
       reject(error)
     }
-    const cancelLimit = clock.after(limitMs, () => fail(new Error('no connection in time')))
-    const tryOnce = () => {
+    const cancelTimeout = clock.after(timeoutMs, () => fail(new Error('no connection in time')))
+    const startAttempt = () => {
       const socket = connect(() => {
         if (isSettled) return
         settle(socket)
         resolve(socket)
       })
-      tries.add(socket)
+      attempts.add(socket)
       socket.on('error', fail)
-      cancelNext = clock.after(ANOTHER_TRY_MS, tryOnce)
+      cancelNext = clock.after(NEXT_ATTEMPT_DELAY_MS, startAttempt)
     }
-    tryOnce()
+    startAttempt()
   })
 }
--- a/peer/rpc/src/peerClient.ts
+++ b/peer/rpc/src/peerClient.ts
@@ -26,19 +26,19 @@
   notify(address: Address, method: string, params: unknown): void
 }
 
-interface Link {
+interface PeerLink {
   connection?: PeerConnection
   opening?: Promise<PeerConnection>
   failures: number
   retryAt: Millis
 }
 
-const FIRST_RETRY_MS = 50
-const LONGEST_RETRY_MS = 500
+const INITIAL_RETRY_DELAY_MS = 50
+const MAX_RETRY_DELAY_MS = 500
 
 /** Long-lived connections to other boxes, opened when first needed and again after a loss. */
 export class PeerClient implements PeerCaller {
-  private readonly links = new Map<Address, Link>()
+  private readonly links = new Map<Address, PeerLink>()
   private closed = false
 
   constructor(private readonly options: PeerClientOptions) {}
@@ -68,10 +68,10 @@
     for (const link of this.links.values()) link.connection?.close()
   }
 
-  private linkTo(address: Address): Link {
+  private linkTo(address: Address): PeerLink {
     const known = this.links.get(address)
     if (known !== undefined) return known
-    const fresh: Link = { failures: 0, retryAt: 0 }
+    const fresh: PeerLink = { failures: 0, retryAt: 0 }
     this.links.set(address, fresh)
     return fresh
   }
@@ -90,7 +90,7 @@
     return link.opening
   }
 
-  private async open(address: Address, link: Link): Promise<PeerConnection> {
+  private async open(address: Address, link: PeerLink): Promise<PeerConnection> {
     const { credentials, clock, logger } = this.options
     const onClose = (reason: string) => {
       if (link.connection === undefined) return
@@ -104,7 +104,7 @@
       return connection
     } catch (error) {
       link.failures += 1
-      link.retryAt = clock.now() + Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** link.failures)
+      link.retryAt = clock.now() + Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** link.failures)
       throw error
     } finally {
       link.opening = undefined
--- a/peer/rpc/src/peerConnection.ts
+++ b/peer/rpc/src/peerConnection.ts
@@ -41,7 +41,7 @@
   onClose: (reason: string) => void
 }
 
-const HANDSHAKE_MS = 2_000
+const DEFAULT_CONNECT_MS = 2_000
 
 /** Connects to a box; both sides prove that they know the shared key. */
 export async function openPeerConnection(
@@ -53,7 +53,7 @@
   let rejectAll: (reason: string) => void = () => undefined
   const channel = openLineChannel(socket, {
     onLine: (line) => {
-      watch.noteHeard()
+      watch.recordReceived()
       client.receive(JSON.parse(line))
     },
     onClose: (reason) => {
@@ -64,7 +64,7 @@
   })
   const client = new JSONRPCClient((request) => {
     channel.send(JSON.stringify(request))
-    watch.noteSent()
+    watch.recordSent()
   })
   const watch = watchSilence({
     clock: options.clock,
@@ -80,7 +80,7 @@
     close: () => channel.close('closed'),
   }
   try {
-    await shakeHands(connection, address, credentials)
+    await performHandshake(connection, address, credentials)
   } catch (error) {
     connection.close()
     throw error
@@ -96,20 +96,20 @@
   const connect = (onOpen: () => void) =>
     tls === undefined ? connectTcp(target, onOpen) : tls.connect({ ...target, ...tls.files }, onOpen)
   try {
-    return await openSocket({ connect, limitMs: credentials.connectMs ?? HANDSHAKE_MS, clock })
+    return await openSocket({ connect, timeoutMs: credentials.connectMs ?? DEFAULT_CONNECT_MS, clock })
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error)
     throw new PeerUnreachableError(address, 'connect', reason, error)
   }
 }
 
-async function shakeHands(
+async function performHandshake(
   connection: PeerConnection,
   address: Address,
   credentials: PeerCredentials,
 ): Promise<void> {
   const nonce = createNonce()
-  const limit = credentials.connectMs ?? HANDSHAKE_MS
+  const limit = credentials.connectMs ?? DEFAULT_CONNECT_MS
   const hello = (await connection.call('hello', { nonce }, limit, 'handshake')) as {
     nonce: string
     proof: string
--- a/peer/rpc/src/startPeerServer.ts
+++ b/peer/rpc/src/startPeerServer.ts
@@ -32,7 +32,7 @@
 }
 
 /** The JSON-RPC error code under which the project's own errors travel; the body is in `data`. */
-export const APPLICATION_ERROR = -32000
+export const APPLICATION_ERROR_CODE = -32000
 
 /** Listens for other boxes and answers those that prove they know the shared key. */
 export async function startPeerServer(options: PeerServerOptions): Promise<PeerServer> {
@@ -90,17 +90,17 @@
   })
   rpc.addMethod('prove', (params: { box: BoxId; proof: string }) => {
     const expected = createProof(options.sharedKey, 'client', [clientNonce, serverNonce])
-    if (!proofsMatch(expected, params.proof)) return refuse(channel, peer, options.logger)
+    if (!proofsMatch(expected, params.proof)) return rejectPeer(channel, peer, options.logger)
     context = { box: params.box }
     for (const [name, method] of Object.entries(options.methods)) addMethod(rpc, name, method)
     return {}
   })
 }
 
-function refuse(channel: LineChannel, peer: string, logger: Logger): never {
+function rejectPeer(channel: LineChannel, peer: string, logger: Logger): never {
   logger.warn('peer.refused', { peer, reason: 'the shared key does not match' })
   setImmediate(() => channel.close('refused'))
-  throw new JSONRPCErrorException('the shared key does not match', APPLICATION_ERROR)
+  throw new JSONRPCErrorException('the shared key does not match', APPLICATION_ERROR_CODE)
 }
 
 function addMethod(rpc: JSONRPCServer<PeerContext>, name: string, method: PeerMethod): void {
@@ -109,7 +109,7 @@
       return (await method(params as never, context)) ?? null
     } catch (error) {
       const body = toErrorBody(error)
-      throw new JSONRPCErrorException(body.message, APPLICATION_ERROR, body)
+      throw new JSONRPCErrorException(body.message, APPLICATION_ERROR_CODE, body)
     }
   })
 }
--- a/peer/rpc/src/tlsFiles.ts
+++ b/peer/rpc/src/tlsFiles.ts
@@ -8,7 +8,7 @@
 }
 
 /** What node's TLS needs so that both sides are checked against the project's own authority. */
-export interface TlsMaterial {
+export interface TlsOptions {
   cert: Buffer
   key: Buffer
   ca: Buffer
@@ -17,7 +17,7 @@
 }
 
 /** Reads certificate, key and authority. */
-export function readTlsFiles(files: TlsFiles): TlsMaterial {
+export function readTlsFiles(files: TlsFiles): TlsOptions {
   return {
     cert: readFileSync(files.certificate),
     key: readFileSync(files.key),
--- a/peer/rpc/src/watchSilence.ts
+++ b/peer/rpc/src/watchSilence.ts
@@ -16,8 +16,8 @@
 
 /** Sees to it that whoever is sent to also answers. */
 export interface SilenceWatch {
-  noteSent(): void
-  noteHeard(): void
+  recordSent(): void
+  recordReceived(): void
   stop(): void
 }
 
@@ -25,18 +25,18 @@
 export function watchSilence(options: WatchSilenceOptions): SilenceWatch {
   const { clock, silentMs, probe, onSilent } = options
   let cancel: CancelTimer | undefined
-  const arm = (delay: Millis, then: () => void) => {
+  const startTimer = (delay: Millis, then: () => void) => {
     cancel = clock.after(delay, then)
   }
-  const probeThenWait = () => {
-    arm(silentMs! / 2, onSilent)
+  const sendProbe = () => {
+    startTimer(silentMs! / 2, onSilent)
     probe()
   }
   return {
-    noteSent() {
-      if (silentMs !== undefined && cancel === undefined) arm(silentMs / 2, probeThenWait)
+    recordSent() {
+      if (silentMs !== undefined && cancel === undefined) startTimer(silentMs / 2, sendProbe)
     },
-    noteHeard() {
+    recordReceived() {
       cancel?.()
       cancel = undefined
     },
--- a/peer/rpc/test/openSocket.test.ts
+++ b/peer/rpc/test/openSocket.test.ts
@@ -2,9 +2,9 @@
 import type { Socket } from 'node:net'
 import { ManualClock } from '@forkstage/clock'
 import { describe, expect, it } from 'vitest'
-import { ANOTHER_TRY_MS, openSocket } from '../src/openSocket'
+import { NEXT_ATTEMPT_DELAY_MS, openSocket } from '../src/openSocket'
 
-const LIMIT_MS = 700
+const TIMEOUT_MS = 700
 
 class FakeSocket extends EventEmitter {
   isDestroyed = false
@@ -17,62 +17,62 @@
   }
 }
 
-function begin() {
+function createHarness() {
   const clock = new ManualClock()
-  const tries: FakeSocket[] = []
+  const attempts: FakeSocket[] = []
   const connect = (onOpen: () => void) => {
     const socket = new FakeSocket(onOpen)
-    tries.push(socket)
+    attempts.push(socket)
     return socket as unknown as Socket
   }
-  const opened = openSocket({ connect, limitMs: LIMIT_MS, clock })
+  const opened = openSocket({ connect, timeoutMs: TIMEOUT_MS, clock })
   opened.catch(() => undefined)
-  return { clock, tries, opened }
+  return { clock, attempts, opened }
 }
 
 describe('opening a connection', () => {
   it('takes the first try where it is answered', async () => {
-    const { clock, tries, opened } = begin()
-    tries[0]!.open()
-    expect(await opened).toBe(tries[0])
-    clock.advance(LIMIT_MS * 2)
-    expect(tries).toHaveLength(1)
-    expect(tries[0]!.isDestroyed).toBe(false)
+    const { clock, attempts, opened } = createHarness()
+    attempts[0]!.open()
+    expect(await opened).toBe(attempts[0])
+    clock.advance(TIMEOUT_MS * 2)
+    expect(attempts).toHaveLength(1)
+    expect(attempts[0]!.isDestroyed).toBe(false)
   })
 
   it('finds a machine that has come back after its first packet was lost', async () => {
-    const { clock, tries, opened } = begin()
-    clock.advance(ANOTHER_TRY_MS)
-    expect(tries).toHaveLength(2)
-    tries[1]!.open()
-    expect(await opened).toBe(tries[1])
-    expect(tries.map((socket) => socket.isDestroyed)).toEqual([true, false])
+    const { clock, attempts, opened } = createHarness()
+    clock.advance(NEXT_ATTEMPT_DELAY_MS)
+    expect(attempts).toHaveLength(2)
+    attempts[1]!.open()
+    expect(await opened).toBe(attempts[1])
+    expect(attempts.map((socket) => socket.isDestroyed)).toEqual([true, false])
   })
 
   it('still takes an earlier try that is answered late, once', async () => {
-    const { clock, tries, opened } = begin()
-    clock.advance(ANOTHER_TRY_MS)
-    tries[0]!.open()
-    tries[1]!.open()
-    expect(await opened).toBe(tries[0])
-    expect(tries.map((socket) => socket.isDestroyed)).toEqual([false, true])
+    const { clock, attempts, opened } = createHarness()
+    clock.advance(NEXT_ATTEMPT_DELAY_MS)
+    attempts[0]!.open()
+    attempts[1]!.open()
+    expect(await opened).toBe(attempts[0])
+    expect(attempts.map((socket) => socket.isDestroyed)).toEqual([false, true])
   })
 
   it('fails at once where a try is refused, and drops the others', async () => {
-    const { clock, tries, opened } = begin()
-    clock.advance(ANOTHER_TRY_MS)
-    tries[1]!.emit('error', new Error('refused'))
+    const { clock, attempts, opened } = createHarness()
+    clock.advance(NEXT_ATTEMPT_DELAY_MS)
+    attempts[1]!.emit('error', new Error('refused'))
     await expect(opened).rejects.toThrow('refused')
-    expect(tries.every((socket) => socket.isDestroyed)).toBe(true)
-    clock.advance(LIMIT_MS)
-    expect(tries).toHaveLength(2)
+    expect(attempts.every((socket) => socket.isDestroyed)).toBe(true)
+    clock.advance(TIMEOUT_MS)
+    expect(attempts).toHaveLength(2)
   })
 
   it('ends at its limit with few tries', async () => {
-    const { clock, tries, opened } = begin()
-    for (let at = 0; at < LIMIT_MS * 3; at += 50) clock.advance(50)
+    const { clock, attempts, opened } = createHarness()
+    for (let at = 0; at < TIMEOUT_MS * 3; at += 50) clock.advance(50)
     await expect(opened).rejects.toThrow('no connection in time')
-    expect(tries).toHaveLength(4)
-    expect(tries.every((socket) => socket.isDestroyed)).toBe(true)
+    expect(attempts).toHaveLength(4)
+    expect(attempts.every((socket) => socket.isDestroyed)).toBe(true)
   })
 })
--- a/peer/rpc/test/watchSilence.test.ts
+++ b/peer/rpc/test/watchSilence.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@forkstage/clock'
 import { watchSilence } from '../src/watchSilence'
 
-function world(silentMs?: number) {
+function createHarness(silentMs?: number) {
   const clock = new ManualClock()
   const seen: string[] = []
   const watch = watchSilence({
@@ -16,39 +16,39 @@
 
 describe('watchSilence', () => {
   it('probes half a time-out after the first unanswered sending, and gives up after a whole one', () => {
-    const { clock, seen, watch } = world(1_000)
-    watch.noteSent()
+    const { clock, seen, watch } = createHarness(1_000)
+    watch.recordSent()
     clock.advance(300)
-    watch.noteSent()
+    watch.recordSent()
     clock.advance(700)
     expect(seen).toEqual(['probe 500', 'silent 1000'])
   })
 
   it('is content with anything that comes back, and begins anew with the next sending', () => {
-    const { clock, seen, watch } = world(1_000)
-    watch.noteSent()
+    const { clock, seen, watch } = createHarness(1_000)
+    watch.recordSent()
     clock.advance(600)
-    watch.noteHeard()
+    watch.recordReceived()
     clock.advance(5_000)
-    watch.noteSent()
+    watch.recordSent()
     clock.advance(500)
     expect(seen).toEqual(['probe 500', 'probe 6100'])
   })
 
   it('does nothing to a connection that carries nothing, or where it is not asked for', () => {
-    const idle = world(1_000)
+    const idle = createHarness(1_000)
     idle.clock.advance(60_000)
-    const off = world()
-    off.watch.noteSent()
+    const off = createHarness()
+    off.watch.recordSent()
     off.clock.advance(60_000)
     expect([...idle.seen, ...off.seen]).toEqual([])
   })
 
   it('ends with its connection', () => {
-    const { clock, seen, watch } = world(1_000)
-    watch.noteSent()
+    const { clock, seen, watch } = createHarness(1_000)
+    watch.recordSent()
     watch.stop()
-    watch.noteSent()
+    watch.recordSent()
     clock.advance(5_000)
     expect(seen).toEqual([])
   })
--- a/placement/allocator/src/allocatorTypes.ts
+++ b/placement/allocator/src/allocatorTypes.ts
@@ -1,5 +1,5 @@
 import type { InstanceId } from '@forkstage/directory'
-import type { Homes } from '@forkstage/topology'
+import type { AllowedRegions } from '@forkstage/topology'
 import type { FailureDomain, Millis } from '@forkstage/types'
 
 /** A part of a prompt. An engine that has prefilled a part may keep it in its prefix cache. */
@@ -45,7 +45,7 @@
   /** Whether the caller already has a part of the answer, which continues at the new placement. */
   isBegun?: boolean
   /** Regions that may serve the request; absent if any may. An empty list allows none. */
-  regions?: Homes
+  regions?: AllowedRegions
   /** The parts of the prompt in order; absent if the caller named none. */
   parts?: PromptPart[]
 }
--- a/placement/allocator/src/demandMeter.ts
+++ b/placement/allocator/src/demandMeter.ts
@@ -1,6 +1,6 @@
 import type { Millis } from '@forkstage/types'
 import type { EnginePace } from './enginePace'
-import { FadingSum } from '@forkstage/rates'
+import { DecayingSum } from '@forkstage/rates'
 import type { StageNeed } from './planStages'
 
 /** The time over which demand is averaged: longer than a stage change takes. */
@@ -12,8 +12,8 @@
 
 /** Averages the demand on one service's engines, independent of their pace. */
 export class DemandMeter {
-  private readonly promptTokens = new FadingSum(MEMORY_MS)
-  private readonly heldTokens = new FadingSum(MEMORY_MS)
+  private readonly promptTokens = new DecayingSum(MEMORY_MS)
+  private readonly heldTokens = new DecayingSum(MEMORY_MS)
 
   /**
    * Records a request that has arrived for the first time.
@@ -27,7 +27,7 @@
 
   /** Whether demand has been averaged for long enough to be acted on. */
   hasEnoughData(now: Millis): boolean {
-    return this.promptTokens.seenFor(now) >= MIN_OBSERVED_MS
+    return this.promptTokens.observedFor(now) >= MIN_OBSERVED_MS
   }
 
   /**
--- a/placement/allocator/src/engineChoice.ts
+++ b/placement/allocator/src/engineChoice.ts
@@ -1,6 +1,6 @@
 import { newestPerAddress, type InstanceId, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import type { EnginePool } from '@forkstage/routes'
-import { withinHomes, type AtHome, type Topology } from '@forkstage/topology'
+import { withinRegions, type InRegion, type Topology } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PlaceAsk } from './allocatorTypes'
 import { EngineDistance } from './engineDistance'
@@ -162,7 +162,7 @@
   }
 
   /** Returns engines that may get the request; unhealthy ones only if no other decodes. */
-  candidates(ask: PlaceAsk, stage: Stage, now: Millis): AtHome<RegisteredEndpoint>[] {
+  candidates(ask: PlaceAsk, stage: Stage, now: Millis): InRegion<RegisteredEndpoint>[] {
     // A prefill engine whose response was lost has cached the prompt and responds at once.
     const mayRetry = (one: RegisteredEndpoint) => stage === 'prefill' && this.cache.uncached(ask, one) === 0
     const mayUse = (one: RegisteredEndpoint) =>
@@ -177,8 +177,8 @@
     return this.inRegions(ask, this.usable(ask.service, 'decode')).length
   }
 
-  private inRegions(ask: PlaceAsk, engines: RegisteredEndpoint[]): AtHome<RegisteredEndpoint>[] {
-    return withinHomes(this.options.topology, engines, ({ zone }) => zone, ask.regions)
+  private inRegions(ask: PlaceAsk, engines: RegisteredEndpoint[]): InRegion<RegisteredEndpoint>[] {
+    return withinRegions(this.options.topology, engines, ({ zone }) => zone, ask.regions)
   }
 
   /** Computed once for all requests that are placed at one time. */
@@ -197,7 +197,7 @@
     query: EngineQuery,
     prefillEngines: RegisteredEndpoint[],
     now: Millis,
-  ): AtHome<RegisteredEndpoint>[] {
+  ): InRegion<RegisteredEndpoint>[] {
     const { holds, health, budgets } = this.options
     const { ask, engine, memoryShare } = query
     const limit = engine.kvTokens * memoryShare
@@ -231,7 +231,7 @@
   }
 
   /** Returns engines that could continue an answer that runs elsewhere: only those known to be healthy and fast. */
-  migrationTargets(ask: PlaceAsk, engine: EnginePool, now: Millis): AtHome<RegisteredEndpoint>[] {
+  migrationTargets(ask: PlaceAsk, engine: EnginePool, now: Millis): InRegion<RegisteredEndpoint>[] {
     const { holds, health, pace, budgets } = this.options
     return this.candidates(ask, 'decode', now).filter(
       ({ id }) =>
@@ -252,8 +252,8 @@
   /** Picks the prefill engine that finishes the prompt first; undefined if none is in time. */
   private pickPrefillEngine(
     query: EngineQuery,
-    decode: AtHome<RegisteredEndpoint>,
-    prefillEngines: AtHome<RegisteredEndpoint>[],
+    decode: InRegion<RegisteredEndpoint>,
+    prefillEngines: InRegion<RegisteredEndpoint>[],
     now: Millis,
   ): EnginePick | undefined {
     const { holds, health, pace, budgets } = this.options
@@ -295,8 +295,8 @@
   /** Picks the decode engine that prefills the prompt itself; undefined if none is in time. */
   private pickLocalPrefill(
     query: EngineQuery,
-    decoders: AtHome<RegisteredEndpoint>[],
-    prefillEngines: AtHome<RegisteredEndpoint>[],
+    decoders: InRegion<RegisteredEndpoint>[],
+    prefillEngines: InRegion<RegisteredEndpoint>[],
     now: Millis,
   ): EnginePick | undefined {
     const { holds, health } = this.options
--- a/placement/allocator/src/enginePick.ts
+++ b/placement/allocator/src/enginePick.ts
@@ -1,6 +1,6 @@
 import type { InstanceId, RegisteredEndpoint } from '@forkstage/directory'
 import type { EnginePool } from '@forkstage/routes'
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PlaceAsk } from './allocatorTypes'
 import type { ColdSummary } from './coldBudget'
@@ -8,9 +8,9 @@
 
 /** The engines chosen for a request, and when its prompt will be prefilled. */
 export interface EnginePick {
-  decode: AtHome<RegisteredEndpoint>
+  decode: InRegion<RegisteredEndpoint>
   /** Absent if the decode engine prefills the prompt itself, or if no prefill is needed. */
-  prefill?: AtHome<RegisteredEndpoint>
+  prefill?: InRegion<RegisteredEndpoint>
   /** Time until the prompt is prefilled, in milliseconds; 0 if it already is. */
   readsInMs: Millis
   /** The part of that time spent waiting for other prompts, in milliseconds. */
--- a/placement/allocator/src/placementQueue.ts
+++ b/placement/allocator/src/placementQueue.ts
@@ -1,6 +1,6 @@
 import type { Millis } from '@forkstage/types'
 import type { PlaceAsk, PlaceDecision } from './allocatorTypes'
-import { FadingSum } from '@forkstage/rates'
+import { DecayingSum } from '@forkstage/rates'
 
 /** A request that waits for a placement. */
 export interface WaitingRequest {
@@ -30,7 +30,7 @@
 export class PlacementQueue {
   private waiting: WaitingRequest[] = []
   /** Rate of ended requests by service: each makes room for about one request. */
-  private readonly ends = new Map<string, FadingSum>()
+  private readonly ends = new Map<string, DecayingSum>()
 
   /** @param slackOf returns how long a request may still wait and be in time, in milliseconds. */
   constructor(
@@ -92,7 +92,7 @@
 
   /** Records that a request of a service has ended. */
   recordEnd(service: string, now: Millis): void {
-    const ends = this.ends.get(service) ?? new FadingSum(END_RATE_MEMORY_MS)
+    const ends = this.ends.get(service) ?? new DecayingSum(END_RATE_MEMORY_MS)
     this.ends.set(service, ends)
     ends.add(1, now)
   }
--- a/placement/allocator/src/workPace.ts
+++ b/placement/allocator/src/workPace.ts
@@ -1,5 +1,5 @@
 import type { Millis } from '@forkstage/types'
-import { FadingSum } from '@forkstage/rates'
+import { DecayingSum } from '@forkstage/rates'
 
 /** The prior counts as much as this much observed work time. */
 const PRIOR_MS = 50
@@ -8,15 +8,15 @@
 
 /** Estimates an engine's time per unit of work from recent observations. */
 export class WorkPace {
-  private readonly time: FadingSum
-  private readonly work: FadingSum
+  private readonly time: DecayingSum
+  private readonly work: DecayingSum
   /** When work was last observed. */
   lastSeenAt: Millis = -Infinity
 
   /** @param memoryMs age at which an observation counts for a third, in milliseconds. */
   constructor(memoryMs: Millis) {
-    this.time = new FadingSum(memoryMs)
-    this.work = new FadingSum(memoryMs)
+    this.time = new DecayingSum(memoryMs)
+    this.work = new DecayingSum(memoryMs)
   }
 
   /** Adds the work done in a time; a time without work counts as well. */
--- a/placement/allocator/test/regions.test.ts
+++ b/placement/allocator/test/regions.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { RegisteredEndpoint } from '@forkstage/directory'
-import { isWithin, Topology, type Homes } from '@forkstage/topology'
+import { isWithinRegions, Topology, type AllowedRegions } from '@forkstage/topology'
 import { Allocator, type PlaceDecision } from '../src'
 import { ask, engine, ENGINE } from './fixtures'
 
@@ -11,7 +11,7 @@
 function createAllocator(endpoints: RegisteredEndpoint[]) {
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => ENGINE, topology: TOPOLOGY })
   const decisions = new Map<string, PlaceDecision>()
-  const place = (request: string, regions: Homes, now = 0, fields = {}) =>
+  const place = (request: string, regions: AllowedRegions, now = 0, fields = {}) =>
     allocator.ask(ask(request, { regions, ...fields }), now, (decision) => decisions.set(request, decision))
   return { allocator, decisions, place }
 }
@@ -78,9 +78,9 @@
           const all = fields.map(({ stage, zone }, index) => engine(`i${index}`, stage, { zone }))
           const zoneOf = (id: string) => all.find((one) => one.id === id)!.zone
           const { allocator, decisions, place } = createAllocator(all)
-          const homesOf = new Map<string, Homes>()
+          const homesOf = new Map<string, AllowedRegions>()
           const expectInRegions = (name: string, id: string | undefined) => {
-            if (id !== undefined) expect(isWithin(TOPOLOGY, zoneOf(id), homesOf.get(name))).toBe(true)
+            if (id !== undefined) expect(isWithinRegions(TOPOLOGY, zoneOf(id), homesOf.get(name))).toBe(true)
           }
           let now = 0
           for (const [{ homes: regions, ...rest }, { type, index }] of course) {
--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -3,7 +3,7 @@
 import { newestPerAddress, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import type { Logger } from '@forkstage/logger'
 import type { AvailabilityTracker } from '@forkstage/statements'
-import { Topology, withinHomes, type AtHome, type Homes } from '@forkstage/topology'
+import { Topology, withinRegions, type InRegion, type AllowedRegions } from '@forkstage/topology'
 import type { FailureDomain, Millis } from '@forkstage/types'
 import { ConcurrencyLimit } from './concurrencyLimit'
 
@@ -50,7 +50,7 @@
   /** Instances that are not to be chosen. */
   except?: ReadonlySet<string>
   /** The regions in which they may be; any where left out. */
-  regions?: Homes
+  regions?: AllowedRegions
 }
 
 /** Why no instance that a request could go to accepts requests from this entry, and for how long. */
@@ -103,9 +103,9 @@
   }
 
   /** Returns an instance by its id; undefined where it is unknown or outside the regions. */
-  getWithinRegions(id: string, regions: Homes): AtHome<PooledEndpoint> | undefined {
+  getWithinRegions(id: string, regions: AllowedRegions): InRegion<PooledEndpoint> | undefined {
     const known = this.pooled.get(id)
-    return withinHomes(
+    return withinRegions(
       this.topology,
       known === undefined ? [] : [known],
       ({ endpoint }) => endpoint.zone,
@@ -114,7 +114,7 @@
   }
 
   /** Returns instances of a service that may get work now; ejected ones only where there are no others. */
-  candidates(service: string, query: CandidateQuery = {}): AtHome<PooledEndpoint>[] {
+  candidates(service: string, query: CandidateQuery = {}): InRegion<PooledEndpoint>[] {
     const now = this.options.clock.now()
     const available = this.matching(service, query).filter((one) => this.isAvailable(one))
     const healthy = available.filter((one) => one.ejectedUntil <= now)
@@ -154,7 +154,7 @@
     })
   }
 
-  private matching(service: string, { stage, except, regions }: CandidateQuery): AtHome<PooledEndpoint>[] {
+  private matching(service: string, { stage, except, regions }: CandidateQuery): InRegion<PooledEndpoint>[] {
     const there = [...this.pooled.values()].filter(
       (one) => one.endpoint.service === service && !one.isReplaced,
     )
@@ -167,7 +167,7 @@
         !this.isBarred(one) &&
         except?.has(one.endpoint.id) !== true,
     )
-    return withinHomes(this.topology, matching, ({ endpoint }) => endpoint.zone, regions)
+    return withinRegions(this.topology, matching, ({ endpoint }) => endpoint.zone, regions)
   }
 
   /** Whether a service has instances that accept work, and all of them are barred. */
--- a/request/gateway/src/ingress.ts
+++ b/request/gateway/src/ingress.ts
@@ -1,5 +1,5 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
-import { OpenAnswers } from '@forkstage/answers'
+import { PendingResponses } from '@forkstage/answers'
 import {
   chooseService,
   DEFAULT_CALLER_LIMITS,
@@ -65,7 +65,7 @@
 /** HTTP listener for callers: finds the route of each request, admits it and relays it. */
 export class Ingress {
   readonly server: Server
-  private readonly answers: OpenAnswers
+  private readonly answers: PendingResponses
   private leaving = false
   /** Whether every further request is refused, also on connections that are still open. */
   private isClosed = false
@@ -84,7 +84,7 @@
       },
       (incoming, response) => void this.serve(incoming, response),
     )
-    this.answers = new OpenAnswers(this.server)
+    this.answers = new PendingResponses(this.server)
     this.setLimits(DEFAULT_CALLER_LIMITS)
   }
 
--- a/request/gateway/src/isolatedPlace.ts
+++ b/request/gateway/src/isolatedPlace.ts
@@ -1,13 +1,13 @@
 import { delay } from '@forkstage/clock'
 import type { InstanceId } from '@forkstage/directory'
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PooledEndpoint } from './endpointPool'
 import type { RelayJob, RelayParts } from './relayParts'
 
 /** An endpoint that is reserved for a request, when to ask again for one, or that none is needed. */
 export type PermittedPlace =
-  | { type: 'place'; at: AtHome<PooledEndpoint>; end: () => void }
+  | { type: 'place'; at: InRegion<PooledEndpoint>; end: () => void }
   | { type: 'later'; retryAfterMs: Millis }
   | { type: 'anywhere' }
 
--- a/request/gateway/src/localPlacer.ts
+++ b/request/gateway/src/localPlacer.ts
@@ -1,4 +1,4 @@
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import { COLD_LIMIT_REASON, type ColdEndpointLimiter } from './coldEndpointLimiter'
 import type { EndpointPool, PooledEndpoint } from './endpointPool'
 import { RATE_LIMIT_REASON, type EndpointRateLimiter } from './endpointRateLimiter'
@@ -70,7 +70,7 @@
    * Returns the prefill engine with the fewest of this entry's tokens; undefined where there is none or its queue is
    * too long for the request's target, so that the decode engine runs the prefill.
    */
-  private choosePrefill(work: ModelWork, decode: PooledEndpoint): AtHome<PooledEndpoint> | undefined {
+  private choosePrefill(work: ModelWork, decode: PooledEndpoint): InRegion<PooledEndpoint> | undefined {
     const { pool, entries } = this.options
     if (work.isPrefilled) return undefined
     const { service, except, regions, promptTokens } = work
@@ -84,7 +84,7 @@
       : undefined
   }
 
-  private eligible(engines: AtHome<PooledEndpoint>[]): AtHome<PooledEndpoint>[] {
+  private eligible(engines: InRegion<PooledEndpoint>[]): InRegion<PooledEndpoint>[] {
     const { limits, cold } = this.options
     const open = limits?.eligible(engines) ?? engines
     return cold?.eligible(open) ?? open
--- a/request/gateway/src/modelPlacer.ts
+++ b/request/gateway/src/modelPlacer.ts
@@ -1,5 +1,5 @@
 import type { PromptPart } from '@forkstage/allocator'
-import type { AtHome, Homes } from '@forkstage/topology'
+import type { InRegion, AllowedRegions } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PoolUnavailability, PooledEndpoint, SendOutcome } from './endpointPool'
 
@@ -41,7 +41,7 @@
   /** Whether the caller has a part of the answer already, which continues where the request gets a place. */
   isBegun?: boolean
   /** The regions that may serve the request; absent where any may, empty where none may. */
-  regions?: Homes
+  regions?: AllowedRegions
   /** The parts of the prompt in order; absent where the caller named none. */
   parts?: PromptPart[]
 }
@@ -49,8 +49,8 @@
 /** The engines on which a model request is placed. */
 export interface ModelPlace {
   /** The engine for the prefill step; absent where the decode engine runs it. */
-  prefill?: AtHome<PooledEndpoint>
-  decode: AtHome<PooledEndpoint>
+  prefill?: InRegion<PooledEndpoint>
+  decode: InRegion<PooledEndpoint>
   /** Expected duration of the prefill step, in milliseconds; absent where unknown. */
   readsInMs?: Millis
   /** Milliseconds after which another engine should run the prefill instead, while that is still in time. */
@@ -62,9 +62,9 @@
   /** Returns how many tokens were generated there so far; set by the relay that runs the request. */
   madeTokens?: () => number
   /** Migrates the answer to another engine, where that is possible; set by the relay that runs the request. */
-  moveTo?: (to: AtHome<PooledEndpoint>) => void
+  moveTo?: (to: InRegion<PooledEndpoint>) => void
   /** Reports that the answer continues at another engine, which becomes `decode`. */
-  reportMoved: (to: AtHome<PooledEndpoint>) => void
+  reportMoved: (to: InRegion<PooledEndpoint>) => void
   /** Releases the place, with the number of tokens generated there. To be called once. */
   release: (outcome: SendOutcome, tookMs: Millis, madeTokens: number) => void
 }
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -1,5 +1,5 @@
 import { MUST_BE_ISOLATED, type PermittedPlace } from './isolatedPlace'
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { AnswerHead, Exchange } from './exchange'
 import { cancelWhenEnded } from './cancelWhenEnded'
@@ -106,7 +106,7 @@
   }
 
   /** Waits for an endpoint with room and returns it; undefined if none has room in time. */
-  private chooseEndpoint(): Promise<AtHome<PooledEndpoint> | undefined> {
+  private chooseEndpoint(): Promise<InRegion<PooledEndpoint> | undefined> {
     const { clock } = this.parts
     const { request, route, isReturn } = this.job
     const share = isReturn ? RETURN_WAIT_SHARE : EARLY_REFUSAL_SHARE
@@ -124,7 +124,7 @@
     return waitFor(clock, limit, () => (this.isOver ? undefined : this.leastLoadedWithRoom()))
   }
 
-  private leastLoadedWithRoom(): AtHome<PooledEndpoint> | undefined {
+  private leastLoadedWithRoom(): InRegion<PooledEndpoint> | undefined {
     const { pool, cold } = this.parts
     const fresh = this.usable(this.tried)
     const open = (fresh.length > 0 ? fresh : this.usable()).filter((one) => this.hasRoom(one))
@@ -141,7 +141,7 @@
   }
 
   /** Returns the endpoints that may get the request and whose rate limits allow it now, without those in `except`. */
-  private usable(except?: ReadonlySet<string>): AtHome<PooledEndpoint>[] {
+  private usable(except?: ReadonlySet<string>): InRegion<PooledEndpoint>[] {
     const { pool, limits } = this.parts
     const candidates = pool.candidates(this.job.service.name, { except, regions: this.job.homes() })
     return limits?.eligible(candidates) ?? candidates
@@ -173,7 +173,7 @@
   }
 
   private async sendTo(
-    to: AtHome<PooledEndpoint>,
+    to: InRegion<PooledEndpoint>,
     permit: PermittedPlace,
   ): Promise<SendingResult | undefined> {
     if (permit.type !== 'place') return this.send(to)
@@ -185,7 +185,7 @@
   }
 
   /** Sends the request to one endpoint; undefined if the retry budget is used up. */
-  private async send(to: AtHome<PooledEndpoint>): Promise<SendingResult | undefined> {
+  private async send(to: InRegion<PooledEndpoint>): Promise<SendingResult | undefined> {
     const { parts, job } = this
     this.tried.add(to.endpoint.id)
     if (whyNotSend(parts, job, to.endpoint, 'plain') !== undefined) return { type: 'not-run', arrived: false }
--- a/request/gateway/src/poolPlace.ts
+++ b/request/gateway/src/poolPlace.ts
@@ -1,12 +1,12 @@
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { EndpointPool, PooledEndpoint } from './endpointPool'
 import type { ModelPlace } from './modelPlacer'
 
 /** The engines of a place and the tokens that the pool counts for it. */
 export interface PoolPlaceOptions {
   pool: EndpointPool
-  prefill?: AtHome<PooledEndpoint>
-  decode: AtHome<PooledEndpoint>
+  prefill?: InRegion<PooledEndpoint>
+  decode: InRegion<PooledEndpoint>
   /** Tokens that the prefill engine holds. */
   promptTokens: number
   /** Tokens that the decode engine may come to hold. */
--- a/request/gateway/src/regionRule.ts
+++ b/request/gateway/src/regionRule.ts
@@ -1,6 +1,6 @@
 import type { Stage } from '@forkstage/directory'
-import type { KnownWorkspace, Route, RouteIndex } from '@forkstage/routes'
-import { bothHomes, isWithin, type Homes, type Topology } from '@forkstage/topology'
+import type { WorkspaceInfo, Route, RouteIndex } from '@forkstage/routes'
+import { intersectRegions, isWithinRegions, type AllowedRegions, type Topology } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { CallerRequest } from './callerRequest'
 import type { EndpointPool } from './endpointPool'
@@ -19,22 +19,25 @@
 export interface RegionSources {
   request: Pick<CallerRequest, 'host' | 'path'>
   route: Route
-  workspace?: KnownWorkspace
+  workspace?: WorkspaceInfo
 }
 
 /**
  * Returns the regions that may serve a request by the given sheet; undefined where any may. The sheet may be newer than
  * the one that admitted the request: a route or workspace that it no longer has applies as before.
  */
-export function allowedRegions(index: RouteIndex, { request, route, workspace }: RegionSources): Homes {
+export function allowedRegions(
+  index: RouteIndex,
+  { request, route, workspace }: RegionSources,
+): AllowedRegions {
   const now = index.find(request.host, request.path) ?? route
   const owner = workspace && (index.workspace(workspace.name) ?? workspace)
-  return bothHomes(now.regions, owner?.regions)
+  return intersectRegions(now.regions, owner?.regions)
 }
 
 /** Withholds sends to endpoints outside the regions that apply to the request at that moment. */
 export function regionRule(topology: Topology): SendRule {
-  return (to, job) => (isWithin(topology, to.zone, job.homes()) ? undefined : OUTSIDE_REGIONS)
+  return (to, job) => (isWithinRegions(topology, to.zone, job.homes()) ? undefined : OUTSIDE_REGIONS)
 }
 
 /** Whether a request's service has endpoints and all of them are outside its regions. */
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -11,7 +11,7 @@
 import type { Logger } from '@forkstage/logger'
 import type { Route, RoutedService } from '@forkstage/routes'
 import type { AvailabilityTracker } from '@forkstage/statements'
-import type { Homes } from '@forkstage/topology'
+import type { AllowedRegions } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { CallerRequest } from './callerRequest'
 import type { ColdEndpointLimiter } from './coldEndpointLimiter'
@@ -106,7 +106,7 @@
   /** Whether the request is a retry after a refusal or a failure. */
   isReturn: boolean
   /** Returns the regions that may serve the request, by the route sheet in force at the time of the call. */
-  homes: () => Homes
+  homes: () => AllowedRegions
   /** Tokens that the request declares, if any. */
   tokens?: TokenCounts
   /** Id of the endpoint that is reserved for the request at the moment. */
--- a/request/gateway/src/retainedRun.ts
+++ b/request/gateway/src/retainedRun.ts
@@ -1,4 +1,4 @@
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PooledEndpoint } from './endpointPool'
 import { releaseHandle } from './releaseHandle'
@@ -8,10 +8,10 @@
 /** A stopped run and the engines that hold its KV cache. */
 export interface StoppedRun {
   /** The engine that retains the KV cache, under `handle`. */
-  source: AtHome<PooledEndpoint>
+  source: InRegion<PooledEndpoint>
   handle: string
   /** The engine that has a copy, if any. */
-  copiedTo?: AtHome<PooledEndpoint>
+  copiedTo?: InRegion<PooledEndpoint>
   /** Whether the engine confirmed that the run has stopped; otherwise it may still be running. */
   isConfirmed: boolean
 }
@@ -48,7 +48,7 @@
   }
 
   /** Returns the next engine to try; undefined if none may get the run at the moment. */
-  next(): AtHome<PooledEndpoint> | undefined {
+  next(): InRegion<PooledEndpoint> | undefined {
     const { parts, job } = this
     const untried = this.usable().filter((one) => !this.tried.includes(one))
     job.retainingEngine = this.run.source.endpoint.id
@@ -68,11 +68,11 @@
     releaseHandle(this.parts, this.run.source, this.run.handle)
   }
 
-  private usable(): AtHome<PooledEndpoint>[] {
+  private usable(): InRegion<PooledEndpoint>[] {
     return this.engines().filter((one) => this.acceptsWork(one))
   }
 
-  private engines(): AtHome<PooledEndpoint>[] {
+  private engines(): InRegion<PooledEndpoint>[] {
     const { copiedTo, source } = this.run
     return [copiedTo, source].filter((one) => one !== undefined).filter((one) => !this.goneEngines.has(one))
   }
--- a/request/gateway/src/runMigration.ts
+++ b/request/gateway/src/runMigration.ts
@@ -1,4 +1,4 @@
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { PooledEndpoint } from './endpointPool'
 import { fetchAnswer, type FetchOutcome } from './fetchAnswer'
@@ -22,8 +22,8 @@
   constructor(
     private readonly parts: RelayParts,
     private readonly request: string,
-    readonly source: AtHome<PooledEndpoint>,
-    readonly to: AtHome<PooledEndpoint>,
+    readonly source: InRegion<PooledEndpoint>,
+    readonly to: InRegion<PooledEndpoint>,
   ) {
     this.startedAt = parts.clock.now()
   }
--- a/request/gateway/src/runMigrations.ts
+++ b/request/gateway/src/runMigrations.ts
@@ -1,5 +1,5 @@
 import { delay } from '@forkstage/clock'
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import { retryDelayMs } from './decideRetry'
 import type { Attempt } from './engineStream'
 import type { PooledEndpoint } from './endpointPool'
@@ -22,7 +22,7 @@
 
 /** Where a stopped run resumes, with the sending that is opened for it. */
 export interface ResumeTarget {
-  at: AtHome<PooledEndpoint>
+  at: InRegion<PooledEndpoint>
   /** The engine that retains the KV cache, under `handle`. */
   source: PooledEndpoint
   handle: string
@@ -44,7 +44,7 @@
   ) {}
 
   /** Copies the KV cache of the run, then stops the run and copies the rest. */
-  async start(place: ModelPlace, to: AtHome<PooledEndpoint>): Promise<void> {
+  async start(place: ModelPlace, to: InRegion<PooledEndpoint>): Promise<void> {
     const { context, parts, job } = this
     // Without a length or chunks, the end of the answer could not be told from the stop.
     if (this.migration !== undefined || !this.isRunning() || context.head?.isFramed !== true) return
--- a/request/gateway/src/streamRelay.ts
+++ b/request/gateway/src/streamRelay.ts
@@ -1,5 +1,5 @@
 import { delay } from '@forkstage/clock'
-import type { AtHome } from '@forkstage/topology'
+import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import { decideRetry, type RetryDecision } from './decideRetry'
 import { cancelWhenEnded } from './cancelWhenEnded'
@@ -256,7 +256,7 @@
   }
 
   private streamAt(
-    to: AtHome<PooledEndpoint>,
+    to: InRegion<PooledEndpoint>,
     sending: CountedSending,
     source?: KvSource,
   ): Promise<StreamResult> {
--- a/request/gateway/src/workspaceAdmission.ts
+++ b/request/gateway/src/workspaceAdmission.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@forkstage/clock'
 import type { Logger } from '@forkstage/logger'
 import type { QuotaLimiter, QuotaCharge } from '@forkstage/quota'
-import type { KnownWorkspace, Route, RouteIndex } from '@forkstage/routes'
+import type { WorkspaceInfo, Route, RouteIndex } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
 import type { CallerRequest } from './callerRequest'
 import type { GatewayWire, TokenCounts } from './gatewayWire'
@@ -23,9 +23,9 @@
 export interface AdmittedRequest {
   type: 'passed'
   request: CallerRequest
-  workspace?: KnownWorkspace
+  workspace?: WorkspaceInfo
   /** The workspace of the request's key, also on a public route, since its regions apply there too. */
-  owner?: KnownWorkspace
+  owner?: WorkspaceInfo
   /** What the request took from its workspace's quota. */
   spent?: QuotaCharge
 }
@@ -73,7 +73,7 @@
 
   private async admitByQuota(
     request: CallerRequest,
-    workspace: KnownWorkspace,
+    workspace: WorkspaceInfo,
     index: RouteIndex,
     tokens: TokenCounts | undefined,
   ): Promise<AdmittedRequest | RejectedRequest> {
@@ -140,7 +140,7 @@
 }
 
 /** Returns what a request costs in the unit of a quota; without declared tokens it costs as much as a plain one. */
-function unitsOf(quota: NonNullable<KnownWorkspace['quota']>, tokens: TokenCounts | undefined): number {
+function unitsOf(quota: NonNullable<WorkspaceInfo['quota']>, tokens: TokenCounts | undefined): number {
   if (quota.unit === 'requests') return 1
   return tokens === undefined ? quota.plainTokens : tokens.prompt + tokens.most
 }
--- a/request/gateway/src/workspaceKey.ts
+++ b/request/gateway/src/workspaceKey.ts
@@ -1,21 +1,21 @@
-import { LONGEST_KEY, shortKeyDigest, type KeyRing, type KnownWorkspace } from '@forkstage/routes'
+import { MAX_KEY_CHARS, shortKeyDigest, type KeyIndex, type WorkspaceInfo } from '@forkstage/routes'
 import { dropHeaders, type CallerRequest } from './callerRequest'
 import type { GatewayWire } from './gatewayWire'
 
 /** The workspace of a request's key, or why none is known. */
 export type KeyVerdict =
-  | { type: 'known'; workspace: KnownWorkspace }
+  | { type: 'known'; workspace: WorkspaceInfo }
   /** `digest` is logged in place of the key, where there is one. */
   | { type: 'refused'; reason: string; digest?: string; isUnknown: boolean }
 
 /** Finds the workspace of a request by its key; a request must have exactly one key. */
-export function judgeKey(request: CallerRequest, keys: KeyRing, wire: GatewayWire): KeyVerdict {
+export function judgeKey(request: CallerRequest, keys: KeyIndex, wire: GatewayWire): KeyVerdict {
   const values = headerValues(request.rawHeaders, wire.headers.key)
   const [key] = values
   if (key === undefined) return refused('no key')
   if (values.length > 1) return refused('more than one key')
   if (key === '') return refused('an empty key')
-  if (key.length > LONGEST_KEY) return refused('a key that is too long')
+  if (key.length > MAX_KEY_CHARS) return refused('a key that is too long')
   const workspace = keys.find(key)
   if (workspace !== undefined) return { type: 'known', workspace }
   return { ...refused('an unknown key'), digest: shortKeyDigest(key), isUnknown: true }
--- a/request/gateway/test/gatewayHarness.ts
+++ b/request/gateway/test/gatewayHarness.ts
@@ -6,7 +6,7 @@
 import { RateTable } from '@forkstage/limits'
 import { createSilentLogger } from '@forkstage/logger'
 import { QuotaLimiter, QuotaLedger, quotaLimit } from '@forkstage/quota'
-import { RouteBook, type CallerLimits, type Route, type Workspace } from '@forkstage/routes'
+import { RouteStore, type CallerLimits, type Route, type Workspace } from '@forkstage/routes'
 import { AvailabilityTracker } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import {
@@ -148,7 +148,7 @@
       statements,
     })
     pool.update(endpoints.map((endpoint, index) => endpointWithDefaults(endpoint, index)))
-    const book = new RouteBook()
+    const book = new RouteStore()
     const sheet = {
       version: 1,
       routes: routes.map(routeWithDefaults),
--- a/request/gateway/test/regionsRandom.test.ts
+++ b/request/gateway/test/regionsRandom.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { bothHomes, isWithin, type Homes } from '@forkstage/topology'
+import { intersectRegions, isWithinRegions, type AllowedRegions } from '@forkstage/topology'
 import type { Route } from '@forkstage/routes'
 import { chunk, event, FakeWorker, goodAnswer, type SeenRequest } from './fakeWorker'
 import { GatewayHarness, TOPOLOGY } from './gatewayHarness'
@@ -11,12 +11,12 @@
 
 /** The regions of the plain route, of the streaming route and of the workspace. */
 interface Sheet {
-  plain: Homes
-  model: Homes
-  workspace: Homes
+  plain: AllowedRegions
+  model: AllowedRegions
+  workspace: AllowedRegions
 }
 
-const regionSets: fc.Arbitrary<Homes> = fc.oneof(
+const regionSets: fc.Arbitrary<AllowedRegions> = fc.oneof(
   { weight: 3, arbitrary: fc.constant(undefined) },
   { weight: 6, arbitrary: fc.subarray(['west', 'east', 'south', 'nowhere'], { minLength: 2 }) },
   { weight: 1, arbitrary: fc.subarray(['west', 'nowhere']) },
@@ -29,7 +29,7 @@
 const endpoint = fc.record({ stage: fc.constantFrom(undefined, 'prefill', 'decode'), zone: domain })
 
 function routesOf({ plain, model }: Sheet): Partial<Route>[] {
-  const mutable = (regions: Homes) => (regions === undefined ? undefined : [...regions])
+  const mutable = (regions: AllowedRegions) => (regions === undefined ? undefined : [...regions])
   return [
     { name: 'plain', attempts: 3, targetMs: 100, regions: mutable(plain) },
     {
@@ -87,10 +87,10 @@
               return void request.socket.end('HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n')
             sendings += 1
             const isPlain = request.line.includes(' /p/')
-            const allowed = bothHomes(isPlain ? inForce.plain : inForce.model, inForce.workspace)
+            const allowed = intersectRegions(isPlain ? inForce.plain : inForce.model, inForce.workspace)
             const source = request.headers['x-kv-from']?.split('#')[0]
             for (const place of [zone, ...(source === undefined ? [] : [domainAt.get(source)!])])
-              if (!isWithin(TOPOLOGY, place, allowed)) wrong.push(`${request.line} at ${place}`)
+              if (!isWithinRegions(TOPOLOGY, place, allowed)) wrong.push(`${request.line} at ${place}`)
             const { deed, newSheet } = steps[at++ % steps.length]!
             if (newSheet !== undefined) {
               inForce = newSheet
--- a/request/quota/src/quotaAccount.ts
+++ b/request/quota/src/quotaAccount.ts
@@ -1,5 +1,5 @@
 import type { Random } from '@forkstage/clock'
-import { FadingSum, WindowSum } from '@forkstage/rates'
+import { DecayingSum, WindowSum } from '@forkstage/rates'
 import type { Millis } from '@forkstage/types'
 import type { QuotaGrant, SpentReport } from './quotaTypes'
 
@@ -47,8 +47,8 @@
 export class QuotaAccount {
   private total = 0
   private readonly recent: WindowSum
-  private readonly asked = new FadingSum(ASKED_AVERAGING_MS)
-  private readonly demand = new FadingSum(DEMAND_AVERAGING_MS)
+  private readonly asked = new DecayingSum(ASKED_AVERAGING_MS)
+  private readonly demand = new DecayingSum(DEMAND_AVERAGING_MS)
   private readonly firstDraw: number
   private granted: StoredGrant | undefined
   /** The limit in force, in units a window. */
--- a/request/quota/src/quotaLimiter.ts
+++ b/request/quota/src/quotaLimiter.ts
@@ -1,5 +1,5 @@
 import { every, type CancelTimer, type Clock, type Random } from '@forkstage/clock'
-import type { KnownWorkspace } from '@forkstage/routes'
+import type { WorkspaceInfo } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
 import { QuotaAccount } from './quotaAccount'
 import { quotaLimit } from './quotaLimit'
@@ -55,7 +55,7 @@
    * Decides whether a request is within its workspace's quota, and charges it if so.
    * @param units the cost of the request, in the unit of the workspace's quota.
    */
-  async admit(workspace: KnownWorkspace, units: number): Promise<QuotaVerdict> {
+  async admit(workspace: WorkspaceInfo, units: number): Promise<QuotaVerdict> {
     const { clock } = this.options
     const account = this.accountOf(workspace.name)
     account.setLimit(quotaLimit(workspace.quota!, this.options.windowMs))
@@ -65,7 +65,7 @@
     return this.decide(workspace, account, units)
   }
 
-  private decide(workspace: KnownWorkspace, account: QuotaAccount, units: number): QuotaVerdict {
+  private decide(workspace: WorkspaceInfo, account: QuotaAccount, units: number): QuotaVerdict {
     const { clock, entries, windowMs } = this.options
     const now = clock.now()
     const remaining = account.remaining(entries(), now)
--- a/settings/settings/src/parseSettings.ts
+++ b/settings/settings/src/parseSettings.ts
@@ -1,7 +1,7 @@
 import { settingsSchema, type Settings } from './schema'
 import { readToml } from './readToml'
 import { SettingsError, type SettingsFault } from './settingsError'
-import { describe, toSettingsFaults } from './toSettingsFaults'
+import { formatValue, toSettingsFaults } from './toSettingsFaults'
 
 /** Options of {@link parseSettings}. */
 export interface ParseSettingsOptions {
@@ -25,7 +25,7 @@
 function findContradictions(settings: Settings): SettingsFault[] {
   const faults: SettingsFault[] = []
   const fault = (key: string, found: unknown, allowed: string) =>
-    faults.push({ key, found: describe(found), allowed })
+    faults.push({ key, found: formatValue(found), allowed })
   const { box, control, lease } = settings
   if (box.roles.includes('control') && box.data_folder === undefined) {
     fault('box.data_folder', undefined, 'a folder on a disk, since box.roles has "control"')
@@ -40,19 +40,19 @@
     fault('request.engine_step_ms', settings.request.engine_step_ms, 'at most request.deadline_ms')
   }
   faults.push(
-    ...findDoubles(
+    ...findDuplicates(
       'control.replicas',
       control.replicas.map((replica) => replica.box),
     ),
   )
   faults.push(
-    ...findDoubles(
+    ...findDuplicates(
       'callers',
       settings.callers.map((caller) => caller.name),
     ),
   )
   faults.push(
-    ...findDoubles(
+    ...findDuplicates(
       'models',
       settings.models.map((model) => model.name),
     ),
@@ -60,7 +60,7 @@
   return faults
 }
 
-function findDoubles(key: string, names: string[]): SettingsFault[] {
-  const doubles = names.filter((name, index) => names.indexOf(name) !== index)
-  return doubles.map((name) => ({ key, found: `"${name}" twice`, allowed: 'each name once' }))
+function findDuplicates(key: string, names: string[]): SettingsFault[] {
+  const duplicates = names.filter((name, index) => names.indexOf(name) !== index)
+  return duplicates.map((name) => ({ key, found: `"${name}" twice`, allowed: 'each name once' }))
 }
--- a/settings/settings/src/toSettingsFaults.ts
+++ b/settings/settings/src/toSettingsFaults.ts
@@ -16,15 +16,15 @@
     }))
   }
   return [
-    { key: path.join('.') || '(whole file)', found: describe(lookUp(raw, path)), allowed: issue.message },
+    { key: path.join('.') || '(whole file)', found: formatValue(valueAt(raw, path)), allowed: issue.message },
   ]
 }
 
-function lookUp(raw: unknown, path: string[]): unknown {
+function valueAt(raw: unknown, path: string[]): unknown {
   return path.reduce<unknown>((value, key) => (value as Record<string, unknown> | undefined)?.[key], raw)
 }
 
 /** A found value in words. */
-export function describe(value: unknown): string {
+export function formatValue(value: unknown): string {
   return value === undefined ? 'nothing' : JSON.stringify(value)
 }
--- a/table/routes/src/checkRegions.ts
+++ b/table/routes/src/checkRegions.ts
@@ -6,6 +6,6 @@
 export function checkRegions(label: string, regions: unknown): string[] {
   if (regions === undefined) return []
   if (!Array.isArray(regions)) return [`${label}: regions: a list is needed`]
-  const isNamed = (region: unknown) => typeof region === 'string' && region.length > 0
-  return regions.every(isNamed) ? [] : [`${label}: regions: each is a text that is not empty`]
+  const isRegionName = (region: unknown) => typeof region === 'string' && region.length > 0
+  return regions.every(isRegionName) ? [] : [`${label}: regions: each is a text that is not empty`]
 }
--- a/table/routes/src/checkRouteSheet.ts
+++ b/table/routes/src/checkRouteSheet.ts
@@ -24,7 +24,7 @@
   const services = new Set(sheet.services.map((service) => service.name))
   return [
     ...sheet.routes.flatMap((route) => checkRoute(route, services)),
-    ...findSharedPlaces(sheet.routes),
+    ...findDuplicateRoutes(sheet.routes),
     ...(sheet.workspaces === undefined ? [] : checkWorkspaces(sheet.workspaces)),
     ...(Number.isSafeInteger(sheet.version) && sheet.version >= 0
       ? []
@@ -42,13 +42,13 @@
   return [...faults, ...checkRegions(`route ${route.name}`, route.regions)]
 }
 
-function findSharedPlaces(routes: Route[]): string[] {
+function findDuplicateRoutes(routes: Route[]): string[] {
   const seen = new Set<string>()
   const faults: string[] = []
   for (const route of routes) {
-    const place = `${route.host.toLowerCase()} ${route.prefix}`
-    if (seen.has(place)) faults.push(`route ${route.name}: ${place} has a route already`)
-    seen.add(place)
+    const hostAndPrefix = `${route.host.toLowerCase()} ${route.prefix}`
+    if (seen.has(hostAndPrefix)) faults.push(`route ${route.name}: ${hostAndPrefix} has a route already`)
+    seen.add(hostAndPrefix)
   }
   return faults
 }
--- a/table/routes/src/checkWorkspaces.ts
+++ b/table/routes/src/checkWorkspaces.ts
@@ -5,7 +5,7 @@
 /** A key or a name stands in a header: visible ASCII without blanks or commas, which separate several values. */
 const HEADER_SAFE = /^[!-+\--~]+$/
 /** The longest key that is taken, in characters; longer ones would crowd out the other headers of a request. */
-export const LONGEST_KEY = 1_024
+export const MAX_KEY_CHARS = 1_024
 const UNITS = ['requests', 'tokens']
 
 /**
@@ -14,19 +14,20 @@
  */
 export function checkWorkspaces(workspaces: Workspace[]): string[] {
   if (!Array.isArray(workspaces)) return ['workspaces: a list is needed']
-  const faults = workspaces.flatMap((workspace, index) => checkOne(workspace, index))
+  const faults = workspaces.flatMap((workspace, index) => checkWorkspace(workspace, index))
   // Where single rows are wrong already, what they share cannot be told.
-  return faults.length > 0 ? faults : [...findSharedNames(workspaces), ...findSharedKeys(workspaces)]
+  return faults.length > 0 ? faults : [...findDuplicateNames(workspaces), ...findDuplicateKeys(workspaces)]
 }
 
-function checkOne(workspace: Workspace, index: number): string[] {
+function checkWorkspace(workspace: Workspace, index: number): string[] {
   const { name, keys, priority, quota } = workspace
   const isNamed = typeof name === 'string' && HEADER_SAFE.test(name)
   const label = isNamed ? `workspace ${name}` : `workspace number ${index + 1}`
   const faults: string[] = []
   if (!isNamed) faults.push(`${label}: name: a text without blanks is needed`)
   if (!Array.isArray(keys)) faults.push(`${label}: keys: a list is needed`)
-  else if (!keys.every(isKey)) faults.push(`${label}: keys: each is a text of 1 to ${LONGEST_KEY} characters`)
+  else if (!keys.every(isKey))
+    faults.push(`${label}: keys: each is a text of 1 to ${MAX_KEY_CHARS} characters`)
   if (!Number.isSafeInteger(priority) || priority < 0)
     faults.push(`${label}: priority: a whole number from 0 is needed`)
   faults.push(...checkRegions(label, workspace.regions))
@@ -34,7 +35,7 @@
 }
 
 function isKey(key: unknown): boolean {
-  return typeof key === 'string' && key.length <= LONGEST_KEY && HEADER_SAFE.test(key)
+  return typeof key === 'string' && key.length <= MAX_KEY_CHARS && HEADER_SAFE.test(key)
 }
 
 function checkQuota(label: string, quota: WorkspaceQuota): string[] {
@@ -46,7 +47,7 @@
   return UNITS.includes(unit) ? faults : [...faults, `${label}: unit: requests or tokens is needed`]
 }
 
-function findSharedNames(workspaces: Workspace[]): string[] {
+function findDuplicateNames(workspaces: Workspace[]): string[] {
   const seen = new Set<string>()
   const faults: string[] = []
   for (const { name } of workspaces) {
@@ -56,7 +57,7 @@
   return faults
 }
 
-function findSharedKeys(workspaces: Workspace[]): string[] {
+function findDuplicateKeys(workspaces: Workspace[]): string[] {
   const owners = new Map<string, string>()
   const faults: string[] = []
   for (const { name, keys } of workspaces)
--- a/table/routes/src/chooseService.ts
+++ b/table/routes/src/chooseService.ts
@@ -6,10 +6,10 @@
  */
 export function chooseService(route: Route, draw: number): string {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0)
-  let rest = draw * total
+  let remaining = draw * total
   for (const share of route.shares) {
-    rest -= share.weight
-    if (rest < 0) return share.service
+    remaining -= share.weight
+    if (remaining < 0) return share.service
   }
   return route.shares.at(-1)!.service
 }
--- a/table/routes/src/keyRing.ts
+++ b/table/routes/src/keyIndex.ts
@@ -3,18 +3,18 @@
 import type { Workspace } from './routeTypes'
 
 /** A workspace without its keys, as it is known where requests are served. */
-export type KnownWorkspace = Omit<Workspace, 'keys'>
+export type WorkspaceInfo = Omit<Workspace, 'keys'>
 
 interface KeyEntry {
   digest: Buffer
-  workspace: KnownWorkspace
+  workspace: WorkspaceInfo
 }
 
 /** Digits of a digest by which keys are grouped; within a group they are compared in constant time. */
-const GROUP_DIGITS = 8
+const GROUP_PREFIX_DIGITS = 8
 
 /** The keys of one sheet, kept as digests only, and the workspaces that they belong to. */
-export class KeyRing {
+export class KeyIndex {
   private readonly groups = new Map<string, KeyEntry[]>()
 
   constructor(workspaces: Workspace[]) {
@@ -22,13 +22,13 @@
   }
 
   /** The workspace that a key belongs to, or undefined where no workspace has it. */
-  find(key: string): KnownWorkspace | undefined {
+  find(key: string): WorkspaceInfo | undefined {
     const digest = digestKey(key)
     const group = this.groups.get(groupOf(digest)) ?? []
     return group.find((entry) => timingSafeEqual(entry.digest, digest))?.workspace
   }
 
-  private add(key: string, workspace: KnownWorkspace): void {
+  private add(key: string, workspace: WorkspaceInfo): void {
     const digest = digestKey(key)
     const group = this.groups.get(groupOf(digest)) ?? []
     group.push({ digest, workspace })
@@ -37,5 +37,5 @@
 }
 
 function groupOf(digest: Buffer): string {
-  return digest.toString('hex').slice(0, GROUP_DIGITS)
+  return digest.toString('hex').slice(0, GROUP_PREFIX_DIGITS)
 }
--- a/table/routes/src/routeIndex.ts
+++ b/table/routes/src/routeIndex.ts
@@ -1,4 +1,4 @@
-import { KeyRing, type KnownWorkspace } from './keyRing'
+import { KeyIndex, type WorkspaceInfo } from './keyIndex'
 import type { Route, RoutedService, RouteSheet } from './routeTypes'
 
 /** Finds routes of one sheet by host and longest prefix. */
@@ -6,15 +6,15 @@
   /** Routes by host, longest prefix first. */
   private readonly byHost = new Map<string, Route[]>()
   private readonly services: Map<string, RoutedService>
-  private readonly workspaces: Map<string, KnownWorkspace>
+  private readonly workspaces: Map<string, WorkspaceInfo>
   /** The keys that callers may show; absent where the sheet asks for none. */
-  readonly keys: KeyRing | undefined
+  readonly keys: KeyIndex | undefined
   /** The sheet without its keys. */
   readonly sheet: Omit<RouteSheet, 'workspaces'>
 
   constructor({ workspaces, ...sheet }: RouteSheet) {
     this.sheet = sheet
-    this.keys = workspaces && new KeyRing(workspaces)
+    this.keys = workspaces && new KeyIndex(workspaces)
     this.workspaces = new Map((workspaces ?? []).map(({ keys: _, ...known }) => [known.name, known]))
     this.services = new Map(sheet.services.map((service) => [service.name, service]))
     for (const route of sheet.routes) {
@@ -31,7 +31,7 @@
     return this.services.get(name)
   }
 
-  workspace(name: string): KnownWorkspace | undefined {
+  workspace(name: string): WorkspaceInfo | undefined {
     return this.workspaces.get(name)
   }
 
@@ -42,7 +42,7 @@
    */
   find(host: string, path: string): Route | undefined {
     const name = host.replace(/:\d+$/, '').toLowerCase()
-    const plain = path.split('?', 1)[0]!
-    return this.byHost.get(name)?.find((route) => plain.startsWith(route.prefix))
+    const pathOnly = path.split('?', 1)[0]!
+    return this.byHost.get(name)?.find((route) => pathOnly.startsWith(route.prefix))
   }
 }
--- a/table/routes/src/routeBook.ts
+++ b/table/routes/src/routeStore.ts
@@ -2,7 +2,7 @@
 import type { RouteSheet } from './routeTypes'
 
 /** The newest route sheet that this process knows. Never goes back to an older one. */
-export class RouteBook {
+export class RouteStore {
   private index: RouteIndex | undefined
 
   /** The version in force here; -1 without one. */
--- a/table/routes/test/routes.test.ts
+++ b/table/routes/test/routes.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { checkRouteSheet, chooseService, RouteBook, RouteIndex, type Route, type RouteSheet } from '../src'
+import { checkRouteSheet, chooseService, RouteStore, RouteIndex, type Route, type RouteSheet } from '../src'
 
 function route(fields: Partial<Route> = {}): Route {
   return {
@@ -92,9 +92,9 @@
   })
 })
 
-describe('RouteBook', () => {
+describe('RouteStore', () => {
   it('never goes back to an older sheet, nor to other content under the version held', () => {
-    const book = new RouteBook()
+    const book = new RouteStore()
     expect(book.install(sheet([route({ name: 'new' })], 5))).toBe(true)
     expect(book.install(sheet([route({ name: 'old' })], 4))).toBe(false)
     expect(book.install(sheet([route({ name: 'same' })], 5))).toBe(false)
--- a/table/routes/test/workspaces.test.ts
+++ b/table/routes/test/workspaces.test.ts
@@ -2,9 +2,9 @@
 import {
   checkRouteSheet,
   checkWorkspaces,
-  KeyRing,
-  LONGEST_KEY,
-  RouteBook,
+  KeyIndex,
+  MAX_KEY_CHARS,
+  RouteStore,
   shortKeyDigest,
   type RouteSheet,
   type Workspace,
@@ -47,7 +47,7 @@
     ['a key that is no text', { keys: [null] }, /workspace one: keys: each/],
     ['a key with a blank', { keys: ['a b'] }, /workspace one: keys: each/],
     ['a key with a comma', { keys: ['a,b'] }, /workspace one: keys: each/],
-    ['a key that is too long', { keys: ['k'.repeat(LONGEST_KEY + 1)] }, /workspace one: keys: each/],
+    ['a key that is too long', { keys: ['k'.repeat(MAX_KEY_CHARS + 1)] }, /workspace one: keys: each/],
     ['a priority below 0', { priority: -1 }, /workspace one: priority/],
     ['a broken priority', { priority: 0.5 }, /workspace one: priority/],
     ['regions that are no list', { regions: 'west' }, /workspace one: regions: a list/],
@@ -70,16 +70,16 @@
   })
 })
 
-describe('KeyRing', () => {
+describe('KeyIndex', () => {
   it('finds whose key it is, and nothing for what no workspace has', () => {
-    const ring = new KeyRing([workspace(), workspace({ name: 'two', keys: ['k2', 'k3'], quota: QUOTA })])
-    expect(ring.find('key-of-one')?.name).toBe('one')
-    expect(ring.find('k3')).toEqual({ name: 'two', priority: 1, quota: QUOTA })
-    for (const unknown of ['', 'k', 'k33', 'K3', 'key-of-on']) expect(ring.find(unknown)).toBeUndefined()
+    const keys = new KeyIndex([workspace(), workspace({ name: 'two', keys: ['k2', 'k3'], quota: QUOTA })])
+    expect(keys.find('key-of-one')?.name).toBe('one')
+    expect(keys.find('k3')).toEqual({ name: 'two', priority: 1, quota: QUOTA })
+    for (const unknown of ['', 'k', 'k33', 'K3', 'key-of-on']) expect(keys.find(unknown)).toBeUndefined()
   })
 
   it('keeps no key in the clear', () => {
-    const book = new RouteBook()
+    const book = new RouteStore()
     book.install(sheet([workspace()]))
     const seen = new Set<unknown>()
     const texts: string[] = []
@@ -98,7 +98,7 @@
 
 describe('a newer sheet', () => {
   it('adds keys and takes them away, and never goes back', () => {
-    const book = new RouteBook()
+    const book = new RouteStore()
     book.install(sheet([workspace({ keys: ['old', 'stays'] })], 5))
     book.install(sheet([workspace({ keys: ['stays', 'new'] })], 6))
     expect(book.install(sheet([workspace({ keys: ['old'] })], 5))).toBe(false)
@@ -107,7 +107,7 @@
   })
 
   it('asks for no keys where it has no list of workspaces, and for keys where the list is empty', () => {
-    const book = new RouteBook()
+    const book = new RouteStore()
     book.install(sheet(undefined, 1))
     expect(book.current!.keys).toBeUndefined()
     book.install(sheet([], 2))
--- a/table/table/src/checkTable.ts
+++ b/table/table/src/checkTable.ts
@@ -40,7 +40,7 @@
 /** Finds everything wrong with a table; an empty list means it may be accepted. */
 export function checkTable(table: Table, options: CheckTableOptions): TableFault[] {
   const rowFaults = table.endpoints.flatMap((row) => checkRow(row, options))
-  return [...rowFaults, ...checkDoubles(table), ...checkPools(table), ...checkLinks(table)]
+  return [...rowFaults, ...checkDuplicates(table), ...checkPools(table), ...checkLinks(table)]
 }
 
 function checkRow(row: EndpointRow, options: CheckTableOptions): TableFault[] {
@@ -69,7 +69,7 @@
   return faults
 }
 
-function checkDoubles(table: Table): TableFault[] {
+function checkDuplicates(table: Table): TableFault[] {
   const faults: TableFault[] = []
   for (const column of ['endpoint', 'address'] as const) {
     const seen = new Set<string>()
--- a/table/table/test/checkTable.test.ts
+++ b/table/table/test/checkTable.test.ts
@@ -37,11 +37,11 @@
   links: [{ from: 'bole-hall', to: 'bole-hall', megabitsPerSecond: 20_000 }],
 }
 const services = new Map([['kelem-7b', 'kelem-llm']])
-const columns = (broken: Table) =>
+const faultCells = (broken: Table) =>
   checkTable(broken, { services }).map((fault) => `${fault.row}/${fault.column}`)
 
 describe('checkTable', () => {
-  it('takes a good table', () => expect(columns(table)).toEqual([]))
+  it('takes a good table', () => expect(faultCells(table)).toEqual([]))
 
   it('names every fault by row and column', () => {
     const broken = applyDelta(table, {
@@ -53,7 +53,7 @@
       upsertLinks: [{ from: 'mars', to: 'bole-hall', megabitsPerSecond: 0 }],
       removeLinks: [],
     })
-    expect(columns(broken)).toEqual(
+    expect(faultCells(broken)).toEqual(
       expect.arrayContaining([
         'p-1/weight',
         'p-1/address',
@@ -67,7 +67,9 @@
 
   it('finds a pool without its partner and endpoints that stand twice', () => {
     const halves = { ...table, endpoints: [row('p-1'), row('p-1')] }
-    expect(columns(halves)).toEqual(expect.arrayContaining(['(sheet)/pool', 'p-1/endpoint', 'p-1/address']))
+    expect(faultCells(halves)).toEqual(
+      expect.arrayContaining(['(sheet)/pool', 'p-1/endpoint', 'p-1/address']),
+    )
   })
 })
 
