--- a/cli/forkstage/src/createControl.ts
+++ b/cli/forkstage/src/createControl.ts
@@ -1,7 +1,7 @@
-import { ControlMachine, type MachineBasics } from '@forkstage/fleet'
+import { ControlMachine, type MachineContext } from '@forkstage/fleet'
 import { platformControl } from '@forkstage/platform-system'
 
 /** A control machine that speaks the platform's formats. */
-export function createControl(basics: MachineBasics): ControlMachine {
+export function createControl(basics: MachineContext): ControlMachine {
   return new ControlMachine(basics, platformControl)
 }
--- a/cli/forkstage/src/createEntry.ts
+++ b/cli/forkstage/src/createEntry.ts
@@ -1,7 +1,7 @@
-import { EntryMachine, type MachineBasics } from '@forkstage/fleet'
+import { EntryMachine, type MachineContext } from '@forkstage/fleet'
 import { platformGateway, readPlatformSheet } from '@forkstage/platform-system'
 
 /** An entry that speaks the platform's formats. Loads nothing of a control machine. */
-export function createEntry(basics: MachineBasics): EntryMachine {
+export function createEntry(basics: MachineContext): EntryMachine {
   return new EntryMachine(basics, { gateway: platformGateway, readSheet: readPlatformSheet })
 }
--- a/cli/forkstage/src/requireRole.ts
+++ b/cli/forkstage/src/requireRole.ts
@@ -1,5 +1,5 @@
 import { ForkstageError } from '@forkstage/error'
-import type { Machine, MachineBasics } from '@forkstage/fleet'
+import type { Machine, MachineContext } from '@forkstage/fleet'
 
 /** Raised where a program of one role is given the settings of the other. */
 export class WrongRoleError extends ForkstageError {
@@ -14,8 +14,8 @@
 }
 
 /** Makes the machine only where the settings name the program's own role. */
-export function requireRole(role: string, create: (basics: MachineBasics) => Machine) {
-  return (basics: MachineBasics): Machine => {
+export function requireRole(role: string, create: (basics: MachineContext) => Machine) {
+  return (basics: MachineContext): Machine => {
     const named = basics.settings.machine.role
     if (named !== role) throw new WrongRoleError(role, named)
     return create(basics)
--- a/cli/forkstage/src/serveMachine.ts
+++ b/cli/forkstage/src/serveMachine.ts
@@ -1,4 +1,4 @@
-import { runMachine, type Machine, type MachineBasics } from '@forkstage/fleet'
+import { runMachine, type Machine, type MachineContext } from '@forkstage/fleet'
 import { VERSION } from '@forkstage/version'
 import { EXIT } from './cliTypes'
 import { printError } from './print'
@@ -6,7 +6,7 @@
 /** Runs one machine of a self-registering deployment until it is told to stop; returns the exit code. */
 export async function serveMachine(
   settingsPath: string,
-  create: (basics: MachineBasics) => Machine,
+  create: (basics: MachineContext) => Machine,
 ): Promise<number> {
   try {
     await runMachine({ settingsPath, version: VERSION, create })
--- a/cli/forkstage/test/requireRole.test.ts
+++ b/cli/forkstage/test/requireRole.test.ts
@@ -1,9 +1,9 @@
-import type { Machine, MachineBasics } from '@forkstage/fleet'
+import type { Machine, MachineContext } from '@forkstage/fleet'
 import { describe, expect, it } from 'vitest'
 import { requireRole, WrongRoleError } from '../src/requireRole'
 
 const machine: Machine = { start: async () => {}, stop: async () => 0, reload: () => {} }
-const basicsOf = (role: string) => ({ settings: { machine: { role } } }) as unknown as MachineBasics
+const basicsOf = (role: string) => ({ settings: { machine: { role } } }) as unknown as MachineContext
 
 describe('the program of one role', () => {
   it('runs the machine of its role', () => {
--- a/daemon/fleet/src/callEndpoint.ts
+++ b/daemon/fleet/src/callEndpoint.ts
@@ -3,9 +3,9 @@
 import { fetchAnswer, type FetchOutcome } from '@forkstage/gateway'
 import type { EndpointCall } from './controlWire'
 
-const CONNECT_MS = 400
+const CONNECT_TIMEOUT_MS = 400
 /** An endpoint that takes a call and says nothing must not keep the caller from its other work. */
-const ANSWER_WITHIN_MS = 2_000
+const ANSWER_TIMEOUT_MS = 2_000
 const MAX_ANSWER_BYTES = 64 * 1024
 
 /** Calls an endpoint on behalf of a control machine. Never rejects. */
@@ -26,8 +26,8 @@
       'Connection',
       'close',
     ],
-    connectMs: CONNECT_MS,
-    timeoutMs: ANSWER_WITHIN_MS,
+    connectMs: CONNECT_TIMEOUT_MS,
+    timeoutMs: ANSWER_TIMEOUT_MS,
     clock,
     maxBytes: MAX_ANSWER_BYTES,
   })
--- a/daemon/fleet/src/coldEndpoints.ts
+++ b/daemon/fleet/src/coldEndpointTracker.ts
@@ -5,8 +5,8 @@
 import type { RoutedService } from '@forkstage/routes'
 import type { Millis } from '@forkstage/types'
 
-/** Options of {@link ColdEndpoints}. */
-export interface ColdEndpointsOptions {
+/** Options of {@link ColdEndpointTracker}. */
+export interface ColdEndpointTrackerOptions {
   directory: Directory
   /** A service of the sheet in force; undefined until there is one. */
   service: (name: string) => RoutedService | undefined
@@ -20,35 +20,35 @@
 }
 
 /** How often beliefs that change with time are looked at: a line in the log may be late by so much. */
-const LOOK_EVERY_MS: Millis = 250
+const REFRESH_EVERY_MS: Millis = 250
 /** An end that moves by more is another start. */
-const SAME_END_MS: Millis = 500
+const SAME_PERIOD_TOLERANCE_MS: Millis = 500
 /** At most so many endpoints are named in a line. */
-const MOST_NAMED = 12
+const MAX_ENDPOINTS_LOGGED = 12
 
-interface Belief {
+interface ColdPeriod {
   since: Millis
   until: Millis
 }
 
 /** Which endpoints this machine believes cold, by the limits of the sheet in force; says when that changes. */
-export class ColdEndpoints implements ColdPolicy {
-  private readonly cold = new Map<InstanceId, Belief>()
-  private cancelLook: CancelTimer = () => undefined
+export class ColdEndpointTracker implements ColdPolicy {
+  private readonly coldPeriods = new Map<InstanceId, ColdPeriod>()
+  private cancelRefresh: CancelTimer = () => undefined
 
-  constructor(private readonly options: ColdEndpointsOptions) {}
+  constructor(private readonly options: ColdEndpointTrackerOptions) {}
 
   start(): void {
-    this.cancelLook = every(this.options.clock, LOOK_EVERY_MS, () => this.look())
+    this.cancelRefresh = every(this.options.clock, REFRESH_EVERY_MS, () => this.refresh())
   }
 
   stop(): void {
-    this.cancelLook()
+    this.cancelRefresh()
   }
 
   /** How many endpoints are believed cold. */
   get count(): number {
-    return this.cold.size
+    return this.coldPeriods.size
   }
 
   leftMs(id: InstanceId, at: Millis): Millis {
@@ -65,42 +65,44 @@
    * The endpoints of a failure domain may have turned cold, as after it was emptied and is taken back: they count as
    * cold until each has said otherwise.
    */
-  doubt(domain: string): void {
+  markCold(domain: string): void {
     const { directory } = this.options
-    const there = directory.list().filter(({ zone }) => zone === domain)
-    directory.doubtWarm(there.map(({ id }) => id))
-    this.look()
+    const inDomain = directory.list().filter(({ zone }) => zone === domain)
+    directory.doubtWarm(inDomain.map(({ id }) => id))
+    this.refresh()
   }
 
   /**
    * Takes note of endpoints that have turned cold or warm.
    * @param changed those that have changed just now; all are looked through where left out.
    */
-  look(changed?: RegisteredEndpoint[]): void {
+  refresh(changed?: RegisteredEndpoint[]): void {
     const { directory, clock, onCold } = this.options
     const now = clock.now()
     const known =
       changed?.filter(({ state }) => state === 'ready' || state === 'draining') ?? directory.list()
-    const there = new Map(known.map(({ id }) => [id, this.until(id)]))
-    const turned: InstanceId[] = []
-    for (const [id, until] of there) {
+    const untilById = new Map(known.map(({ id }) => [id, this.until(id)]))
+    const turnedCold: InstanceId[] = []
+    for (const [id, until] of untilById) {
       if (until <= now) continue
-      const belief = this.cold.get(id)
-      const isNew = belief === undefined || until > belief.until + SAME_END_MS
-      this.cold.set(id, { since: isNew ? now : belief.since, until })
-      if (isNew) turned.push(id)
+      const period = this.coldPeriods.get(id)
+      const isNew = period === undefined || until > period.until + SAME_PERIOD_TOLERANCE_MS
+      this.coldPeriods.set(id, { since: isNew ? now : period.since, until })
+      if (isNew) turnedCold.push(id)
     }
-    turned.forEach((id) => onCold?.(id))
-    this.log('cold', turned, now)
-    const lookedAt = changed?.map(({ id }) => id) ?? [...this.cold.keys()]
-    const ended = lookedAt.filter((id) => this.cold.has(id) && (there.get(id) ?? -Infinity) <= now)
+    turnedCold.forEach((id) => onCold?.(id))
+    this.log('cold', turnedCold, now)
+    const checked = changed?.map(({ id }) => id) ?? [...this.coldPeriods.keys()]
+    const expired = checked.filter(
+      (id) => this.coldPeriods.has(id) && (untilById.get(id) ?? -Infinity) <= now,
+    )
     // One that has left is not warm.
     this.log(
       'warm',
-      ended.filter((id) => there.has(id)),
+      expired.filter((id) => untilById.has(id)),
       now,
     )
-    for (const id of ended) this.cold.delete(id)
+    for (const id of expired) this.coldPeriods.delete(id)
   }
 
   private until(id: InstanceId): Millis {
@@ -111,13 +113,13 @@
 
   private log(outcome: 'cold' | 'warm', ids: InstanceId[], now: Millis): void {
     if (ids.length === 0) return
-    const beliefs = ids.map((id) => this.cold.get(id)!)
+    const periods = ids.map((id) => this.coldPeriods.get(id)!)
     this.options.logger.info('endpoints.cold', {
       outcome,
       count: ids.length,
-      endpoints: ids.slice(0, MOST_NAMED),
-      leftMs: Math.round(Math.max(0, ...beliefs.map(({ until }) => until - now))),
-      ageMs: Math.round(Math.max(0, ...beliefs.map(({ since }) => now - since))),
+      endpoints: ids.slice(0, MAX_ENDPOINTS_LOGGED),
+      leftMs: Math.round(Math.max(0, ...periods.map(({ until }) => until - now))),
+      ageMs: Math.round(Math.max(0, ...periods.map(({ since }) => now - since))),
     })
   }
 }
--- a/daemon/fleet/src/controlApp.ts
+++ b/daemon/fleet/src/controlApp.ts
@@ -4,15 +4,15 @@
 import type { Logger } from '@forkstage/logger'
 import { checkRouteSheet } from '@forkstage/routes'
 import type { ControlWire } from './controlWire'
-import type { EvacuationOffice } from './evacuationOffice'
+import type { EvacuationService } from './evacuationService'
 import type { Registrar } from './registrar'
-import type { SheetOffice } from './sheetOffice'
+import type { SheetService } from './sheetService'
 
 /** Options of {@link createControlApp}. */
 export interface ControlAppOptions {
   wire: ControlWire
-  office: SheetOffice
-  evacuations: EvacuationOffice
+  sheetService: SheetService
+  evacuations: EvacuationService
   /** What this machine believes of evacuations. */
   evacuationView: EvacuationView
   registrar: Registrar
@@ -39,7 +39,7 @@
 }
 
 async function putSheet(options: ControlAppOptions, request: Request, response: Response): Promise<void> {
-  const { wire, office, logger } = options
+  const { wire, sheetService, logger } = options
   const text = bodyOf(request)
   const sheet = wire.readSheet(text)
   const faults = sheet === undefined ? ['no one can read it whole'] : checkRouteSheet(sheet)
@@ -49,20 +49,20 @@
     return
   }
   try {
-    const result = await office.put({ version: sheet.version, text })
+    const result = await sheetService.put({ version: sheet.version, text })
     response.status(200).json(result)
   } catch (error) {
-    answerUnsure(response, error)
+    answerUnavailable(response, error)
   }
 }
 
 async function getSheet(options: ControlAppOptions, response: Response): Promise<void> {
   try {
-    const document = await options.office.newest()
+    const document = await options.sheetService.newest()
     if (document === undefined) return void response.status(503).json({ code: 'FORKSTAGE_NO_SHEET' })
     response.status(200).type('application/json').send(document.text)
   } catch (error) {
-    answerUnsure(response, error)
+    answerUnavailable(response, error)
   }
 }
 
@@ -81,7 +81,7 @@
     const isWaitedFor = () => !response.destroyed
     response.status(200).json(await evacuations.set({ domain, isEvacuated, isWaitedFor }))
   } catch (error) {
-    answerUnsure(response, error)
+    answerUnavailable(response, error)
   }
 }
 
@@ -90,7 +90,7 @@
   const [name, text] = [String(request.params.id), bodyOf(request)]
   const endpoint = wire.readRegistration(name, text)
   if (endpoint === undefined) {
-    registrar.noteRefused(name, text.length)
+    registrar.recordRefused(name, text.length)
     const message = 'A field that is needed is missing or of another kind.'
     return void response.status(400).json({ code: 'FORKSTAGE_REGISTRATION', message })
   }
@@ -105,12 +105,12 @@
   )
 }
 
-function answerRegistration({ wire }: ControlAppOptions, response: Response, taken: boolean): void {
-  if (taken) response.status(200).json(wire.registrationAnswer(undefined))
+function answerRegistration({ wire }: ControlAppOptions, response: Response, isAcknowledged: boolean): void {
+  if (isAcknowledged) response.status(200).json(wire.registrationAnswer(undefined))
   else response.status(503).json({ code: 'FORKSTAGE_CUT_OFF' })
 }
 
-function answerUnsure(response: Response, error: unknown): void {
+function answerUnavailable(response: Response, error: unknown): void {
   response.status(503).json(toErrorBody(error))
 }
 
--- a/daemon/fleet/src/controlCrashes.ts
+++ b/daemon/fleet/src/controlCrashes.ts
@@ -17,12 +17,12 @@
 import type { Logger } from '@forkstage/logger'
 import type { PeerMethod } from '@forkstage/peer-rpc'
 import type { FileSystem } from '@forkstage/storage'
-import { KeptFile } from './keptFile'
+import { StateFile } from './stateFile'
 import { logCrashes } from './logCrashes'
 
 /** Options of {@link ControlCrashes}. */
 export interface ControlCrashesOptions {
-  book: CrashTracker
+  tracker: CrashTracker
   /** The folder of this machine's disk. */
   folder: string
   files: FileSystem
@@ -38,11 +38,11 @@
   logger: Logger
 }
 
-const FILE = 'crashes.json'
-const TICK_EVERY_MS = 100
+const FILE_NAME = 'crashes.json'
+const SWEEP_EVERY_MS = 100
 
 /** Raised where what was reported is known here and not on disk: whoever reported it tells it again. */
-export class NotKeptError extends ForkstageError {
+export class NotPersistedError extends ForkstageError {
   constructor() {
     super('FORKSTAGE_NOT_KEPT', 'What was reported is not on disk.', 'Report it again.', { step: 'keep' })
   }
@@ -53,21 +53,21 @@
  * machines report, passes it on, and keeps it, since all machines may lose power at once while such a request comes again.
  */
 export class ControlCrashes {
-  private readonly file: KeptFile
+  private readonly file: StateFile
   private readonly trials: TrialScheduler
-  private cancelTick: CancelTimer = () => undefined
+  private cancelSweep: CancelTimer = () => undefined
 
   constructor(private readonly options: ControlCrashesOptions) {
-    const { clock, book } = options
-    const content = () => ({ savedAt: clock.wallNow(), records: book.changesSince(0) })
-    this.file = new KeptFile({ ...options, file: FILE, content })
+    const { clock, tracker } = options
+    const content = () => ({ savedAt: clock.wallNow(), records: tracker.changesSince(0) })
+    this.file = new StateFile({ ...options, file: FILE_NAME, content })
     this.trials = new TrialScheduler({
       now: () => clock.now(),
       random: options.random,
-      registered: (service) => this.registered(service),
-      hasCrashed: (endpoint) => book.hasCrashed(endpoint),
-      isSuspect: (content) => book.isSuspect(content),
-      onChange: () => this.noteKeptFree(),
+      registered: (service) => this.readyPlainEndpoints(service),
+      hasCrashed: (endpoint) => tracker.hasCrashed(endpoint),
+      isSuspect: (content) => tracker.isSuspect(content),
+      onChange: () => this.publishReserved(),
     })
   }
 
@@ -77,7 +77,7 @@
   }
 
   start(): void {
-    this.cancelTick = every(this.options.clock, TICK_EVERY_MS, () => this.tick())
+    this.cancelSweep = every(this.options.clock, SWEEP_EVERY_MS, () => this.sweep())
   }
 
   methods(): Record<string, PeerMethod> {
@@ -85,10 +85,10 @@
       [CRASH_REPORT]: async ({ records }: { records: unknown }) => {
         this.apply(records)
         // Entries tell again whoever has not answered: killed after the answer, this machine must still know it.
-        if (await this.file.keep()) return true
-        throw new NotKeptError()
+        if (await this.file.flush()) return true
+        throw new NotPersistedError()
       },
-      [TRIAL_REQUEST]: (raw: unknown) => this.askTrial(readTrialRequest(raw)),
+      [TRIAL_REQUEST]: (raw: unknown) => this.requestTrial(readTrialRequest(raw)),
       [TRIAL_END]: (raw: unknown) => {
         const end = readTrialEnd(raw)
         if (end === undefined) return
@@ -100,51 +100,51 @@
 
   /** Takes what another machine sent. */
   apply(records: unknown): void {
-    const { book, logger, onChange } = this.options
-    const news = book.merge(readCrashRecords(records))
-    if (news.length === 0) return
-    logCrashes(logger, book, news)
-    this.file.noteChange()
+    const { tracker, logger, onChange } = this.options
+    const changed = tracker.merge(readCrashRecords(records))
+    if (changed.length === 0) return
+    logCrashes(logger, tracker, changed)
+    this.file.markChanged()
     onChange()
   }
 
   /** Takes what was kept before this start. */
-  async recall(): Promise<void> {
-    const kept = (await this.file.recall()) as { savedAt?: unknown; records?: unknown } | null | undefined
-    if (kept === undefined || kept === null) return
-    const awayMs = Math.max(0, this.options.clock.wallNow() - Number(kept.savedAt)) || 0
-    this.apply(readCrashRecords(kept.records).map((one) => later(one, awayMs)))
+  async load(): Promise<void> {
+    const saved = (await this.file.load()) as { savedAt?: unknown; records?: unknown } | null | undefined
+    if (saved === undefined || saved === null) return
+    const downMs = Math.max(0, this.options.clock.wallNow() - Number(saved.savedAt)) || 0
+    this.apply(readCrashRecords(saved.records).map((one) => withAddedAge(one, downMs)))
   }
 
   stop(): void {
     this.file.stop()
-    this.cancelTick()
+    this.cancelSweep()
   }
 
-  private askTrial(ask: TrialRequest | undefined): TrialAnswer | undefined {
-    if (ask === undefined || !this.options.isLeader()) return undefined
-    this.apply(ask.records)
-    return this.trials.ask(ask)
+  private requestTrial(request: TrialRequest | undefined): TrialAnswer | undefined {
+    if (request === undefined || !this.options.isLeader()) return undefined
+    this.apply(request.records)
+    return this.trials.ask(request)
   }
 
   /** Plain endpoints that are there to take work. Those that have ended may be listed until they register anew. */
-  private registered(service: string): InstanceId[] {
+  private readyPlainEndpoints(service: string): InstanceId[] {
     const { endpoints, isBarred } = this.options
     const plain = endpoints().filter((one) => one.service === service && one.stage === undefined)
     return plain.filter((one) => one.state === 'ready' && !isBarred(one)).map(({ id }) => id)
   }
 
-  private tick(): void {
+  private sweep(): void {
     if (this.options.isLeader()) this.trials.sweepExpired()
     else this.trials.clear()
   }
 
-  private noteKeptFree(): void {
+  private publishReserved(): void {
     this.options.logger.info('endpoints.kept-free', { endpoints: this.keptFree })
     this.options.onChange()
   }
 }
 
-function later(record: CrashRecord, byMs: number): CrashRecord {
+function withAddedAge(record: CrashRecord, byMs: number): CrashRecord {
   return { ...record, ageMs: record.ageMs + byMs }
 }
--- a/daemon/fleet/src/controlLimits.ts
+++ b/daemon/fleet/src/controlLimits.ts
@@ -23,50 +23,50 @@
   isLeader: () => boolean
 }
 
-const LOOK_EVERY_MS = 1_000
+const SWEEP_EVERY_MS = 1_000
 
 /** The rates that endpoints name, at a control machine: what entries report, divided between them while it leads. */
 export class ControlLimits {
-  private readonly book: RateTable
-  private readonly ledger: PermitAllocator
-  private cancelLook: CancelTimer = () => undefined
+  private readonly rates: RateTable
+  private readonly permits: PermitAllocator
+  private cancelSweep: CancelTimer = () => undefined
 
   constructor(private readonly options: ControlLimitsOptions) {
     const { clock, logger, term } = options
-    this.book = new RateTable({ clock, logger })
-    this.ledger = new PermitAllocator({ clock, rates: this.book, term })
+    this.rates = new RateTable({ clock, logger })
+    this.permits = new PermitAllocator({ clock, rates: this.rates, term })
   }
 
   /** How many endpoints name a rate. */
   get count(): number {
-    return this.book.count
+    return this.rates.count
   }
 
   /** What engines may get that are placed here. */
   get policy(): LimitPolicy {
-    const { ledger } = this
+    const { permits } = this
     return {
-      isLimited: (id) => ledger.isLimited(id),
-      mayTake: (id) => ledger.mayTake(id),
-      spend: (id) => ledger.spend(id),
+      isLimited: (id) => permits.isLimited(id),
+      mayTake: (id) => permits.mayTake(id),
+      spend: (id) => permits.spend(id),
     }
   }
 
   methods(): Record<string, PeerMethod> {
-    return { [LIMIT_REPORT]: (report: unknown) => this.take(readLimitReport(report)) }
+    return { [LIMIT_REPORT]: (report: unknown) => this.allocate(readLimitReport(report)) }
   }
 
   start(): void {
-    this.cancelLook = every(this.options.clock, LOOK_EVERY_MS, () =>
-      this.ledger.sweep(this.options.isRegistered),
+    this.cancelSweep = every(this.options.clock, SWEEP_EVERY_MS, () =>
+      this.permits.sweep(this.options.isRegistered),
     )
   }
 
   stop(): void {
-    this.cancelLook()
+    this.cancelSweep()
   }
 
-  private take(report: LimitReport | undefined): LimitAnswer {
-    return report !== undefined && this.options.isLeader() ? this.ledger.allocate(report) : {}
+  private allocate(report: LimitReport | undefined): LimitAnswer {
+    return report !== undefined && this.options.isLeader() ? this.permits.allocate(report) : {}
   }
 }
--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -12,91 +12,91 @@
 import { Topology } from '@forkstage/topology'
 import type { Address } from '@forkstage/types'
 import { ControlFollower, SHEET, WATCH, WatchHub, type WatchQuestion } from '@forkstage/watch'
-import { ColdEndpoints } from './coldEndpoints'
+import { ColdEndpointTracker } from './coldEndpointTracker'
 import { ControlCrashes } from './controlCrashes'
 import { ControlLimits } from './controlLimits'
 import { createControlApp } from './controlApp'
-import { createCrashBook } from './createCrashBook'
+import { createCrashTracker } from './createCrashTracker'
 import { createGroupHost } from './createGroupHost'
 import { createQuotaLedger } from './createQuotaLedger'
 import type { ControlWire } from './controlWire'
 import { countBy } from './countBy'
-import { EvacuationBelief } from './evacuationBelief'
-import { EvacuationOffice } from './evacuationOffice'
-import { FleetMeters } from './fleetMeters'
-import { leaderHeard } from './leaderHeard'
+import { EvacuationTracker } from './evacuationTracker'
+import { EvacuationService } from './evacuationService'
+import { FleetMetrics } from './fleetMetrics'
+import { knownLeader } from './knownLeader'
 import { listenOn, type Listener } from './listenOn'
-import type { MachineBasics } from './machineBasics'
+import type { MachineContext } from './machineContext'
 import { membershipRules } from './membershipRules'
 import { quotaMethods } from './quotaMethods'
 import { Registrar } from './registrar'
 import { serveMetrics } from './serveMetrics'
-import { EndpointMemory } from './endpointMemory'
-import { recallEndpoints } from './endpointRecall'
-import { SheetOffice } from './sheetOffice'
-import { StageOrders } from './stageOrders'
+import { EndpointStore } from './endpointStore'
+import { probeSavedEndpoints } from './probeSavedEndpoints'
+import { SheetService } from './sheetService'
+import { StageOrderSender } from './stageOrderSender'
 
 const GROUP = 'sheet'
 /** How long a machine that has been told to stop goes on answering. */
-const LAST_ANSWERS_MS = 400
+const LINGER_MS = 400
 /** How often a machine looks who leads: short beside an election, which takes some hundred milliseconds. */
-const LOOK_AT_LEADER_MS = 20
+const LEADER_CHECK_EVERY_MS = 20
 
 /** A control machine: one replica of the route sheet, the directory of endpoints, operators' calls. */
 export class ControlMachine {
-  private readonly machine = new SheetMachine()
-  private readonly directory = new Directory(() => this.basics.clock.now())
+  private readonly sheetMachine = new SheetMachine()
+  private readonly directory = new Directory(() => this.context.clock.now())
   private readonly host: GroupHost<SheetCommand, SheetResult>
-  private readonly keeper: MembershipKeeper<SheetCommand, SheetResult>
+  private readonly membership: MembershipKeeper<SheetCommand, SheetResult>
   private readonly follower: ControlFollower
   private readonly hub: WatchHub
-  private readonly office: SheetOffice
-  private readonly evacuations: EvacuationOffice
-  private readonly belief: EvacuationBelief
+  private readonly sheetService: SheetService
+  private readonly evacuationService: EvacuationService
+  private readonly evacuations: EvacuationTracker
   private readonly registrar: Registrar
   private readonly allocator: AllocatorService
-  private readonly cold: ColdEndpoints
+  private readonly cold: ColdEndpointTracker
   private readonly quotas: QuotaLedger
   private readonly limits: ControlLimits
-  private readonly orders: StageOrders
-  private readonly memory: EndpointMemory
+  private readonly stageOrders: StageOrderSender
+  private readonly endpointStore: EndpointStore
   private readonly crashes: ControlCrashes
   private peerServer: PeerServer | undefined
   private listeners: Listener[] = []
-  private readonly meters: FleetMeters
-  private newest: SheetDocument | undefined
-  private readonly book = new RouteBook()
-  private toldLeader: Address | undefined
-  private cancelLook: CancelTimer = () => undefined
+  private readonly metrics: FleetMetrics
+  private newestSheet: SheetDocument | undefined
+  private readonly routes = new RouteBook()
+  private announcedLeader: Address | undefined
+  private cancelLeaderCheck: CancelTimer = () => undefined
 
   constructor(
-    private readonly basics: MachineBasics,
+    private readonly context: MachineContext,
     private readonly wire: ControlWire,
   ) {
-    const { settings, clock, peers, logger, epoch } = basics
+    const { settings, clock, peers, logger, epoch } = context
     const self = settings.listen.peers
-    this.host = createGroupHost(GROUP, basics, this.machine)
-    this.belief = new EvacuationBelief({
+    this.host = createGroupHost(GROUP, context, this.sheetMachine)
+    this.evacuations = new EvacuationTracker({
       logger,
       onChange: () => this.hub.noteChange(),
-      onWithdrawn: (domain) => this.cold.doubt(domain),
+      onWithdrawn: (domain) => this.cold.markCold(domain),
     })
     this.follower = new ControlFollower({
-      seeds: () => seedAddresses(basics.settings),
+      seeds: () => seedAddresses(context.settings),
       self,
       peers,
       clock,
       logger,
       holdMs: settings.watch.hold_ms,
-      evacuations: () => this.belief.view.current,
-      onEvacuations: (set) => this.evacuations.takeHeard(set),
-      onSupposedEvacuations: (domains) => this.belief.suppose(domains),
+      evacuations: () => this.evacuations.view.current,
+      onEvacuations: (set) => this.evacuationService.applyReceived(set),
+      onSupposedEvacuations: (domains) => this.evacuations.suppose(domains),
       onCrashes: (records) => this.crashes.apply(records),
-      onEndpoints: (records) => this.registrar.take(records),
+      onEndpoints: (records) => this.registrar.merge(records),
       isKnown: (raw) => this.directory.isKnown(raw),
     })
     const replicas = () => this.controlAddresses()
-    this.keeper = new MembershipKeeper({
+    this.membership = new MembershipKeeper({
       group: GROUP,
       host: this.host,
       addresses: replicas,
@@ -107,48 +107,48 @@
       rules: membershipRules(settings),
       lonelyMs: settings.control.election_timeout_ms,
     })
-    const crashBook = createCrashBook(settings.crashes, clock)
+    const crashTracker = createCrashTracker(settings.crashes, clock)
     this.hub = new WatchHub({
-      crashes: crashBook,
+      crashes: crashTracker,
       keptFree: () => this.crashes.keptFree,
       epoch,
       directory: this.directory,
-      sheet: () => this.newest,
-      evacuations: () => this.belief.view.current,
-      supposedEvacuations: () => this.evacuations.supposed(),
+      sheet: () => this.newestSheet,
+      evacuations: () => this.evacuations.view.current,
+      supposedEvacuations: () => this.evacuationService.supposedDomains(),
       members: () => this.memberAddresses(),
       leader: () => this.leader(),
       clock,
     })
     const endpoints = () => this.directory.list()
-    const isBarred = ({ zone }: RegisteredEndpoint) => this.belief.view.isEvacuated(zone)
+    const isBarred = ({ zone }: RegisteredEndpoint) => this.evacuations.view.isEvacuated(zone)
     const isRegistered = (id: string) => this.directory.get(id) !== undefined
     const isLeader = () => this.host.replica?.holdsLease === true
     const folder = settings.machine.data_folder!
     const disk = { folder, files: createFileSystem(), clock, logger }
-    this.memory = new EndpointMemory({ ...disk, endpoints })
+    this.endpointStore = new EndpointStore({ ...disk, endpoints })
     const onChange = () => this.hub.noteChange()
-    const crashes = { ...disk, book: crashBook, endpoints, isBarred, isLeader, random: basics.random }
+    const crashes = { ...disk, tracker: crashTracker, endpoints, isBarred, isLeader, random: context.random }
     this.crashes = new ControlCrashes({ ...crashes, onChange })
     this.registrar = new Registrar({
       directory: this.directory,
       hub: this.hub,
       logger,
       isConnected: () => this.leader() !== undefined,
-      onChange: (changed) => this.noteEndpoints(changed),
+      onChange: (changed) => this.handleChanged(changed),
     })
     const client = new GroupClient<SheetCommand, SheetResult>({ group: GROUP, replicas, peers, clock })
-    this.cold = new ColdEndpoints({
+    this.cold = new ColdEndpointTracker({
       directory: this.directory,
-      service: (name) => this.book.current?.service(name),
+      service: (name) => this.routes.current?.service(name),
       ...settings.cold,
       onCold: (id) => this.allocator.forgetEngine(id),
       clock,
       logger,
     })
-    const replicated = { group: GROUP, host: this.host, machine: this.machine, client, logger }
-    this.office = new SheetOffice(replicated)
-    this.evacuations = new EvacuationOffice({ ...replicated, belief: this.belief, clock })
+    const replicated = { group: GROUP, host: this.host, machine: this.sheetMachine, client, logger }
+    this.sheetService = new SheetService(replicated)
+    this.evacuationService = new EvacuationService({ ...replicated, tracker: this.evacuations, clock })
     const term = () => this.host.replica?.term ?? 0
     const entries = () => this.hub.countEntries()
     this.limits = new ControlLimits({ clock, logger, term, isLeader, isRegistered })
@@ -158,34 +158,34 @@
       clock,
       logger,
       endpoints,
-      engine: (service) => this.book.current?.service(service)?.engine,
+      engine: (service) => this.routes.current?.service(service)?.engine,
       isBarred,
       isLeader,
       term,
       entries,
       topology: new Topology(settings.domains),
     })
-    this.quotas = createQuotaLedger(settings.quota, this.book, { clock, term, entries })
-    this.orders = new StageOrders({
+    this.quotas = createQuotaLedger(settings.quota, this.routes, { clock, term, entries })
+    this.stageOrders = new StageOrderSender({
       wire,
       allocator: this.allocator,
-      sheet: () => this.book.current?.sheet,
+      sheet: () => this.routes.current?.sheet,
       endpoint: (id) => this.directory.get(id),
       isBarred,
       holder: settings.machine.name,
       isLeader,
       term,
-      leadFirstMs: settings.orders.lease_ms + settings.control.election_timeout_ms * 2,
+      firstOrderDelayMs: settings.orders.lease_ms + settings.control.election_timeout_ms * 2,
       clock,
       logger,
     })
-    this.meters = this.createMeters()
-    this.machine.onNewer = (document) => this.noteNewer(document)
-    this.machine.onEvacuations = () => this.evacuations.takeCommitted()
+    this.metrics = this.createMetrics()
+    this.sheetMachine.onNewer = (document) => this.installNewer(document)
+    this.sheetMachine.onEvacuations = () => this.evacuationService.applyCommitted()
   }
 
   async start(): Promise<void> {
-    const { settings, logger } = this.basics
+    const { settings, logger } = this.context
     this.peerServer = await startPeerServer({
       address: settings.listen.peers,
       sharedKey: settings.peers.shared_key,
@@ -194,27 +194,27 @@
     })
     const app = createControlApp({
       wire: this.wire,
-      office: this.office,
-      evacuations: this.evacuations,
-      evacuationView: this.belief.view,
+      sheetService: this.sheetService,
+      evacuations: this.evacuationService,
+      evacuationView: this.evacuations.view,
       registrar: this.registrar,
       logger,
     })
     this.listeners = [
       await listenOn(app, settings.listen.operators!),
-      ...(await serveMetrics(this.meters, settings.listen.metrics)),
+      ...(await serveMetrics(this.metrics, settings.listen.metrics)),
     ]
     void this.host.start()
-    void this.recall()
-    void this.crashes.recall()
+    void this.probeSaved()
+    void this.crashes.load()
     this.follower.start()
-    this.keeper.start()
+    this.membership.start()
     this.allocator.start()
     this.cold.start()
     this.limits.start()
     this.crashes.start()
-    this.orders.start()
-    this.cancelLook = every(this.basics.clock, LOOK_AT_LEADER_MS, () => this.tellOfLeader())
+    this.stageOrders.start()
+    this.cancelLeaderCheck = every(this.context.clock, LEADER_CHECK_EVERY_MS, () => this.announceLeader())
   }
 
   /** This machine's place in the group, once it has one. */
@@ -224,23 +224,23 @@
 
   /** Takes changed settings: new seeds to begin with. */
   reload(settings: FleetSettings): void {
-    this.basics.settings = settings
+    this.context.settings = settings
     this.follower.followNew(seedAddresses(settings))
   }
 
   /** Hands leadership over and stops. Holds no requests that it could cut off. */
   async stop(): Promise<number> {
-    const { clock, peers } = this.basics
+    const { clock, peers } = this.context
     this.host.replica?.transferLeadership()
-    await new Promise<void>((resolve) => clock.after(LAST_ANSWERS_MS, resolve))
-    this.cancelLook()
-    this.keeper.stop()
-    this.memory.stop()
+    await new Promise<void>((resolve) => clock.after(LINGER_MS, resolve))
+    this.cancelLeaderCheck()
+    this.membership.stop()
+    this.endpointStore.stop()
     this.crashes.stop()
     this.allocator.stop()
     this.cold.stop()
     this.limits.stop()
-    this.orders.stop()
+    this.stageOrders.stop()
     this.follower.stop()
     await this.host.stop().catch(() => undefined)
     this.listeners.forEach((listener) => listener.close())
@@ -250,34 +250,34 @@
   }
 
   /** Finds the endpoints of the time before this start. */
-  private async recall(): Promise<void> {
-    const { clock, logger } = this.basics
-    await recallEndpoints(await this.memory.recall(), {
+  private async probeSaved(): Promise<void> {
+    const { clock, logger } = this.context
+    await probeSavedEndpoints(await this.endpointStore.load(), {
       wire: this.wire,
-      service: (name) => this.book.current?.service(name),
+      service: (name) => this.routes.current?.service(name),
       isKnown: (id) => this.directory.get(id) !== undefined,
-      onReady: (endpoint) => this.registrar.take([endpoint]),
+      onReady: (endpoint) => this.registrar.merge([endpoint]),
       clock,
       logger,
     })
   }
 
-  private noteEndpoints(changed: RegisteredEndpoint[]): void {
-    this.memory.noteChange()
-    this.cold.look(changed)
+  private handleChanged(changed: RegisteredEndpoint[]): void {
+    this.endpointStore.markChanged()
+    this.cold.refresh(changed)
   }
 
-  private createMeters(): FleetMeters {
-    const { logBudget } = this.basics
-    return new FleetMeters({
-      sheet_version: () => this.newest?.version ?? -1,
+  private createMetrics(): FleetMetrics {
+    const { logBudget } = this.context
+    return new FleetMetrics({
+      sheet_version: () => this.newestSheet?.version ?? -1,
       endpoints: () =>
         countBy(this.directory.list().map(({ state, stage }) => `${state} ${stage ?? 'plain'}`)),
       endpoints_cold: () => this.cold.count,
       endpoints_limited: () => this.limits.count,
       registrations_refused: () => this.registrar.refused,
       leads: () => Number(this.host.replica?.leads === true),
-      evacuated_domains: () => this.belief.view.current.domains.length,
+      evacuated_domains: () => this.evacuations.view.current.domains.length,
       leader_known: () => Number(this.leader() !== undefined),
       term: () => this.host.replica?.term ?? -1,
       voters: () => this.host.replica?.config.voters.length ?? 0,
@@ -291,9 +291,9 @@
   private methods(): Record<string, PeerMethod> {
     return {
       ...this.host.methods(),
-      ...this.keeper.methods(),
-      ...this.office.methods(),
-      ...this.evacuations.methods(),
+      ...this.membership.methods(),
+      ...this.sheetService.methods(),
+      ...this.evacuationService.methods(),
       ...this.allocator.methods(),
       ...this.crashes.methods(),
       ...this.limits.methods(),
@@ -303,12 +303,12 @@
     }
   }
 
-  private noteNewer(document: SheetDocument): void {
-    if (document.version <= (this.newest?.version ?? -1)) return
-    this.newest = document
+  private installNewer(document: SheetDocument): void {
+    if (document.version <= (this.newestSheet?.version ?? -1)) return
+    this.newestSheet = document
     const sheet = this.wire.readSheet(document.text)
-    if (sheet !== undefined) this.book.install(sheet)
-    this.basics.logger.info('sheet.installed', {
+    if (sheet !== undefined) this.routes.install(sheet)
+    this.context.logger.info('sheet.installed', {
       version: document.version,
       routes: sheet?.routes.length ?? 0,
       services: sheet?.services.length ?? 0,
@@ -323,23 +323,23 @@
   }
 
   private controlAddresses(): Address[] {
-    const { settings } = this.basics
+    const { settings } = this.context
     const all = [...this.memberAddresses(), ...this.follower.addresses(), ...seedAddresses(settings)]
     return [...new Set(all)]
   }
 
   /** Entries that wait for news hear of another leader at once: until then they ask one that places no more. */
-  private tellOfLeader(): void {
-    if (!this.belief.view.isHeard) this.evacuations.takeCommitted()
+  private announceLeader(): void {
+    if (!this.evacuations.view.isHeard) this.evacuationService.applyCommitted()
     const leader = this.leader()
-    if (leader === this.toldLeader) return
-    this.toldLeader = leader
+    if (leader === this.announcedLeader) return
+    this.announcedLeader = leader
     this.hub.noteChange()
   }
 
   private leader(): Address | undefined {
-    const { clock, settings } = this.basics
+    const { clock, settings } = this.context
     const { replica } = this.host
-    return replica && leaderHeard(replica, settings.listen.peers, settings.control.election_timeout_ms, clock)
+    return replica && knownLeader(replica, settings.listen.peers, settings.control.election_timeout_ms, clock)
   }
 }
--- a/daemon/fleet/src/controlWire.ts
+++ b/daemon/fleet/src/controlWire.ts
@@ -1,4 +1,4 @@
-import type { RecallAnswer } from './recalledEndpoint'
+import type { ProbeAnswer } from './endpointFromProbe'
 import type { RegisteredEndpoint, Stage } from '@forkstage/directory'
 import type { FetchOutcome } from '@forkstage/gateway'
 import type { RoutedService, RouteSheet } from '@forkstage/routes'
@@ -60,7 +60,7 @@
   readReport(body: Buffer): EngineReport | undefined
   stageOrderCall(order: StageOrder): EndpointCall
   /** Asks an endpoint that was known before this machine's start whether it takes work. */
-  recallCall(endpoint: RegisteredEndpoint, service: RoutedService): EndpointCall
-  /** What the answer to {@link recallCall} says. */
-  readRecall(answer: Extract<FetchOutcome, { type: 'answer' }>): RecallAnswer
+  probeCall(endpoint: RegisteredEndpoint, service: RoutedService): EndpointCall
+  /** What the answer to {@link probeCall} says. */
+  readProbe(answer: Extract<FetchOutcome, { type: 'answer' }>): ProbeAnswer
 }
--- a/daemon/fleet/src/countBy.ts
+++ b/daemon/fleet/src/countBy.ts
@@ -1,6 +1,6 @@
 /** How often each word stands in a list. */
-export function countBy(words: string[]): Record<string, number> {
+export function countBy(values: string[]): Record<string, number> {
   const counts: Record<string, number> = {}
-  for (const word of words) counts[word] = (counts[word] ?? 0) + 1
+  for (const value of values) counts[value] = (counts[value] ?? 0) + 1
   return counts
 }
--- a/daemon/fleet/src/createGroupHost.ts
+++ b/daemon/fleet/src/createGroupHost.ts
@@ -1,15 +1,15 @@
 import { seedAddresses } from '@forkstage/fleet-settings'
 import { GroupHost } from '@forkstage/group'
 import type { SheetCommand, SheetMachine, SheetResult } from '@forkstage/sheet'
-import type { MachineBasics } from './machineBasics'
+import type { MachineContext } from './machineContext'
 
 const REOPEN_AFTER_MS = 400
 
 /** This machine's replica of a group, by its settings. */
 export function createGroupHost(
   group: string,
-  { settings, peers, clock, random, logger }: MachineBasics,
-  machine: SheetMachine,
+  { settings, peers, clock, random, logger }: MachineContext,
+  sheetMachine: SheetMachine,
 ): GroupHost<SheetCommand, SheetResult> {
   const { control, listen } = settings
   return new GroupHost({
@@ -21,7 +21,7 @@
     firstReplicas: seedAddresses(settings).map((address) => ({ address })),
     mayFound: control.found,
     reopenAfter: REOPEN_AFTER_MS,
-    machine,
+    machine: sheetMachine,
     peers,
     clock,
     random,
--- a/daemon/fleet/src/createQuotaLedger.ts
+++ b/daemon/fleet/src/createQuotaLedger.ts
@@ -7,14 +7,14 @@
 /** The ledger of what entries spend of workspaces' quotas, which are those of the sheet in force. */
 export function createQuotaLedger(
   settings: FleetSettings['quota'],
-  book: RouteBook,
+  routes: RouteBook,
   options: Pick<QuotaLedgerOptions, 'clock' | 'term' | 'entries'>,
 ): QuotaLedger {
   const windowMs = settings.window_s * SECOND_MS
   return new QuotaLedger({
     ...options,
     limit: (workspace) => {
-      const quota = book.current?.workspace(workspace)?.quota
+      const quota = routes.current?.workspace(workspace)?.quota
       return quota && quotaLimit(quota, windowMs)
     },
     windowMs,
--- a/daemon/fleet/src/recalledEndpoint.ts
+++ b/daemon/fleet/src/endpointFromProbe.ts
@@ -2,9 +2,9 @@
 import type { Millis } from '@forkstage/types'
 
 /** What an endpoint's answer says of itself, when it is asked after a start of this machine. */
-export interface RecallAnswer {
+export interface ProbeAnswer {
   /** Whether it answered that it is well. */
-  isGood: boolean
+  isHealthy: boolean
   /** What it calls itself; absent where it does not say. */
   instance?: string
   /** What an engine reports of itself; absent where the answer holds no report. */
@@ -17,33 +17,33 @@
  * The endpoint as its answer tells it; undefined where it takes no work, or another one answered. A plain one names itself;
  * an engine reports its part, and carries out no order.
  */
-export function recalledEndpoint(
+export function endpointFromProbe(
   endpoint: RegisteredEndpoint,
-  answer: RecallAnswer,
+  answer: ProbeAnswer,
 ): RegisteredEndpoint | undefined {
-  if (!answer.isGood) return undefined
-  return endpoint.stage === undefined ? recalledPlain(endpoint, answer) : recalledEngine(endpoint, answer)
+  if (!answer.isHealthy) return undefined
+  return endpoint.stage === undefined ? plainFromProbe(endpoint, answer) : engineFromProbe(endpoint, answer)
 }
 
-function recalledPlain(
+function plainFromProbe(
   endpoint: RegisteredEndpoint,
-  { instance, coldMs }: RecallAnswer,
+  { instance, coldMs }: ProbeAnswer,
 ): RegisteredEndpoint | undefined {
-  return instance === nameOf(endpoint) ? { ...unknownStart(endpoint), coldMs } : undefined
+  return instance === nameOf(endpoint) ? { ...withoutStart(endpoint), coldMs } : undefined
 }
 
-function recalledEngine(
+function engineFromProbe(
   endpoint: RegisteredEndpoint,
-  { report, coldMs }: RecallAnswer,
+  { report, coldMs }: ProbeAnswer,
 ): RegisteredEndpoint | undefined {
   if (report?.stage === undefined || report.isBusy) return undefined
   if (report.state !== undefined && report.state !== 'ready') return undefined
   if (report.born !== undefined && report.born !== endpoint.born) return undefined
-  const known = report.born === undefined ? unknownStart(endpoint) : endpoint
+  const known = report.born === undefined ? withoutStart(endpoint) : endpoint
   return { ...known, stage: report.stage, coldMs }
 }
 
 /** An answer that names no start may be another life's; its next heartbeat says which. */
-function unknownStart({ name: _name, born: _born, ...endpoint }: RegisteredEndpoint): RegisteredEndpoint {
+function withoutStart({ name: _name, born: _born, ...endpoint }: RegisteredEndpoint): RegisteredEndpoint {
   return { ...endpoint, id: nameOf({ id: endpoint.id, name: _name }) }
 }
--- a/daemon/fleet/src/endpointMemory.ts
+++ b/daemon/fleet/src/endpointStore.ts
@@ -1,35 +1,35 @@
 import { readEndpoints, type RegisteredEndpoint } from '@forkstage/directory'
-import { KeptFile, type KeptFileOptions } from './keptFile'
+import { StateFile, type StateFileOptions } from './stateFile'
 
-/** Options of {@link EndpointMemory}. */
-export interface EndpointMemoryOptions extends Omit<KeptFileOptions, 'file' | 'content'> {
+/** Options of {@link EndpointStore}. */
+export interface EndpointStoreOptions extends Omit<StateFileOptions, 'file' | 'content'> {
   /** Endpoints that are known now. */
   endpoints: () => RegisteredEndpoint[]
 }
 
-const FILE = 'endpoints.json'
+const FILE_NAME = 'endpoints.json'
 
 /**
  * Keeps on disk which endpoints take work, for a machine that starts again. What it recalls is only a hint of whom to
  * ask: an endpoint counts once it has said again that it takes work.
  */
-export class EndpointMemory {
-  private readonly file: KeptFile
+export class EndpointStore {
+  private readonly file: StateFile
 
-  constructor(options: EndpointMemoryOptions) {
+  constructor(options: EndpointStoreOptions) {
     const content = () => ({ endpoints: options.endpoints().filter(({ state }) => state === 'ready') })
-    this.file = new KeptFile({ ...options, file: FILE, content })
+    this.file = new StateFile({ ...options, file: FILE_NAME, content })
   }
 
   /** What was kept last; nothing where there is no file or it cannot be read. */
-  async recall(): Promise<RegisteredEndpoint[]> {
-    const kept = (await this.file.recall()) as { endpoints?: unknown } | null | undefined
-    return readEndpoints(kept?.endpoints)
+  async load(): Promise<RegisteredEndpoint[]> {
+    const saved = (await this.file.load()) as { endpoints?: unknown } | null | undefined
+    return readEndpoints(saved?.endpoints)
   }
 
   /** Notes that endpoints have changed; they are written a moment later. */
-  noteChange(): void {
-    this.file.noteChange()
+  markChanged(): void {
+    this.file.markChanged()
   }
 
   stop(): void {
--- a/daemon/fleet/src/entryLimits.ts
+++ b/daemon/fleet/src/entryLimits.ts
@@ -1,43 +1,47 @@
 import { EndpointRateLimiter, type LeaderClient } from '@forkstage/gateway'
 import { LIMIT_REPORT, PermitClient, RateTable, type LimitAnswer } from '@forkstage/limits'
-import type { MachineBasics } from './machineBasics'
+import type { MachineContext } from './machineContext'
 
 const SECOND_MS = 1_000
 
 /** What an entry knows of the rates that endpoints name, and may send them. */
 export class EntryLimits {
-  readonly book: RateTable
-  readonly gate: EndpointRateLimiter
-  private readonly keeper: PermitClient
+  readonly rates: RateTable
+  readonly limiter: EndpointRateLimiter
+  private readonly permits: PermitClient
 
   /** @param entries how many entries there are, as control machines count them; 0 where none has said. */
-  constructor({ settings, clock, random, logger }: MachineBasics, way: LeaderClient, entries: () => number) {
+  constructor(
+    { settings, clock, random, logger }: MachineContext,
+    leaderClient: LeaderClient,
+    entries: () => number,
+  ) {
     const { window_s: windowS, over, slack, report_ms: reportMs } = settings.limits
-    this.book = new RateTable({ clock, logger })
-    this.keeper = new PermitClient({
+    this.rates = new RateTable({ clock, logger })
+    this.permits = new PermitClient({
       entry: settings.machine.name,
       clock,
-      rates: this.book,
-      report: (report) => way.tryCall<LimitAnswer>(LIMIT_REPORT, report, reportMs),
-      leader: () => way.leader(),
+      rates: this.rates,
+      report: (report) => leaderClient.tryCall<LimitAnswer>(LIMIT_REPORT, report, reportMs),
+      leader: () => leaderClient.leader(),
       reportEveryMs: reportMs,
     })
     const tolerance = { windowMs: windowS * SECOND_MS, over, slack }
-    this.gate = new EndpointRateLimiter({
+    this.limiter = new EndpointRateLimiter({
       clock,
       random,
-      rates: this.book,
-      permits: this.keeper,
+      rates: this.rates,
+      permits: this.permits,
       tolerance,
       entries,
     })
   }
 
   start(): void {
-    this.keeper.start()
+    this.permits.start()
   }
 
   stop(): void {
-    this.keeper.stop()
+    this.permits.stop()
   }
 }
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -24,31 +24,31 @@
 import { AvailabilityTracker } from '@forkstage/statements'
 import { Topology } from '@forkstage/topology'
 import { ControlFollower, type WatchedSheet } from '@forkstage/watch'
-import { ColdEndpoints } from './coldEndpoints'
+import { ColdEndpointTracker } from './coldEndpointTracker'
 import { countBy } from './countBy'
-import { createCrashBook } from './createCrashBook'
+import { createCrashTracker } from './createCrashTracker'
 import { EntryCrashes } from './entryCrashes'
 import { EntryLimits } from './entryLimits'
-import { EvacuationBelief } from './evacuationBelief'
-import { FleetMeters } from './fleetMeters'
+import { EvacuationTracker } from './evacuationTracker'
+import { FleetMetrics } from './fleetMetrics'
 import { listenOn, type Listener } from './listenOn'
 import { logEndpoints } from './logEndpoints'
-import type { MachineBasics } from './machineBasics'
+import type { MachineContext } from './machineContext'
 import { serveMetrics } from './serveMetrics'
 
 const SECOND_MS = 1_000
 /** How often the count of entries is looked at, which cold endpoints' shares go by. */
-const COUNT_EVERY_MS = 1_000
+const SWEEP_EVERY_MS = 1_000
 const READY = 200
 const NOT_READY = 503
-const CHECK_IDLE_MS = 50
+const IDLE_POLL_MS = 50
 /** Kept between the last answer and the end by force. */
 const GRACE_MARGIN_MS = 400
 /** Connections that were ended are closed within a turn of the event loop or two. */
-const CUT_LINES_MS = 100
-const CHECK_CUT_MS = 5
+const CUT_LOG_WAIT_MS = 100
+const CUT_LOG_POLL_MS = 5
 /** Entries assumed to share the allowance until a control machine has counted them. */
-const ENTRIES_UNTIL_KNOWN = 64
+const ASSUMED_ENTRIES = 64
 
 /** What a deployment speaks, as an entry needs it. */
 export interface EntryWire {
@@ -58,40 +58,40 @@
 
 /** An entry: callers' listener, routing and relays. Keeps nothing on disk. */
 export class EntryMachine {
-  private readonly book = new RouteBook()
-  private readonly directory = new Directory(() => this.basics.clock.now())
-  private readonly cold: ColdEndpoints
-  private readonly coldGate: ColdEndpointLimiter
+  private readonly routes = new RouteBook()
+  private readonly directory = new Directory(() => this.context.clock.now())
+  private readonly cold: ColdEndpointTracker
+  private readonly coldLimiter: ColdEndpointLimiter
   private readonly limits: EntryLimits
-  private readonly statements: AvailabilityTracker
-  private readonly belief: EvacuationBelief
+  private readonly availability: AvailabilityTracker
+  private readonly evacuations: EvacuationTracker
   private readonly pool: EndpointPool
   private readonly crashes: EntryCrashes
   private readonly follower: ControlFollower
   private readonly placer: RemotePlacer
-  private readonly way: LeaderClient
+  private readonly leaderClient: LeaderClient
   private readonly quotas: QuotaLimiter
   private peerServer: PeerServer | undefined
   private readonly ingress: Ingress
-  private readonly meters: FleetMeters
+  private readonly metrics: FleetMetrics
   private listeners: Listener[] = []
   private leaving = false
-  private cancelLook: CancelTimer = () => undefined
+  private cancelSweep: CancelTimer = () => undefined
 
   constructor(
-    private readonly basics: MachineBasics,
+    private readonly context: MachineContext,
     private readonly wire: EntryWire,
   ) {
-    const { settings, clock, random, logger, peers } = basics
-    this.cold = new ColdEndpoints({
+    const { settings, clock, random, logger, peers } = context
+    this.cold = new ColdEndpointTracker({
       directory: this.directory,
-      service: (name) => this.book.current?.service(name),
+      service: (name) => this.routes.current?.service(name),
       ...settings.cold,
       onCold: (id) => this.pool.resetPace(id),
       clock,
       logger,
     })
-    this.coldGate = new ColdEndpointLimiter({
+    this.coldLimiter = new ColdEndpointLimiter({
       clock,
       random,
       leftMs: (id) => this.cold.leftMs(id, clock.now()),
@@ -99,46 +99,46 @@
       perSecond: (service) => this.cold.perSecond(service),
       entries: () => this.follower.entries(),
     })
-    this.statements = new AvailabilityTracker({ clock, random, logger })
-    this.belief = new EvacuationBelief({ logger, onWithdrawn: (domain) => this.cold.doubt(domain) })
-    const isEvacuated = ({ zone }: RegisteredEndpoint) => this.belief.view.isEvacuated(zone)
-    const isKeptFree = ({ id }: RegisteredEndpoint) => this.follower.isKeptFree(id)
+    this.availability = new AvailabilityTracker({ clock, random, logger })
+    this.evacuations = new EvacuationTracker({ logger, onWithdrawn: (domain) => this.cold.markCold(domain) })
+    const isEvacuated = ({ zone }: RegisteredEndpoint) => this.evacuations.view.isEvacuated(zone)
+    const isReserved = ({ id }: RegisteredEndpoint) => this.follower.isKeptFree(id)
     const topology = new Topology(settings.domains)
     this.pool = new EndpointPool({
       zone: settings.machine.zone,
       topology,
-      isBarred: (one) => isEvacuated(one) || isKeptFree(one),
-      statements: this.statements,
-      isCold: (id) => this.coldGate.isCold(id),
+      isBarred: (one) => isEvacuated(one) || isReserved(one),
+      statements: this.availability,
+      isCold: (id) => this.coldLimiter.isCold(id),
       clock,
       random,
       logger,
     })
     this.follower = new ControlFollower({
-      seeds: () => seedAddresses(basics.settings),
+      seeds: () => seedAddresses(context.settings),
       entry: settings.listen.peers,
       peers,
       clock,
       logger,
       holdMs: settings.watch.hold_ms,
-      sheetVersion: () => this.book.version,
+      sheetVersion: () => this.routes.version,
       onSheet: (sheet) => this.install(sheet),
-      evacuations: () => this.belief.view.current,
-      onEvacuations: (set) => this.belief.take(set),
-      onSupposedEvacuations: (domains) => this.belief.suppose(domains),
+      evacuations: () => this.evacuations.view.current,
+      onEvacuations: (set) => this.evacuations.apply(set),
+      onSupposedEvacuations: (domains) => this.evacuations.suppose(domains),
       onCrashes: (records) => this.crashes.apply(records),
-      onEndpoints: (records) => this.takeEndpoints(records),
+      onEndpoints: (records) => this.mergeEndpoints(records),
       isKnown: (raw) => this.directory.isKnown(raw),
     })
-    const entries = () => this.follower.entries() || ENTRIES_UNTIL_KNOWN
-    const allowance = new RetryBudget({
+    const entries = () => this.follower.entries() || ASSUMED_ENTRIES
+    const retryBudget = new RetryBudget({
       clock,
       share: settings.retry.share,
       slack: settings.retry.slack,
       windowMs: settings.retry.window_s * SECOND_MS,
       entries,
     })
-    this.way = new LeaderClient({
+    this.leaderClient = new LeaderClient({
       leader: () => this.follower.leader(),
       neighbours: () => this.follower.neighbours(),
       peers,
@@ -153,32 +153,32 @@
         TRIAL_END,
       ],
     })
-    const crashBook = createCrashBook(settings.crashes, clock)
-    const { directory, way } = this
+    const crashTracker = createCrashTracker(settings.crashes, clock)
+    const { directory, leaderClient } = this
     this.crashes = new EntryCrashes({
-      book: crashBook,
+      tracker: crashTracker,
       directory,
       isBarred: isEvacuated,
-      way,
+      leaderClient,
       clock,
       logger,
     })
     this.quotas = this.createQuotas(entries)
-    this.limits = new EntryLimits(basics, way, () => this.follower.entries())
+    this.limits = new EntryLimits(context, leaderClient, () => this.follower.entries())
     this.placer = new RemotePlacer({
       entry: settings.machine.name,
       domain: settings.machine.zone,
       pool: this.pool,
       fallback: new LocalPlacer({
         pool: this.pool,
-        kvTokens: (service) => this.book.current?.service(service)?.engine?.kvTokens ?? 0,
+        kvTokens: (service) => this.routes.current?.service(service)?.engine?.kvTokens ?? 0,
         entries,
-        cold: this.coldGate,
-        limits: this.limits.gate,
+        cold: this.coldLimiter,
+        limits: this.limits.limiter,
       }),
-      leaderClient: this.way,
-      cold: this.coldGate,
-      limits: this.limits.gate,
+      leaderClient: this.leaderClient,
+      cold: this.coldLimiter,
+      limits: this.limits.limiter,
       clock,
       logger,
     })
@@ -187,17 +187,17 @@
         wire: wire.gateway,
         pool: this.pool,
         placer: this.placer,
-        retryBudget: allowance,
+        retryBudget,
         entries: () => this.follower.entries() || 1,
-        cold: this.coldGate,
-        limits: this.limits.gate,
-        rates: this.limits.book,
-        statements: this.statements,
+        cold: this.coldLimiter,
+        limits: this.limits.limiter,
+        rates: this.limits.rates,
+        statements: this.availability,
         leavingServesMs: settings.leaving.serves_ms,
         crashes: this.crashes,
         sendRules: [
           (to) => (isEvacuated(to) ? EVACUATED : undefined),
-          (to, { isolatedId }) => (isKeptFree(to) && isolatedId !== to.id ? KEPT_FREE : undefined),
+          (to, { isolatedId }) => (isReserved(to) && isolatedId !== to.id ? KEPT_FREE : undefined),
           regionRule(topology),
         ],
         clock,
@@ -211,43 +211,43 @@
         clock,
         logger,
       }),
-      routes: () => this.book.current,
+      routes: () => this.routes.current,
       isViewFresh: () => this.follower.hasHeardSince(),
-      onResult: (report) => this.meters.noteRequest(report),
+      onResult: (report) => this.metrics.recordRequest(report),
     })
-    this.meters = new FleetMeters({
-      sheet_version: () => this.book.version,
+    this.metrics = new FleetMetrics({
+      sheet_version: () => this.routes.version,
       endpoints: () =>
         countBy(this.directory.list().map(({ state, stage }) => `${state} ${stage ?? 'plain'}`)),
       endpoints_cold: () => this.cold.count,
-      endpoints_limited: () => this.limits.book.count,
-      endpoints_resting: () => this.statements.backoffCount,
-      endpoints_leaving: () => this.statements.leavingCount,
-      evacuated_domains: () => this.belief.view.current.domains.length,
-      contents_refused: () => crashBook.countRefused(),
-      contents_suspected: () => crashBook.countSuspects(),
+      endpoints_limited: () => this.limits.rates.count,
+      endpoints_resting: () => this.availability.backoffCount,
+      endpoints_leaving: () => this.availability.leavingCount,
+      evacuated_domains: () => this.evacuations.view.current.domains.length,
+      contents_refused: () => crashTracker.countRefused(),
+      contents_suspected: () => crashTracker.countSuspects(),
       requests_running: () => this.ingress.running,
       entries_known: () => this.follower.entries(),
-      retries: () => ({ ...allowance.counts }),
+      retries: () => ({ ...retryBudget.counts }),
       leader_known: () => Number(this.follower.leader() !== undefined),
-      log_lines_omitted: () => basics.logBudget.omittedTotal,
+      log_lines_omitted: () => context.logBudget.omittedTotal,
     })
   }
 
   /** Whether callers should come here. */
   get isReady(): boolean {
-    return !this.leaving && this.book.current !== undefined && this.pool.size > 0
+    return !this.leaving && this.routes.current !== undefined && this.pool.size > 0
   }
 
   async start(): Promise<void> {
-    const { settings, logger } = this.basics
+    const { settings, logger } = this.context
     const { listen } = settings
     // Connects and asks for routes while the listeners are set up.
     this.follower.start()
     this.peerServer = await startPeerServer({
       address: listen.peers,
       sharedKey: settings.peers.shared_key,
-      methods: this.way.methods(),
+      methods: this.leaderClient.methods(),
       logger,
     })
     const readiness = await listenOn((request, response) => {
@@ -256,17 +256,17 @@
       response.end()
     }, listen.readiness!)
     this.listeners = [readiness, await listenOn(this.ingress.server, listen.callers!)]
-    this.listeners.push(...(await serveMetrics(this.meters, listen.metrics)))
+    this.listeners.push(...(await serveMetrics(this.metrics, listen.metrics)))
     this.placer.start()
     this.cold.start()
-    this.cancelLook = every(this.basics.clock, COUNT_EVERY_MS, () => this.look())
+    this.cancelSweep = every(this.context.clock, SWEEP_EVERY_MS, () => this.sweep())
     this.quotas.start()
     this.limits.start()
   }
 
   /** Takes changed settings: new seeds to begin with. */
   reload(settings: FleetSettings): void {
-    this.basics.settings = settings
+    this.context.settings = settings
     this.follower.followNew(seedAddresses(settings))
   }
 
@@ -275,22 +275,22 @@
    * @returns how many requests were cut off.
    */
   async stop(): Promise<number> {
-    const { clock, settings, peers } = this.basics
+    const { clock, settings, peers } = this.context
     const endsAt = clock.now() + settings.stop.grace_s * SECOND_MS - GRACE_MARGIN_MS
     this.leaving = true
     this.ingress.leave()
     await this.wait(settings.stop.unready_ms)
     this.ingress.close()
-    while (this.ingress.running > 0 && clock.now() < endsAt) await this.wait(CHECK_IDLE_MS)
+    while (this.ingress.running > 0 && clock.now() < endsAt) await this.wait(IDLE_POLL_MS)
     const cut = this.ingress.running
     this.ingress.closeAll()
     // Each answer that was cut is written down under its id; the process would end before.
-    for (let waited = 0; this.ingress.running > 0 && waited < CUT_LINES_MS; waited += CHECK_CUT_MS)
-      await this.wait(CHECK_CUT_MS)
+    for (let waited = 0; this.ingress.running > 0 && waited < CUT_LOG_WAIT_MS; waited += CUT_LOG_POLL_MS)
+      await this.wait(CUT_LOG_POLL_MS)
     this.follower.stop()
     this.placer.stop()
     this.cold.stop()
-    this.cancelLook()
+    this.cancelSweep()
     this.quotas.stop()
     this.limits.stop()
     this.crashes.stop()
@@ -301,13 +301,14 @@
   }
 
   private createQuotas(entries: () => number): QuotaLimiter {
-    const { settings, clock, random, epoch } = this.basics
+    const { settings, clock, random, epoch } = this.context
     return new QuotaLimiter({
       entry: settings.machine.name,
       life: epoch,
       clock,
       random,
-      report: (report) => this.way.tryCall<QuotaAnswer>(QUOTA_REPORT, report, settings.quota.report_ms),
+      report: (report) =>
+        this.leaderClient.tryCall<QuotaAnswer>(QUOTA_REPORT, report, settings.quota.report_ms),
       leader: () => this.follower.leader(),
       entries,
       windowMs: settings.quota.window_s * SECOND_MS,
@@ -315,33 +316,33 @@
     })
   }
 
-  private look(): void {
-    this.coldGate.sweep()
+  private sweep(): void {
+    this.coldLimiter.sweep()
     const isRegistered = (id: string) => this.directory.get(id) !== undefined
-    this.limits.gate.sweep(isRegistered)
-    this.statements.sweep(isRegistered)
+    this.limits.limiter.sweep(isRegistered)
+    this.availability.sweep(isRegistered)
   }
 
   private wait(milliseconds: number): Promise<void> {
-    return new Promise((resolve) => this.basics.clock.after(milliseconds, resolve))
+    return new Promise((resolve) => this.context.clock.after(milliseconds, resolve))
   }
 
   private install(watched: WatchedSheet): void {
     const sheet = this.wire.readSheet(watched.text)
-    if (sheet === undefined || !this.book.install(sheet)) return
+    if (sheet === undefined || !this.routes.install(sheet)) return
     this.ingress.setLimits(sheet.limits)
-    this.basics.logger.info('sheet.installed', {
+    this.context.logger.info('sheet.installed', {
       version: sheet.version,
       routes: sheet.routes.length,
       services: sheet.services.length,
     })
   }
 
-  private takeEndpoints(records: RegisteredEndpoint[]): void {
-    const news = this.directory.merge(records)
-    this.pool.update(news)
-    if (news.length > 0) this.cold.look(news)
-    if (news.length > 0) this.crashes.checkSuspected()
-    logEndpoints(this.basics.logger, news)
+  private mergeEndpoints(records: RegisteredEndpoint[]): void {
+    const changed = this.directory.merge(records)
+    this.pool.update(changed)
+    if (changed.length > 0) this.cold.refresh(changed)
+    if (changed.length > 0) this.crashes.checkSuspected()
+    logEndpoints(this.context.logger, changed)
   }
 }
--- a/daemon/fleet/src/evacuationOffice.ts
+++ b/daemon/fleet/src/evacuationService.ts
@@ -11,22 +11,22 @@
 import type { PeerMethod } from '@forkstage/peer-rpc'
 import type { SheetCommand, SheetMachine, SheetResult } from '@forkstage/sheet'
 import type { FailureDomain, Millis } from '@forkstage/types'
-import type { EvacuationBelief } from './evacuationBelief'
+import type { EvacuationTracker } from './evacuationTracker'
 
-/** Options of {@link EvacuationOffice}. */
-export interface EvacuationOfficeOptions {
+/** Options of {@link EvacuationService}. */
+export interface EvacuationServiceOptions {
   group: string
   host: GroupHost<SheetCommand, SheetResult>
   machine: SheetMachine
   client: GroupClient<SheetCommand, SheetResult>
   /** What this machine believes. */
-  belief: EvacuationBelief
+  tracker: EvacuationTracker
   clock: Clock
   logger: Logger
 }
 
 /** An order to begin or withdraw an evacuation, as it came in. */
-export interface EvacuationOrder {
+export interface EvacuationRequest {
   domain: FailureDomain
   isEvacuated: boolean
   /** Whether its caller still waits: an order that nobody waits for any more is not proposed again. */
@@ -34,13 +34,13 @@
 }
 
 /** Callers ask another machine after about a second: by then they have heard that this one is not sure. */
-const ORDER_DEADLINE_MS: Millis = 900
+const REQUEST_DEADLINE_MS: Millis = 900
 /** A commit takes a round trip and a sync, some ten milliseconds; one leader that hangs leaves time for another. */
-const ORDER_CALL_MS: Millis = 450
+const LEADER_CALL_TIMEOUT_MS: Millis = 450
 
 /** Takes orders to evacuate failure domains, at any control machine. */
-export class EvacuationOffice {
-  constructor(private readonly options: EvacuationOfficeOptions) {}
+export class EvacuationService {
+  constructor(private readonly options: EvacuationServiceOptions) {}
 
   /** What other control machines call at the leader. */
   methods(): Record<string, PeerMethod> {
@@ -51,12 +51,12 @@
    * Begins or withdraws an evacuation. Returns once the change is synced on a majority, or was before.
    * @throws GroupUnavailableError where it is not known whether it was taken.
    */
-  async set(order: EvacuationOrder): Promise<EvacuationResult> {
+  async set(request: EvacuationRequest): Promise<EvacuationResult> {
     const { logger } = this.options
-    const { domain, isEvacuated } = order
+    const { domain, isEvacuated } = request
     const action = isEvacuated ? 'begin' : 'withdraw'
     try {
-      const result = this.answerFromLease(domain, isEvacuated) ?? (await this.propose(order))
+      const result = this.answerFromLease(domain, isEvacuated) ?? (await this.propose(request))
       logger.info('evacuation.taken', { domain, action, index: result.index, outcome: result.outcome })
       return result
     } catch (error) {
@@ -69,27 +69,29 @@
    * Takes what another control machine has told. What was read from the disk here before anything was heard is committed
    * too, and may be newer than what that machine knew.
    */
-  takeHeard(set: EvacuationSet): void {
-    this.options.belief.take(set)
-    this.takeCommitted()
+  applyReceived(set: EvacuationSet): void {
+    this.options.tracker.apply(set)
+    this.applyCommitted()
   }
 
   /**
    * Lets this machine believe what its replica has applied. What a replica restores at its start may be older than what
    * was acknowledged: it counts once the replica knows what is committed.
    */
-  takeCommitted(): void {
-    const { host, machine, belief } = this.options
-    if (!belief.view.isHeard && host.replica?.knowsCommitted !== true) return
-    belief.take(machine.evacuations.current)
+  applyCommitted(): void {
+    const { host, machine, tracker } = this.options
+    if (!tracker.view.isHeard && host.replica?.knowsCommitted !== true) return
+    tracker.apply(machine.evacuations.current)
   }
 
   /** What the disks of machines that have just started say: an order in a log may have been acknowledged. */
-  supposed(): FailureDomain[] {
-    const { host, machine, belief } = this.options
+  supposedDomains(): FailureDomain[] {
+    const { host, machine, tracker } = this.options
     const pending = (host.replica?.uncommitted ?? []).map(({ data }) => data as SheetCommand | undefined)
-    const orders = pending.filter((command) => command?.type === 'setEvacuation')
-    return [...new Set([...machine.evacuations.domainsWith(orders), ...belief.view.current.domains])]
+    const pendingCommands = pending.filter((command) => command?.type === 'setEvacuation')
+    return [
+      ...new Set([...machine.evacuations.domainsWith(pendingCommands), ...tracker.view.current.domains]),
+    ]
   }
 
   private get method(): string {
@@ -97,15 +99,15 @@
   }
 
   /** Tries until it is applied on top of all that came before it, while its caller waits. */
-  private async propose({ domain, isEvacuated, isWaitedFor }: EvacuationOrder): Promise<EvacuationResult> {
-    const { client, clock, group, belief } = this.options
-    const end = clock.now() + ORDER_DEADLINE_MS
-    let knownIndex = Math.max(NO_EVACUATIONS.index, belief.view.current.index)
+  private async propose({ domain, isEvacuated, isWaitedFor }: EvacuationRequest): Promise<EvacuationResult> {
+    const { client, clock, group, tracker } = this.options
+    const end = clock.now() + REQUEST_DEADLINE_MS
+    let knownIndex = Math.max(NO_EVACUATIONS.index, tracker.view.current.index)
     while (isWaitedFor() && clock.now() < end) {
       const command: SetEvacuation = { type: 'setEvacuation', domain, isEvacuated, knownIndex }
       const result = await client.callLeader<EvacuationResult>('evacuate', command, {
         deadline: end - clock.now(),
-        callDeadline: ORDER_CALL_MS,
+        callDeadline: LEADER_CALL_TIMEOUT_MS,
         step: 'evacuate',
       })
       if (result.outcome !== 'overtaken') return result
--- a/daemon/fleet/src/evacuationBelief.ts
+++ b/daemon/fleet/src/evacuationTracker.ts
@@ -2,8 +2,8 @@
 import type { Logger } from '@forkstage/logger'
 import type { FailureDomain } from '@forkstage/types'
 
-/** Options of {@link EvacuationBelief}. */
-export interface EvacuationBeliefOptions {
+/** Options of {@link EvacuationTracker}. */
+export interface EvacuationTrackerOptions {
   logger: Logger
   /** Called after the belief has changed. */
   onChange?: () => void
@@ -12,34 +12,34 @@
 }
 
 /** At most so many domains are named in a line. */
-const MOST_NAMED = 12
+const MAX_DOMAINS_LOGGED = 12
 
 /** What this machine believes of evacuations, with a log line for each change. */
-export class EvacuationBelief {
+export class EvacuationTracker {
   readonly view = new EvacuationView()
 
-  constructor(private readonly options: EvacuationBeliefOptions) {}
+  constructor(private readonly options: EvacuationTrackerOptions) {}
 
   /** Takes a set that is committed. */
-  take(set: EvacuationSet): void {
+  apply(set: EvacuationSet): void {
     const before = this.view.current.domains
     if (!this.view.take(set)) return
-    this.noteChange()
+    this.reportChange()
     const withdrawn = before.filter((domain) => !this.view.isEvacuated(domain))
     withdrawn.forEach((domain) => this.options.onWithdrawn?.(domain))
   }
 
   /** Takes domains that may be evacuated, until a set is known. */
   suppose(domains: FailureDomain[]): void {
-    if (this.view.suppose(domains)) this.noteChange()
+    if (this.view.suppose(domains)) this.reportChange()
   }
 
-  private noteChange(): void {
+  private reportChange(): void {
     const { index, domains } = this.view.current
     this.options.logger.info('evacuation.in-force', {
       index,
       count: domains.length,
-      domains: domains.slice(0, MOST_NAMED),
+      domains: domains.slice(0, MAX_DOMAINS_LOGGED),
     })
     this.options.onChange?.()
   }
--- a/daemon/fleet/src/fleetMeters.ts
+++ b/daemon/fleet/src/fleetMetrics.ts
@@ -5,13 +5,13 @@
 const LATENCY_BUCKETS = [0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.9, 1.5, 3, 5, 10]
 
 /** How outcomes begin of answers that had begun and were ended here; the reason follows. */
-const CUT = 'cut: '
+const CUT_PREFIX = 'cut: '
 
 /** Values read when the counters are. */
 export type GaugeReader = () => number | Record<string, number>
 
 /** Counters and histograms of one machine. */
-export class FleetMeters {
+export class FleetMetrics {
   private readonly registry = new Registry()
   private readonly requests = this.counter('requests_total', 'Requests by status and outcome.', [
     'status',
@@ -45,7 +45,7 @@
   }
 
   /** Counts a request that has ended. */
-  noteRequest(report: RequestReport): void {
+  recordRequest(report: RequestReport): void {
     this.requests.inc({ status: String(report.status), outcome: outcomeClass(report.outcome) })
     const isModel = report.sends.some((send) => send.step !== 'plain')
     this.latency.observe({ kind: isModel ? 'model' : 'plain' }, report.tookMs / SECOND_MS)
@@ -100,6 +100,6 @@
     'over quota',
     'malformed token counts',
   ]
-  if (outcome.startsWith(CUT)) return 'cut'
+  if (outcome.startsWith(CUT_PREFIX)) return 'cut'
   return KNOWN.includes(outcome) ? outcome : 'other'
 }
--- a/daemon/fleet/src/leaderHeard.ts
+++ b/daemon/fleet/src/knownLeader.ts
@@ -2,7 +2,7 @@
 import type { Address, Millis } from '@forkstage/types'
 
 /** What a control machine's replica knows of who leads. */
-export interface LeadView {
+export interface ReplicaLeadership {
   leads: boolean
   holdsLease: boolean
   leaderContactAt: Millis
@@ -10,17 +10,17 @@
 }
 
 /** What was on its way before a suspension arrives right after it, and says nothing of now. */
-const LATE_ARRIVALS_MS = 100
+const STALE_MESSAGE_MS = 100
 
 /** The leader, while this machine leads with its lease or has heard who does for less than an election takes. */
-export function leaderHeard(
-  replica: LeadView,
+export function knownLeader(
+  replica: ReplicaLeadership,
   self: Address,
   electionTimeoutMs: Millis,
   clock: Clock,
 ): Address | undefined {
   if (replica.leads) return replica.holdsLease ? self : undefined
-  const heardAt = replica.leaderContactAt
-  const isSince = heardAt >= clock.suspendedAt() + LATE_ARRIVALS_MS
-  return isSince && clock.now() - heardAt < electionTimeoutMs ? replica.leaderAddress : undefined
+  const contactAt = replica.leaderContactAt
+  const isAfterSuspension = contactAt >= clock.suspendedAt() + STALE_MESSAGE_MS
+  return isAfterSuspension && clock.now() - contactAt < electionTimeoutMs ? replica.leaderAddress : undefined
 }
--- a/daemon/fleet/src/logCrashes.ts
+++ b/daemon/fleet/src/logCrashes.ts
@@ -2,10 +2,10 @@
 import type { Logger } from '@forkstage/logger'
 
 /** One line for each content that is refused by what is new. */
-export function logCrashes(logger: Logger, book: CrashTracker, news: CrashRecord[]): void {
-  for (const { content, ended, served, ageMs } of news) {
-    const blamed = book.refusalByBlame(content)
-    const refusal = blamed ?? book.refusalByCrashCount(content)
+export function logCrashes(logger: Logger, tracker: CrashTracker, changed: CrashRecord[]): void {
+  for (const { content, ended, served, ageMs } of changed) {
+    const blamed = tracker.refusalByBlame(content)
+    const refusal = blamed ?? tracker.refusalByCrashCount(content)
     if (refusal === undefined) continue
     const { ends, leftMs } = refusal
     const by = blamed === undefined ? 'ends' : 'blame'
--- a/daemon/fleet/src/machineBasics.ts
+++ b/daemon/fleet/src/machineContext.ts
@@ -5,7 +5,7 @@
 import { parseAddress, PeerClient } from '@forkstage/peer-rpc'
 
 /** What every machine of a self-registering deployment has. */
-export interface MachineBasics {
+export interface MachineContext {
   settings: FleetSettings
   clock: Clock
   random: Random
@@ -19,7 +19,7 @@
 const MAX_QUEUED_LOG_BYTES = 512 * 1_024
 
 /** Makes clock, logger and connections to other machines. */
-export function createMachineBasics(settings: FleetSettings): MachineBasics {
+export function createMachineContext(settings: FleetSettings): MachineContext {
   const clock = createSystemClock()
   const logBudget = new LogBudget({
     perSecond: settings.log.lines_per_second,
--- a/daemon/fleet/src/registrar.ts
+++ b/daemon/fleet/src/registrar.ts
@@ -15,7 +15,7 @@
 }
 
 /** A name comes from whoever calls; a line of the log must not. */
-const MOST_NAME_CHARS = 64
+const MAX_NAME_CHARS = 64
 
 /** Takes what endpoints say of themselves and passes it on at once. */
 export class Registrar {
@@ -25,10 +25,10 @@
   constructor(private readonly options: RegistrarOptions) {}
 
   /** Notes a statement that says nothing of an endpoint to use; what is known of it holds. */
-  noteRefused(name: string, bytes: number): void {
+  recordRefused(name: string, bytes: number): void {
     this.refused += 1
     this.options.logger.warn('registration.refused', {
-      endpoint: name.slice(0, MOST_NAME_CHARS),
+      endpoint: name.slice(0, MAX_NAME_CHARS),
       bytes,
       count: this.refused,
     })
@@ -40,7 +40,7 @@
    * reaches those who must know.
    */
   register(endpoint: RegisteredEndpoint): boolean {
-    this.take([endpoint])
+    this.merge([endpoint])
     return endpoint.state === 'ready' || this.options.isConnected()
   }
 
@@ -49,19 +49,19 @@
    * @param born the start of the life that says so, where it does.
    */
   leave(name: string, born?: number): boolean {
-    this.note(this.options.directory.leave(name, born))
+    this.publish(this.options.directory.leave(name, born))
     return this.options.isConnected()
   }
 
   /** Takes what another control machine knows. */
-  take(records: RegisteredEndpoint[]): void {
-    this.note(this.options.directory.merge(records))
+  merge(records: RegisteredEndpoint[]): void {
+    this.publish(this.options.directory.merge(records))
   }
 
-  private note(news: RegisteredEndpoint[]): void {
-    if (news.length === 0) return
-    logEndpoints(this.options.logger, news)
+  private publish(changed: RegisteredEndpoint[]): void {
+    if (changed.length === 0) return
+    logEndpoints(this.options.logger, changed)
     this.options.hub.noteChange()
-    this.options.onChange?.(news)
+    this.options.onChange?.(changed)
   }
 }
--- a/daemon/fleet/src/runMachine.ts
+++ b/daemon/fleet/src/runMachine.ts
@@ -4,7 +4,7 @@
 import { toErrorBody } from '@forkstage/error'
 import { parseFleetSettings, type FleetSettings } from '@forkstage/fleet-settings'
 import { logCodeCache } from './logCodeCache'
-import { createMachineBasics, type MachineBasics } from './machineBasics'
+import { createMachineContext, type MachineContext } from './machineContext'
 import { runUntilStopped, type StoppableMachine } from './runUntilStopped'
 
 /** One of the two machines, as its process runs it. */
@@ -18,31 +18,31 @@
   settingsPath: string
   version: string
   /** Makes the machine of the role that the settings name; only what it loads costs time at the start. */
-  create: (basics: MachineBasics) => Machine | Promise<Machine>
+  create: (context: MachineContext) => Machine | Promise<Machine>
 }
 
 // node:fs/promises costs each start about 5 ms of processor time to load.
 const readFile = promisify(readFileWithCallback)
 
 const SECOND_MS = 1_000
-const LOOK_AT_SETTINGS_MS = 2_000
+const SETTINGS_CHECK_EVERY_MS = 2_000
 
 /** Runs one machine of a self-registering deployment until it is told to stop. */
 export async function runMachine(options: RunMachineOptions): Promise<void> {
   const { settingsPath, version } = options
   let text = await readFile(settingsPath, 'utf8')
   const settings = parseFleetSettings(text, { source: settingsPath })
-  const basics = createMachineBasics(settings)
-  const { logger, clock } = basics
-  const machine = await options.create(basics)
+  const context = createMachineContext(settings)
+  const { logger, clock } = context
+  const machine = await options.create(context)
   const reload = async () => {
     try {
-      const fresh = await readFile(settingsPath, 'utf8')
-      if (fresh === text) return
-      const next = parseFleetSettings(fresh, { source: settingsPath })
-      logger.info('settings.reloaded', { changed: changedSections(basics.settings, next) })
-      text = fresh
-      machine.reload(next)
+      const newText = await readFile(settingsPath, 'utf8')
+      if (newText === text) return
+      const newSettings = parseFleetSettings(newText, { source: settingsPath })
+      logger.info('settings.reloaded', { changed: changedSections(context.settings, newSettings) })
+      text = newText
+      machine.reload(newSettings)
     } catch (error) {
       logger.warn('fault.unexpected', toErrorBody(error))
     }
@@ -52,9 +52,9 @@
   process.on('uncaughtException', (error) => logger.error('fault.unexpected', toErrorBody(error)))
   await runUntilStopped(machine, {
     signals: process,
-    graceMs: () => basics.settings.stop.grace_s * SECOND_MS,
+    graceMs: () => context.settings.stop.grace_s * SECOND_MS,
     onStarted: () => {
-      every(clock, LOOK_AT_SETTINGS_MS, () => void reload())
+      every(clock, SETTINGS_CHECK_EVERY_MS, () => void reload())
       logCodeCache(logger)
       const addresses = settings.listen as Record<string, string>
       logger.info('box.started', { box: settings.machine.name, addresses, version })
--- a/daemon/fleet/src/runUntilStopped.ts
+++ b/daemon/fleet/src/runUntilStopped.ts
@@ -27,7 +27,7 @@
 }
 
 /** Kept of the grace time for the end of the process itself, which takes some ten milliseconds of processor time. */
-const END_MARGIN_MS = 250
+const EXIT_MARGIN_MS = 250
 
 /**
  * Starts a machine and stops it when a signal says so. Resolves when it has stopped, or has not in its time: a call, a
@@ -45,7 +45,7 @@
       if (isStopping) return
       isStopping = true
       logger.info('box.stopping', { reason: signal, streams: 0 })
-      void stopInTime(machine, options).then(resolve)
+      void stopWithinGrace(machine, options).then(resolve)
     }
     // A second signal must not end the process while requests run, as it would without a listener.
     signals.on('SIGTERM', stop)
@@ -60,13 +60,13 @@
 }
 
 /** Says how the stop went; never rejects. */
-async function stopInTime(machine: StoppableMachine, options: RunUntilStoppedOptions): Promise<void> {
+async function stopWithinGrace(machine: StoppableMachine, options: RunUntilStoppedOptions): Promise<void> {
   const { clock, logger, graceMs } = options
-  const timeIsUp = new Promise<undefined>((resolve) =>
-    clock.after(graceMs() - END_MARGIN_MS, () => resolve(undefined)),
+  const timedOut = new Promise<undefined>((resolve) =>
+    clock.after(graceMs() - EXIT_MARGIN_MS, () => resolve(undefined)),
   )
   try {
-    const cut = await Promise.race([machine.stop(), timeIsUp])
+    const cut = await Promise.race([machine.stop(), timedOut])
     if (cut === undefined) logger.warn('box.stop_cut_off', { reason: 'its time was up' })
     else logger.info('box.stopped', { cut })
   } catch (error) {
--- a/daemon/fleet/src/serveMetrics.ts
+++ b/daemon/fleet/src/serveMetrics.ts
@@ -1,18 +1,18 @@
 import type { Address } from '@forkstage/types'
-import type { FleetMeters } from './fleetMeters'
+import type { FleetMetrics } from './fleetMetrics'
 import { listenOn, type Listener } from './listenOn'
 
 const PATH = '/metrics'
 
 /** Serves a machine's figures, where an address for them is set. */
-export async function serveMetrics(meters: FleetMeters, address: Address | undefined): Promise<Listener[]> {
+export async function serveMetrics(metrics: FleetMetrics, address: Address | undefined): Promise<Listener[]> {
   if (address === undefined) return []
   const listener = await listenOn((request, response) => {
     if (request.url !== PATH) {
       response.statusCode = 404
       return void response.end()
     }
-    void meters.text().then((text) => {
+    void metrics.text().then((text) => {
       response.setHeader('Content-Type', 'text/plain; version=0.0.4')
       response.end(text)
     })
--- a/daemon/fleet/src/sheetOffice.ts
+++ b/daemon/fleet/src/sheetService.ts
@@ -11,8 +11,8 @@
   SheetResult,
 } from '@forkstage/sheet'
 
-/** Options of {@link SheetOffice}. */
-export interface SheetOfficeOptions {
+/** Options of {@link SheetService}. */
+export interface SheetServiceOptions {
   group: string
   host: GroupHost<SheetCommand, SheetResult>
   machine: SheetMachine
@@ -21,13 +21,13 @@
 }
 
 const PUT_DEADLINE_MS = 2_500
-const PUT_CALL_MS = 900
+const PUT_CALL_TIMEOUT_MS = 900
 const READ_DEADLINE_MS = 900
-const READ_CALL_MS = 450
+const READ_CALL_TIMEOUT_MS = 450
 
 /** Puts sheets in force and reads the newest, from any control machine. */
-export class SheetOffice {
-  constructor(private readonly options: SheetOfficeOptions) {}
+export class SheetService {
+  constructor(private readonly options: SheetServiceOptions) {}
 
   /** What other control machines call at the leader. */
   methods(): Record<string, PeerMethod> {
@@ -56,7 +56,7 @@
     const answer = await client.callLeader<SheetDocument | null>(
       'newest',
       {},
-      { deadline: READ_DEADLINE_MS, callDeadline: READ_CALL_MS, step: 'read sheet' },
+      { deadline: READ_DEADLINE_MS, callDeadline: READ_CALL_TIMEOUT_MS, step: 'read sheet' },
     )
     return answer ?? undefined
   }
@@ -68,7 +68,7 @@
     const command: PutSheet = { type: 'putSheet', document }
     const result = await client.propose(command, {
       deadline: PUT_DEADLINE_MS,
-      callDeadline: PUT_CALL_MS,
+      callDeadline: PUT_CALL_TIMEOUT_MS,
       step: 'put sheet',
     })
     return result as PutResult
--- a/daemon/fleet/src/keptFile.ts
+++ b/daemon/fleet/src/stateFile.ts
@@ -4,8 +4,8 @@
 import type { FileSystem } from '@forkstage/storage'
 import type { Millis } from '@forkstage/types'
 
-/** Options of {@link KeptFile}. */
-export interface KeptFileOptions {
+/** Options of {@link StateFile}. */
+export interface StateFileOptions {
   /** The folder of this machine's disk that holds the file. */
   folder: string
   file: string
@@ -17,21 +17,21 @@
 }
 
 /** Changes come in groups, as when a service is replaced: one write takes them all. */
-const WRITE_AFTER_MS: Millis = 1_000
+const WRITE_DELAY_MS: Millis = 1_000
 
 /** Keeps on disk what a machine would otherwise have to learn anew when it starts again. A hint: it may be a second old. */
-export class KeptFile {
+export class StateFile {
   private cancelWrite: CancelTimer | undefined
   private stopped = false
   /** Whether anything has changed since the write that is under way began. */
-  private hasChanged = false
-  private writing: Promise<unknown> = Promise.resolve()
-  private next: Promise<boolean> | undefined
+  private hasUnsavedChanges = false
+  private currentWrite: Promise<unknown> = Promise.resolve()
+  private nextWrite: Promise<boolean> | undefined
 
-  constructor(private readonly options: KeptFileOptions) {}
+  constructor(private readonly options: StateFileOptions) {}
 
   /** What was kept last; undefined where there is no file or it cannot be read. */
-  async recall(): Promise<unknown> {
+  async load(): Promise<unknown> {
     const { files, folder, file, logger } = this.options
     try {
       const names = await files.list(folder)
@@ -44,26 +44,26 @@
   }
 
   /** Notes a change; it is written a moment later. */
-  noteChange(): void {
-    this.hasChanged = true
+  markChanged(): void {
+    this.hasUnsavedChanges = true
     if (this.stopped || this.cancelWrite !== undefined) return
-    this.cancelWrite = this.options.clock.after(WRITE_AFTER_MS, () => {
-      void this.keep().finally(() => {
+    this.cancelWrite = this.options.clock.after(WRITE_DELAY_MS, () => {
+      void this.flush().finally(() => {
         this.cancelWrite = undefined
-        if (this.hasChanged) this.noteChange()
+        if (this.hasUnsavedChanges) this.markChanged()
       })
     })
   }
 
   /** Writes at once what was noted; says whether all of it is on disk. Calls that come meanwhile share the next write. */
-  keep(): Promise<boolean> {
-    this.next ??= this.writing.then(() => {
-      this.next = undefined
-      const written = this.hasChanged ? this.write() : Promise.resolve(true)
-      this.writing = written
+  flush(): Promise<boolean> {
+    this.nextWrite ??= this.currentWrite.then(() => {
+      this.nextWrite = undefined
+      const written = this.hasUnsavedChanges ? this.write() : Promise.resolve(true)
+      this.currentWrite = written
       return written
     })
-    return this.next
+    return this.nextWrite
   }
 
   stop(): void {
@@ -73,14 +73,14 @@
 
   private async write(): Promise<boolean> {
     const { files, folder, file, content, logger } = this.options
-    this.hasChanged = false
+    this.hasUnsavedChanges = false
     try {
       await files.makeFolder(folder)
       await files.replace(`${folder}/${file}`, Buffer.from(JSON.stringify(content())))
       return true
     } catch (error) {
       // Tried again a moment later; until then a restart knows what was known before.
-      this.hasChanged = true
+      this.hasUnsavedChanges = true
       logger.warn('file.not-kept', { file, reason: toErrorBody(error).message })
       return false
     }
--- a/daemon/fleet/test/coldEndpoints.test.ts
+++ b/daemon/fleet/test/coldEndpointTracker.test.ts
@@ -2,41 +2,41 @@
 import { ManualClock } from '@forkstage/clock'
 import { Directory, type RegisteredEndpoint } from '@forkstage/directory'
 import type { Logger } from '@forkstage/logger'
-import { ColdEndpoints } from '../src/coldEndpoints'
+import { ColdEndpointTracker } from '../src/coldEndpointTracker'
 
 function endpoint(id: string, fields: Partial<RegisteredEndpoint> = {}): RegisteredEndpoint {
   const base = { service: 's', address: `${id}:1`, zone: 'z', slots: 1, models: [], sequence: 1 }
   return { id, state: 'ready', ...base, ...fields }
 }
 
-function world() {
+function setUp() {
   const clock = new ManualClock(1_000)
   const directory = new Directory(() => clock.now())
   const lines: unknown[] = []
-  const turned: string[] = []
-  const cold = new ColdEndpoints({
+  const turnedCold: string[] = []
+  const cold = new ColdEndpointTracker({
     directory,
     service: (name) =>
       name === 's' ? { name, maxConnections: 1, cold: { forMs: 3_000, perSecond: 33 } } : undefined,
     over: 1.5,
     slack: 5,
-    onCold: (id) => turned.push(id),
+    onCold: (id) => turnedCold.push(id),
     clock,
     logger: { info: (_event: string, fields: unknown) => lines.push(fields) } as unknown as Logger,
   })
   cold.start()
   const merge = (...records: RegisteredEndpoint[]) => {
     directory.merge(records)
-    cold.look()
+    cold.refresh()
   }
-  return { clock, cold, lines, turned, merge, directory }
+  return { clock, cold, lines, turnedCold, merge, directory }
 }
 
 describe('ColdEndpoints', () => {
   it('says in one line which turn cold together and in one that they are warm again, with the age', () => {
-    const { clock, cold, lines, turned, merge } = world()
+    const { clock, cold, lines, turnedCold, merge } = setUp()
     merge(...['a', 'b', 'c'].map((id) => endpoint(id, { coldMs: 3_000 })))
-    expect(turned).toEqual(['a', 'b', 'c'])
+    expect(turnedCold).toEqual(['a', 'b', 'c'])
     expect(cold.count).toBe(3)
     expect(lines).toEqual([
       { outcome: 'cold', count: 3, endpoints: ['a', 'b', 'c'], leftMs: 3_000, ageMs: 0 },
@@ -48,7 +48,7 @@
   })
 
   it('takes one that has not said how long for cold, and one of a service without a limit for warm', () => {
-    const { clock, cold, merge } = world()
+    const { clock, cold, merge } = setUp()
     merge(endpoint('a'), endpoint('b', { service: 'other', coldMs: 9_000 }))
     expect(cold.leftMs('a', clock.now())).toBe(3_000)
     expect(cold.leftMs('b', clock.now())).toBe(0)
@@ -58,30 +58,30 @@
   })
 
   it('tells of one that turns cold again under the same id, also while it is cold', () => {
-    const { clock, turned, merge } = world()
+    const { clock, turnedCold, merge } = setUp()
     merge(endpoint('a', { coldMs: 3_000 }))
     clock.advance(1_000)
     merge(endpoint('a', { coldMs: 2_000, sequence: 2 }))
-    expect(turned).toEqual(['a'])
+    expect(turnedCold).toEqual(['a'])
     merge(endpoint('a', { coldMs: 3_000, sequence: 3 }))
-    expect(turned).toEqual(['a', 'a'])
+    expect(turnedCold).toEqual(['a', 'a'])
     clock.advance(5_000)
     merge(endpoint('a', { coldMs: 1_000, sequence: 9 }))
-    expect(turned).toEqual(['a', 'a', 'a'])
+    expect(turnedCold).toEqual(['a', 'a', 'a'])
   })
 
   it('doubts that a domain that is taken back is warm', () => {
-    const { cold, turned, merge } = world()
+    const { cold, turnedCold, merge } = setUp()
     merge(endpoint('a', { zone: 'back', coldMs: 0 }), endpoint('b', { coldMs: 0 }))
-    cold.doubt('back')
-    expect(turned).toEqual(['a'])
+    cold.markCold('back')
+    expect(turnedCold).toEqual(['a'])
     expect(cold.count).toBe(1)
     merge(endpoint('a', { zone: 'back', coldMs: 0, sequence: 2 }))
     expect(cold.count).toBe(0)
   })
 
   it('does not call warm one that has left', () => {
-    const { cold, lines, merge } = world()
+    const { cold, lines, merge } = setUp()
     merge(endpoint('a', { coldMs: 3_000 }))
     merge(endpoint('a', { state: 'left' }))
     expect(cold.count).toBe(0)
@@ -89,7 +89,7 @@
   })
 
   it('counts no change for the heartbeats of a domain that is cold, so that nobody is told of them', () => {
-    const { clock, directory, merge } = world()
+    const { clock, directory, merge } = setUp()
     const domain = (sequence: number, coldMs: number) =>
       Array.from({ length: 15 }, (_, index) => endpoint(`i-${index}`, { sequence, coldMs }))
     merge(...domain(1, 3_000))
--- a/daemon/fleet/test/coldFleet.test.ts
+++ b/daemon/fleet/test/coldFleet.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, expect, it } from 'vitest'
-import { FleetWorld, sheet, until } from './fleetWorld'
+import { FleetHarness, sheet, until } from './fleetHarness'
 
-let world: FleetWorld
-afterEach(() => world.stop())
+let harness: FleetHarness
+afterEach(() => harness.stop())
 
 /** A cold time longer than any test, in which endpoints bear nothing at all. */
 const COLD = { forMs: 600_000, perSecond: 0 }
@@ -14,25 +14,25 @@
 }
 
 it('an endpoint gets nothing beyond its bound from any entry while it is cold, by its own word or for want of one', async () => {
-  world = new FleetWorld(17_820)
-  await Promise.all([1, 2, 3].map((number) => world.startControl(number)))
-  await until('a sheet is taken', async () => (await world.put(1, coldSheet(1))) === 200)
-  const [silent, cold] = [await world.startWorker('silent'), await world.startWorker('cold')]
-  await world.register(1, 'i-silent', { address: silent.address })
-  await world.register(2, 'i-cold', { address: cold.address, coldMs: 500_000 })
-  const entry = await world.startEntry()
+  harness = new FleetHarness(17_820)
+  await Promise.all([1, 2, 3].map((number) => harness.startControl(number)))
+  await until('a sheet is taken', async () => (await harness.put(1, coldSheet(1))) === 200)
+  const [silent, cold] = [await harness.startWorker('silent'), await harness.startWorker('cold')]
+  await harness.register(1, 'i-silent', { address: silent.address })
+  await harness.register(2, 'i-cold', { address: cold.address, coldMs: 500_000 })
+  const entry = await harness.startEntry()
   await until('the entry serves', () => entry.isReady)
   await until('a call is refused for the cold', async () =>
-    (await world.call('/p/')).text.includes('cold endpoints get no more now'),
+    (await harness.call('/p/')).text.includes('cold endpoints get no more now'),
   )
-  expect((await world.call('/p/')).status).toBe(503)
+  expect((await harness.call('/p/')).status).toBe(503)
   expect([silent.runs(), cold.runs()]).toEqual([0, 0])
 
-  await world.register(3, 'i-cold', { address: cold.address, coldMs: 0, sequence: 2 })
-  await until('the warm one serves', async () => (await world.call('/p/')).text === 'cold')
-  for (let times = 0; times < 10; times += 1) expect((await world.call('/p/')).text).toBe('cold')
+  await harness.register(3, 'i-cold', { address: cold.address, coldMs: 0, sequence: 2 })
+  await until('the warm one serves', async () => (await harness.call('/p/')).text === 'cold')
+  for (let times = 0; times < 10; times += 1) expect((await harness.call('/p/')).text).toBe('cold')
   expect(silent.runs()).toBe(0)
 
-  await world.register(2, 'i-cold', { address: cold.address, coldMs: 500_000, sequence: 3 })
-  await until('it is cold again', async () => (await world.call('/p/')).status === 503)
+  await harness.register(2, 'i-cold', { address: cold.address, coldMs: 500_000, sequence: 3 })
+  await until('it is cold again', async () => (await harness.call('/p/')).status === 503)
 })
--- a/daemon/fleet/test/controlCrashes.test.ts
+++ b/daemon/fleet/test/controlCrashes.test.ts
@@ -8,10 +8,10 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { createFileSystem } from '@forkstage/storage'
 import { ControlCrashes } from '../src/controlCrashes'
-import { until } from './fleetWorld'
+import { until } from './fleetHarness'
 
 const KEEP_MS = 60_000
-const NOBODY = {} as never
+const NO_PEER = {} as never
 const folders: string[] = []
 afterEach(() => folders.splice(0).forEach((folder) => rmSync(folder, { recursive: true, force: true })))
 
@@ -22,13 +22,13 @@
 }
 
 /** A control machine's part over a disk. */
-function machine(folder: string, clock = new ManualClock()) {
-  const book = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: KEEP_MS })
+function setUp(folder: string, clock = new ManualClock()) {
+  const tracker = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: KEEP_MS })
   let changes = 0
   const leads = { value: true }
   const endpoints: RegisteredEndpoint[] = []
   const crashes = new ControlCrashes({
-    book,
+    tracker,
     folder,
     files: createFileSystem(),
     clock,
@@ -39,33 +39,33 @@
     isLeader: () => leads.value,
     random: () => 0,
   })
-  return { book, clock, crashes, leads, endpoints, changes: () => changes }
+  return { tracker, clock, crashes, leads, endpoints, changes: () => changes }
 }
 
-const BAD = { content: 'bad', ended: ['l1', 'l2', 'l3'], early: ['l1'], served: [], ageMs: 1_000 }
+const POISON_RECORD = { content: 'bad', ended: ['l1', 'l2', 'l3'], early: ['l1'], served: [], ageMs: 1_000 }
 
 it('takes what entries report, passes on what is new, and answers that it has it', async () => {
-  const { crashes, book, changes } = machine(newFolder())
+  const { crashes, tracker, changes } = setUp(newFolder())
   const report = crashes.methods()[CRASH_REPORT] as (params: unknown) => unknown
-  expect(await report({ records: [BAD, { content: 7 }] })).toBe(true)
-  expect(await report({ records: [BAD] })).toBe(true)
+  expect(await report({ records: [POISON_RECORD, { content: 7 }] })).toBe(true)
+  expect(await report({ records: [POISON_RECORD] })).toBe(true)
   expect(changes()).toBe(1)
-  expect(book.refusalByBlame('bad')).toMatchObject({ ends: 3 })
+  expect(tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it('knows after a start what it knew before, as old as it is by then', async () => {
   const folder = newFolder()
-  const first = machine(folder)
-  first.crashes.apply([BAD])
+  const first = setUp(folder)
+  first.crashes.apply([POISON_RECORD])
   first.clock.advance(1_000)
   await until('the file to be written', async () => {
-    const again = machine(folder)
-    await again.crashes.recall()
-    return again.book.size === 1
+    const again = setUp(folder)
+    await again.crashes.load()
+    return again.tracker.size === 1
   })
-  const later = machine(folder, new ManualClock(21_000))
-  await later.crashes.recall()
-  expect(later.book.refusalByBlame('bad')).toEqual({ ends: 3, leftMs: KEEP_MS - 1_000 - 21_000 })
+  const later = setUp(folder, new ManualClock(21_000))
+  await later.crashes.load()
+  expect(later.tracker.refusalByBlame('bad')).toEqual({ ends: 3, leftMs: KEEP_MS - 1_000 - 21_000 })
 })
 
 /**
@@ -74,20 +74,20 @@
  */
 it('has on disk what it has answered for, also when it is killed right after', async () => {
   const folder = newFolder()
-  const first = machine(folder)
+  const first = setUp(folder)
   const report = first.crashes.methods()[CRASH_REPORT] as (params: unknown) => unknown
-  expect(await report({ records: [BAD] })).toBe(true)
-  const again = machine(folder)
-  await again.crashes.recall()
-  expect(again.book.refusalByBlame('bad')).toMatchObject({ ends: 3 })
+  expect(await report({ records: [POISON_RECORD] })).toBe(true)
+  const again = setUp(folder)
+  await again.crashes.load()
+  expect(again.tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it('answers for nothing while its disk takes nothing, and takes it in all the same', async () => {
-  const { crashes, book } = machine('/dev/null/not-a-folder')
+  const { crashes, tracker } = setUp('/dev/null/not-a-folder')
   const report = crashes.methods()[CRASH_REPORT] as (params: unknown) => Promise<unknown>
-  await expect(report({ records: [BAD] })).rejects.toThrow('not on disk')
-  await expect(report({ records: [BAD] })).rejects.toThrow('not on disk')
-  expect(book.refusalByBlame('bad')).toMatchObject({ ends: 3 })
+  await expect(report({ records: [POISON_RECORD] })).rejects.toThrow('not on disk')
+  await expect(report({ records: [POISON_RECORD] })).rejects.toThrow('not on disk')
+  expect(tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it.each(['', '{"savedAt":1', '[]', '{"savedAt":"x","records":[{"content":{}}]}', 'null'])(
@@ -95,9 +95,9 @@
   async (text) => {
     const folder = newFolder()
     writeFileSync(join(folder, 'crashes.json'), text)
-    const { crashes, book } = machine(folder)
-    await crashes.recall()
-    expect(book.size).toBe(0)
+    const { crashes, tracker } = setUp(folder)
+    await crashes.load()
+    expect(tracker.size).toBe(0)
   },
 )
 
@@ -106,12 +106,12 @@
     const base = { service: 's', address: `${id}:1`, zone: 'z', slots: 4, models: [], sequence: 1 }
     return { id, state: 'ready', ...base, ...fields }
   }
-  const asking = (one: ReturnType<typeof machine>) => (raw: unknown) =>
-    one.crashes.methods()[TRIAL_REQUEST]!(raw as never, NOBODY)
-  const ASK = { service: 's', content: 'maybe' }
+  const trialRequester = (one: ReturnType<typeof setUp>) => (raw: unknown) =>
+    one.crashes.methods()[TRIAL_REQUEST]!(raw as never, NO_PEER)
+  const REQUEST = { service: 's', content: 'maybe' }
 
   it('get an endpoint that is kept free, by the word of the machine that leads, and only of such as take work', async () => {
-    const one = machine(newFolder())
+    const one = setUp(newFolder())
     one.crashes.start()
     const others = [
       plain('b', { zone: 'barred' }),
@@ -119,53 +119,55 @@
       plain('d', { stage: 'decode' }),
     ]
     one.endpoints.push(...others, plain('p1'), plain('p2'), plain('p3'))
-    const ask = asking(one)
-    expect(await ask(ASK)).toMatchObject({ type: 'later' })
+    const requestTrial = trialRequester(one)
+    expect(await requestTrial(REQUEST)).toMatchObject({ type: 'later' })
     expect(one.crashes.keptFree).toEqual(['p1'])
     one.clock.advance(500)
-    expect(await ask(ASK)).toMatchObject({ type: 'granted', endpoint: 'p1' })
-    expect(await ask({ ...ASK, content: 'other' })).toMatchObject({ type: 'later' })
-    await one.crashes.methods()[TRIAL_END]!({ ...ASK, endpoint: 'p1' } as never, NOBODY)
-    expect(await ask({ ...ASK, content: 'other' })).toMatchObject({ type: 'granted' })
+    expect(await requestTrial(REQUEST)).toMatchObject({ type: 'granted', endpoint: 'p1' })
+    expect(await requestTrial({ ...REQUEST, content: 'other' })).toMatchObject({ type: 'later' })
+    await one.crashes.methods()[TRIAL_END]!({ ...REQUEST, endpoint: 'p1' } as never, NO_PEER)
+    expect(await requestTrial({ ...REQUEST, content: 'other' })).toMatchObject({ type: 'granted' })
     one.leads.value = false
-    expect(await ask(ASK)).toBeUndefined()
+    expect(await requestTrial(REQUEST)).toBeUndefined()
     one.clock.advance(100)
     expect(one.crashes.keptFree).toEqual([])
     one.crashes.stop()
   })
 
   it('leave an endpoint that has ended, and ask for nothing with words that are none', async () => {
-    const one = machine(newFolder())
+    const one = setUp(newFolder())
     one.endpoints.push(...['p1', 'p2', 'p3', 'p4'].map((id) => plain(id)))
-    const ask = asking(one)
-    await ask(ASK)
-    one.book.recordCrash('p1', [{ content: 'maybe', isEarly: true }])
-    await ask(ASK)
+    const requestTrial = trialRequester(one)
+    await requestTrial(REQUEST)
+    one.tracker.recordCrash('p1', [{ content: 'maybe', isEarly: true }])
+    await requestTrial(REQUEST)
     expect(one.crashes.keptFree).toEqual(['p2'])
     for (const raw of [undefined, {}, { service: 's' }, { service: 7, content: 'x' }]) {
-      expect(await ask(raw)).toBeUndefined()
-      await one.crashes.methods()[TRIAL_END]!(raw as never, NOBODY)
+      expect(await requestTrial(raw)).toBeUndefined()
+      await one.crashes.methods()[TRIAL_END]!(raw as never, NO_PEER)
     }
   })
 
   // Guards against a new leader that lets a content run again because it has not heard of what the asking entry saw.
   it('go by what the asking entry knows too, and by what it saw in its turn', async () => {
-    const one = machine(newFolder())
+    const one = setUp(newFolder())
     one.endpoints.push(plain('p1'), plain('p2'), plain('p3'))
-    const ask = asking(one)
+    const requestTrial = trialRequester(one)
     const known = (...crashed: string[]) => [
       { content: 'maybe', ended: crashed, early: [], served: [], ageMs: 1 },
       { content: 7 },
     ]
-    expect(await ask({ ...ASK, turnOf: 'r1', records: known('x1') })).toEqual({ type: 'anywhere' })
-    expect(await ask({ ...ASK, turnOf: 'r2' })).toMatchObject({ type: 'later' })
+    expect(await requestTrial({ ...REQUEST, turnOf: 'r1', records: known('x1') })).toEqual({
+      type: 'anywhere',
+    })
+    expect(await requestTrial({ ...REQUEST, turnOf: 'r2' })).toMatchObject({ type: 'later' })
     await one.crashes.methods()[TRIAL_END]!(
-      { ...ASK, turnOf: 'r1', records: known('x1', 'x2') } as never,
-      NOBODY,
+      { ...REQUEST, turnOf: 'r1', records: known('x1', 'x2') } as never,
+      NO_PEER,
     )
-    expect(await ask({ ...ASK, turnOf: 'r2' })).toEqual({ type: 'isolate' })
+    expect(await requestTrial({ ...REQUEST, turnOf: 'r2' })).toEqual({ type: 'isolate' })
     expect(one.crashes.keptFree).toEqual([])
-    expect(await ask({ ...ASK, turnOf: 'r2', records: 'none' })).toEqual({ type: 'isolate' })
-    expect(await ask(ASK)).toMatchObject({ type: 'later', retryAfterMs: 500 })
+    expect(await requestTrial({ ...REQUEST, turnOf: 'r2', records: 'none' })).toEqual({ type: 'isolate' })
+    expect(await requestTrial(REQUEST)).toMatchObject({ type: 'later', retryAfterMs: 500 })
   })
 })
--- a/daemon/fleet/test/crashes.test.ts
+++ b/daemon/fleet/test/crashes.test.ts
@@ -1,7 +1,7 @@
 import { existsSync } from 'node:fs'
 import { afterEach, describe, expect, it } from 'vitest'
 import { CrashingWorker } from './crashingWorker'
-import { FleetWorld, sheet, until } from './fleetWorld'
+import { FleetHarness, sheet, until } from './fleetHarness'
 
 /*
  * The story of the failure. A caller sent the same request again and again, each time under another id and to whichever entry it met. Each
@@ -18,41 +18,41 @@
 const ENTRIES = [100, 101]
 const WORKERS = ['one', 'two', 'three', 'four']
 /** Ends after which a request is refused, and attempts on their way meanwhile. */
-const ENDS_UNTIL_KNOWN = 3
-const MOST_LATER = 3
+const CRASHES_UNTIL_REFUSED = 3
+const MAX_LATER_ARRIVALS = 3
 const ATTEMPTS = 16
 /** Callers of one kind come from many addresses. */
-const CALLERS = 5
+const CALLER_ADDRESSES = 5
 
-let world: FleetWorld
+let harness: FleetHarness
 let workers: CrashingWorker[] = []
 afterEach(async () => {
   workers.forEach((worker) => worker.stop())
-  await world.stop()
+  await harness.stop()
 })
 
 async function startFleet(port: number): Promise<void> {
-  world = new FleetWorld(port)
-  await Promise.all([1, 2, 3].map((number) => world.startControl(number)))
-  await until('a sheet is taken', async () => (await world.put(1, JSON.stringify(sheet(1)))) === 200)
-  workers = WORKERS.map((name) => new CrashingWorker(world, name))
+  harness = new FleetHarness(port)
+  await Promise.all([1, 2, 3].map((number) => harness.startControl(number)))
+  await until('a sheet is taken', async () => (await harness.put(1, JSON.stringify(sheet(1)))) === 200)
+  workers = WORKERS.map((name) => new CrashingWorker(harness, name))
   await Promise.all(workers.map((worker) => worker.start()))
-  await Promise.all(ENTRIES.map((number) => world.startEntry(number)))
+  await Promise.all(ENTRIES.map((number) => harness.startEntry(number)))
   await allServe()
 }
 
-const ends = () => workers.reduce((sum, worker) => sum + worker.ends, 0)
+const crashCount = () => workers.reduce((sum, worker) => sum + worker.ends, 0)
 const arrivals = (body: string) => workers.flatMap(({ seen }) => seen.filter((one) => one === body)).length
 
 /** The fatal body, from another address and to another entry each time. */
 function sendFatal(attempt: number): Promise<{ status: number; text: string }> {
-  const from = `127.0.1.${1 + (attempt % CALLERS)}`
-  return world.call('/p/a', { body: 'fatal', entry: ENTRIES[attempt % ENTRIES.length], from })
+  const from = `127.0.1.${1 + (attempt % CALLER_ADDRESSES)}`
+  return harness.call('/p/a', { body: 'fatal', entry: ENTRIES[attempt % ENTRIES.length], from })
 }
 
 /** Sends the fatal body until three workers have ended under it. */
-async function endThree(): Promise<void> {
-  for (let attempt = 0; ends() < ENDS_UNTIL_KNOWN; attempt += 1) {
+async function crashThree(): Promise<void> {
+  for (let attempt = 0; crashCount() < CRASHES_UNTIL_REFUSED; attempt += 1) {
     await sendFatal(attempt)
     await allServe()
   }
@@ -61,41 +61,42 @@
 async function isRefusedEverywhere(): Promise<void> {
   for (const entry of ENTRIES)
     await until(`entry ${entry} refuses it`, async () => {
-      const { status, text } = await world.call('/p/a', { body: 'fatal', entry })
+      const { status, text } = await harness.call('/p/a', { body: 'fatal', entry })
       return status === 503 && text.includes('ends its endpoints')
     })
 }
 
 async function allServe(): Promise<void> {
   for (const entry of ENTRIES)
-    await until(`entry ${entry} serves`, async () => (await world.call('/p/', { entry })).status === 200)
+    await until(`entry ${entry} serves`, async () => (await harness.call('/p/', { entry })).status === 200)
 }
 
 describe('a request that ends each endpoint that runs it', () => {
   it('reaches at most three more after it has ended three, whichever entry it comes to', async () => {
     await startFleet(17_860)
-    let atThird: number | undefined
+    let arrivalsAtThird: number | undefined
     for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
       await sendFatal(attempt)
       await allServe()
-      if (ends() >= ENDS_UNTIL_KNOWN) atThird ??= arrivals('fatal')
+      if (crashCount() >= CRASHES_UNTIL_REFUSED) arrivalsAtThird ??= arrivals('fatal')
     }
-    expect(atThird).toBeDefined()
-    expect(arrivals('fatal') - atThird!).toBeLessThanOrEqual(MOST_LATER)
-    for (const entry of ENTRIES) expect((await world.call('/p/a', { body: 'good', entry })).status).toBe(200)
+    expect(arrivalsAtThird).toBeDefined()
+    expect(arrivals('fatal') - arrivalsAtThird!).toBeLessThanOrEqual(MAX_LATER_ARRIVALS)
+    for (const entry of ENTRIES)
+      expect((await harness.call('/p/a', { body: 'good', entry })).status).toBe(200)
   })
 
   it('stays refused when the machine that leads is lost, and at an entry that starts anew', async () => {
     await startFleet(17_870)
-    await endThree()
+    await crashThree()
     await isRefusedEverywhere()
-    const leader = [...world.control].find(([, machine]) => machine.status()?.role === 'leader')![0]
-    await world.stopControl(leader)
-    await world.stopEntry(ENTRIES[1]!)
-    await world.startEntry(ENTRIES[1]!)
+    const leader = [...harness.control].find(([, machine]) => machine.status()?.role === 'leader')![0]
+    await harness.stopControl(leader)
+    await harness.stopEntry(ENTRIES[1]!)
+    await harness.startEntry(ENTRIES[1]!)
     const before = arrivals('fatal')
     await until('the new entry knows its routes', async () => {
-      const { text } = await world.call('/p/a', { body: 'fatal', entry: ENTRIES[1]! })
+      const { text } = await harness.call('/p/a', { body: 'fatal', entry: ENTRIES[1]! })
       return !text.includes('FORKSTAGE_NO_SHEET') && !text.includes('no endpoint')
     })
     await isRefusedEverywhere()
@@ -104,14 +105,14 @@
 
   it('stays refused after every machine has stopped at once', async () => {
     await startFleet(17_880)
-    await endThree()
+    await crashThree()
     await isRefusedEverywhere()
-    await until('it is on a disk', () => existsSync(`${world.folderOf(1)}/crashes.json`))
-    await Promise.all(ENTRIES.map((number) => world.stopEntry(number)))
-    await Promise.all([1, 2, 3].map((number) => world.stopControl(number)))
-    await Promise.all([1, 2, 3].map((number) => world.startControl(number, false)))
-    await Promise.all(ENTRIES.map((number) => world.startEntry(number)))
-    for (const worker of workers) await until('a worker is known again', () => worker.beat())
+    await until('it is on a disk', () => existsSync(`${harness.folderOf(1)}/crashes.json`))
+    await Promise.all(ENTRIES.map((number) => harness.stopEntry(number)))
+    await Promise.all([1, 2, 3].map((number) => harness.stopControl(number)))
+    await Promise.all([1, 2, 3].map((number) => harness.startControl(number, false)))
+    await Promise.all(ENTRIES.map((number) => harness.startEntry(number)))
+    for (const worker of workers) await until('a worker is known again', () => worker.sendHeartbeat())
     await allServe()
     await isRefusedEverywhere()
   })
--- a/daemon/fleet/test/crashingWorker.ts
+++ b/daemon/fleet/test/crashingWorker.ts
@@ -1,13 +1,13 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
-import type { FleetWorld } from './fleetWorld'
+import type { FleetHarness } from './fleetHarness'
 
 const FATAL_BODY = 'fatal'
-const BACK_AFTER_MS = 120
+const RESTART_DELAY_MS = 120
 
 /** A plain worker that ends when it begins to run a fatal body, and is back a moment later under another id. */
 export class CrashingWorker {
-  private lives = 0
-  private beats = 0
+  private incarnations = 0
+  private heartbeats = 0
   private port = 0
   private server: Server | undefined
   private isStopped = false
@@ -17,23 +17,23 @@
   readonly seen: string[] = []
 
   constructor(
-    private readonly world: FleetWorld,
+    private readonly harness: FleetHarness,
     private readonly name: string,
   ) {}
 
   async start(): Promise<void> {
-    this.lives += 1
+    this.incarnations += 1
     this.server = createServer((request, response) => void this.serve(request, response))
     await new Promise<void>((resolve) => this.server!.listen(this.port, '127.0.0.1', resolve))
     this.port = (this.server.address() as { port: number }).port
-    await this.beat()
+    await this.sendHeartbeat()
   }
 
   /** Says of itself what it is; whether that was taken. */
-  async beat(): Promise<boolean> {
-    this.beats += 1
-    const fields = { address: `127.0.0.1:${this.port}`, sequence: this.beats }
-    return (await this.world.register(1, `${this.name}-${this.lives}`, fields)) === 200
+  async sendHeartbeat(): Promise<boolean> {
+    this.heartbeats += 1
+    const fields = { address: `127.0.0.1:${this.port}`, sequence: this.heartbeats }
+    return (await this.harness.register(1, `${this.name}-${this.incarnations}`, fields)) === 200
   }
 
   stop(): void {
@@ -57,6 +57,6 @@
     this.server?.closeAllConnections()
     setTimeout(() => {
       if (!this.isStopped) void this.start()
-    }, BACK_AFTER_MS)
+    }, RESTART_DELAY_MS)
   }
 }
--- a/daemon/fleet/test/entryCrashes.test.ts
+++ b/daemon/fleet/test/entryCrashes.test.ts
@@ -11,12 +11,12 @@
 function start(endpoints: number, stage?: Stage, barred?: string) {
   const clock = new ManualClock()
   const logger = createSilentLogger()
-  const book = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: 60_000 })
+  const tracker = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: 60_000 })
   const directory = new Directory(() => clock.now())
   for (let index = 0; index < endpoints; index += 1)
     directory.merge([endpointWithDefaults({ stage, address: `10.0.0.${index}:1` }, index)])
   const peers = { call: () => new Promise<never>(() => undefined), notify: () => undefined }
-  const way = new LeaderClient({
+  const leaderClient = new LeaderClient({
     leader: () => undefined,
     neighbours: () => [],
     peers,
@@ -25,20 +25,20 @@
     forwardableMethods: [],
   })
   const crashes = new EntryCrashes({
-    book,
+    tracker,
     directory,
     isBarred: ({ id }) => id === barred,
-    way,
+    leaderClient,
     clock,
     logger,
   })
   const early = (...contents: string[]) =>
     contents.map((content) => ({ content: content as ContentDigest, isEarly: true }))
-  book.recordCrash('l0', early('bad'))
-  for (const life of ['l1', 'l2', 'l3']) book.recordCrash(life, early('bad', 'other'))
+  tracker.recordCrash('l0', early('bad'))
+  for (const incarnation of ['l1', 'l2', 'l3']) tracker.recordCrash(incarnation, early('bad', 'other'))
   const isRefused = (content: string) =>
     crashes.refusal(() => content as ContentDigest, 'plain') !== undefined
-  return { isRefused, crashes, book }
+  return { isRefused, crashes, tracker }
 }
 
 it('counts three ends whoever else was there only where one endpoint may be kept free for what has two', () => {
@@ -46,7 +46,7 @@
   expect(start(2).isRefused('other')).toBe(false)
   expect(start(3, undefined, 'i-1').isRefused('other')).toBe(false)
   expect(start(6, 'decode').isRefused('other')).toBe(false)
-  for (const world of [start(3), start(2), start(6, 'decode')]) expect(world.isRefused('bad')).toBe(true)
+  for (const entry of [start(3), start(2), start(6, 'decode')]) expect(entry.isRefused('bad')).toBe(true)
 })
 
 // Guards against requests that are refused for want of a leader, who only spares endpoints by giving turns.
@@ -60,11 +60,11 @@
 })
 
 it('decides by its book, and by losses of the request only while these are unconfirmed', () => {
-  const { crashes, book } = start(3)
+  const { crashes, tracker } = start(3)
   const decide = (content: string, lost: string[] = []) =>
     crashes.decide(() => content as ContentDigest, 'plain', lost).type
   expect(decide('bad')).toBe('refuse')
-  book.recordServed('other' as ContentDigest)
+  tracker.recordServed('other' as ContentDigest)
   expect(decide('other')).toBe('send')
   // Four endpoints have crashed within a moment: what nobody was served lately takes turns.
   expect(decide('never seen')).toBe('serialize')
--- a/daemon/fleet/test/evacuation.test.ts
+++ b/daemon/fleet/test/evacuation.test.ts
@@ -1,32 +1,32 @@
 import { afterEach, describe, expect, it } from 'vitest'
-import { FleetWorld, sheet, until } from './fleetWorld'
+import { FleetHarness, sheet, until } from './fleetHarness'
 
-let world: FleetWorld
-afterEach(() => world.stop())
+let harness: FleetHarness
+afterEach(() => harness.stop())
 
-async function startFleet(port: number, machines = [1, 2, 3]): Promise<FleetWorld> {
-  world = new FleetWorld(port)
-  await Promise.all(machines.map((number) => world.startControl(number)))
-  return world
+async function startFleet(port: number, machines = [1, 2, 3]): Promise<FleetHarness> {
+  harness = new FleetHarness(port)
+  await Promise.all(machines.map((number) => harness.startControl(number)))
+  return harness
 }
 
-const domainsAt = async (number: number) => (await world.evacuations(number)).domains.join()
+const domainsAt = async (number: number) => (await harness.evacuations(number)).domains.join()
 const isTaken = (number: number, domain: string, isEvacuated = true) =>
-  until('the order is taken', async () => (await world.evacuate(number, domain, isEvacuated)) === 200)
+  until('the order is taken', async () => (await harness.evacuate(number, domain, isEvacuated)) === 200)
 
 describe('control machines', () => {
   it('take orders at any machine, answer resends the same, and all hear of them', async () => {
     await startFleet(18_300)
     await isTaken(1, 'a')
-    const { index } = await world.evacuations(1)
-    for (const number of [2, 3, 1]) expect(await world.evacuate(number, 'a', true)).toBe(200)
+    const { index } = await harness.evacuations(1)
+    for (const number of [2, 3, 1]) expect(await harness.evacuate(number, 'a', true)).toBe(200)
     await until('all know', async () =>
       (await Promise.all([1, 2, 3].map(domainsAt))).every((one) => one === 'a'),
     )
     // Resends have written nothing.
-    expect((await world.evacuations(2)).index).toBe(index)
-    expect(await world.evacuate(3, 'nobody-bears-it', true)).toBe(200)
-    expect(await world.evacuate(2, 'a', false)).toBe(200)
+    expect((await harness.evacuations(2)).index).toBe(index)
+    expect(await harness.evacuate(3, 'nobody-bears-it', true)).toBe(200)
+    expect(await harness.evacuate(2, 'a', false)).toBe(200)
     const expected = 'nobody-bears-it'
     await until('all know', async () =>
       (await Promise.all([1, 2, 3].map(domainsAt))).every((one) => one === expected),
@@ -36,11 +36,11 @@
   it('refuse a malformed name and are not sure of a well-formed one while no leader is there', async () => {
     await startFleet(18_310, [1])
     for (const name of ['%20', 'a%2Fb', '-a', '%E0%A4%A']) {
-      expect(await world.evacuate(1, name, true)).toBe(400)
-      expect(await world.evacuate(1, name, false)).toBe(400)
+      expect(await harness.evacuate(1, name, true)).toBe(400)
+      expect(await harness.evacuate(1, name, false)).toBe(400)
     }
     const began = Date.now()
-    expect(await world.evacuate(1, 'a', true)).toBe(503)
+    expect(await harness.evacuate(1, 'a', true)).toBe(503)
     // Callers ask another machine after a second or so.
     expect(Date.now() - began).toBeLessThan(2_000)
   })
@@ -48,21 +48,21 @@
   it('are not sure while they are cut off, also of what they had taken', async () => {
     await startFleet(18_320)
     await isTaken(1, 'a')
-    await Promise.all([2, 3].map((number) => world.stopControl(number)))
-    await until('it notices', async () => (await world.evacuate(1, 'a', true)) === 503)
-    expect(await world.evacuate(1, 'a', false)).toBe(503)
+    await Promise.all([2, 3].map((number) => harness.stopControl(number)))
+    await until('it notices', async () => (await harness.evacuate(1, 'a', true)) === 503)
+    expect(await harness.evacuate(1, 'a', false)).toBe(503)
     expect(await domainsAt(1)).toBe('a')
   })
 
   it('keep an order when the leader is lost right after its 2xx', async () => {
     await startFleet(18_330)
     await isTaken(1, 'a')
-    const leader = [1, 2, 3].find((number) => world.control.get(number)?.status()?.role === 'leader')!
+    const leader = [1, 2, 3].find((number) => harness.control.get(number)?.status()?.role === 'leader')!
     await isTaken(leader === 1 ? 2 : 1, 'b')
-    await world.stopControl(leader)
+    await harness.stopControl(leader)
     const others = [1, 2, 3].filter((number) => number !== leader)
-    await until('another leads', async () => (await world.evacuate(others[0]!, 'b', true)) === 200)
-    expect(await world.evacuate(others[1]!, 'a', true)).toBe(200)
+    await until('another leads', async () => (await harness.evacuate(others[0]!, 'b', true)) === 200)
+    expect(await harness.evacuate(others[1]!, 'a', true)).toBe(200)
     for (const number of others) await until('it knows both', async () => (await domainsAt(number)) === 'a,b')
   })
 
@@ -71,8 +71,8 @@
     await isTaken(1, 'gone')
     await isTaken(2, 'gone', false)
     await isTaken(2, 'a')
-    await Promise.all([1, 2, 3].map((number) => world.stopControl(number)))
-    await Promise.all([1, 2, 3].map((number) => world.startControl(number, false)))
+    await Promise.all([1, 2, 3].map((number) => harness.stopControl(number)))
+    await Promise.all([1, 2, 3].map((number) => harness.startControl(number, false)))
     await until('all know again', async () =>
       (await Promise.all([1, 2, 3].map(domainsAt))).every((known) => known === 'a'),
     )
@@ -81,12 +81,12 @@
   it('give two operators that cross one order that all share', async () => {
     await startFleet(18_350)
     await isTaken(1, 'a')
-    const orders = [1, 2, 3, 1, 2, 3].map((number, turn) => world.evacuate(number, 'b', turn % 2 === 0))
-    await Promise.all([...orders, world.evacuate(3, 'c', true), world.evacuate(2, 'a', false)])
+    const orders = [1, 2, 3, 1, 2, 3].map((number, turn) => harness.evacuate(number, 'b', turn % 2 === 0))
+    await Promise.all([...orders, harness.evacuate(3, 'c', true), harness.evacuate(2, 'a', false)])
     await isTaken(1, 'c')
     const known = await Promise.all([1, 2, 3].map(domainsAt))
     await until('all know the same', async () => {
-      const sets = await Promise.all([1, 2, 3].map((number) => world.evacuations(number)))
+      const sets = await Promise.all([1, 2, 3].map((number) => harness.evacuations(number)))
       return sets.every((set) => JSON.stringify(set) === JSON.stringify(sets[0]))
     })
     expect(known.every((one) => one.includes('c'))).toBe(true)
@@ -97,14 +97,14 @@
   /** A fleet with one plain worker in each domain, which its entry uses. */
   async function startServing(port: number) {
     await startFleet(port)
-    const workers = { a: await world.startWorker('a'), b: await world.startWorker('b') }
-    await until('a sheet is taken', async () => (await world.put(2, JSON.stringify(sheet(1)))) === 200)
+    const workers = { a: await harness.startWorker('a'), b: await harness.startWorker('b') }
+    await until('a sheet is taken', async () => (await harness.put(2, JSON.stringify(sheet(1)))) === 200)
     for (const [zone, { address }] of Object.entries(workers))
-      await world.register(1, `i-${zone}`, { address, zone })
-    await world.startEntry()
+      await harness.register(1, `i-${zone}`, { address, zone })
+    await harness.startEntry()
     const callsUntil = (what: string, holds: () => boolean) =>
       until(what, async () => {
-        await world.call('/p/')
+        await harness.call('/p/')
         return holds()
       })
     await callsUntil('both serve', () => workers.a.runs() > 0 && workers.b.runs() > 0)
@@ -115,7 +115,7 @@
   async function callOften(workers: Record<string, { runs: () => number }>) {
     const counts = () => Object.values(workers).map((worker) => worker.runs())
     const before = counts()
-    const answers = await Promise.all(Array.from({ length: 8 }, () => world.call('/p/')))
+    const answers = await Promise.all(Array.from({ length: 8 }, () => harness.call('/p/')))
     return {
       statuses: answers.map(({ status }) => status),
       ran: counts().map((count, at) => count - before[at]!),
@@ -142,7 +142,7 @@
     const { workers, callsUntil } = await startServing(18_370)
     await isTaken(1, 'b')
     await until('it obeys', async () => (await callOften(workers)).ran[1] === 0)
-    world.isEntryCut = true
+    harness.isEntryCut = true
     await isTaken(1, 'b', false)
     await isTaken(2, 'a')
     await until('all control machines know', async () =>
@@ -150,7 +150,7 @@
     )
     // Alone it goes on with what it believes.
     expect((await callOften(workers)).ran).toEqual([8, 0])
-    world.isEntryCut = false
+    harness.isEntryCut = false
     const before = workers.b.runs()
     await callsUntil('it hears them', () => workers.b.runs() > before)
     expect((await callOften(workers)).ran).toEqual([0, 8])
@@ -158,15 +158,15 @@
 
   it('begins with what control machines have on their disks, when all come back from a loss of power', async () => {
     await startFleet(18_380)
-    const worker = await world.startWorker('one')
-    await until('a sheet is taken', async () => (await world.put(2, JSON.stringify(sheet(1)))) === 200)
+    const worker = await harness.startWorker('one')
+    await until('a sheet is taken', async () => (await harness.put(2, JSON.stringify(sheet(1)))) === 200)
     await isTaken(2, 'a')
-    await Promise.all([1, 2, 3].map((number) => world.stopControl(number)))
-    await Promise.all([1, 2, 3].map((number) => world.startControl(number, false)))
-    await world.register(1, 'i-2', { address: worker.address, zone: 'a' })
-    await world.startEntry()
-    await until('it has the sheet', async () => (await world.call('/nowhere/')).status === 404)
-    expect((await world.call('/p/')).status).toBe(503)
+    await Promise.all([1, 2, 3].map((number) => harness.stopControl(number)))
+    await Promise.all([1, 2, 3].map((number) => harness.startControl(number, false)))
+    await harness.register(1, 'i-2', { address: worker.address, zone: 'a' })
+    await harness.startEntry()
+    await until('it has the sheet', async () => (await harness.call('/nowhere/')).status === 404)
+    expect((await harness.call('/p/')).status).toBe(503)
     expect(worker.runs()).toBe(0)
   })
 })
--- /dev/null
+++ b/daemon/fleet/test/evacuationTracker.test.ts
@@ -0,0 +1,36 @@
+import { describe, expect, it } from 'vitest'
+import { createSilentLogger } from '@forkstage/logger'
+import { EvacuationTracker } from '../src/evacuationTracker'
+
+describe('what a machine believes of evacuations', () => {
+  function start() {
+    const withdrawn: string[] = []
+    const onWithdrawn = (domain: string) => void withdrawn.push(domain)
+    const tracker = new EvacuationTracker({ logger: createSilentLogger(), onWithdrawn })
+    return { tracker, withdrawn }
+  }
+
+  it('tells of each domain that is evacuated no more, once', () => {
+    const { tracker, withdrawn } = start()
+    tracker.apply({ index: 4, domains: ['a', 'b'] })
+    expect(withdrawn).toEqual([])
+    tracker.apply({ index: 6, domains: ['b'] })
+    tracker.apply({ index: 6, domains: ['b'] })
+    expect(withdrawn).toEqual(['a'])
+  })
+
+  it('tells of none where an older set arrives late', () => {
+    const { tracker, withdrawn } = start()
+    tracker.apply({ index: 6, domains: ['a'] })
+    tracker.apply({ index: 5, domains: [] })
+    expect(withdrawn).toEqual([])
+    expect(tracker.view.isEvacuated('a')).toBe(true)
+  })
+
+  it('tells of one that was only supposed to be evacuated', () => {
+    const { tracker, withdrawn } = start()
+    tracker.suppose(['a'])
+    tracker.apply({ index: 3, domains: [] })
+    expect(withdrawn).toEqual(['a'])
+  })
+})
--- a/daemon/fleet/test/fleet.test.ts
+++ b/daemon/fleet/test/fleet.test.ts
@@ -1,108 +1,111 @@
 import { afterEach, describe, expect, it } from 'vitest'
-import { FleetWorld, sheet, until } from './fleetWorld'
+import { FleetHarness, sheet, until } from './fleetHarness'
 
-let world: FleetWorld
-afterEach(() => world.stop())
+let harness: FleetHarness
+afterEach(() => harness.stop())
 
-async function startFleet(port: number, machines = [1, 2, 3]): Promise<FleetWorld> {
-  world = new FleetWorld(port)
-  await Promise.all(machines.map((number) => world.startControl(number)))
-  return world
+async function startFleet(port: number, machines = [1, 2, 3]): Promise<FleetHarness> {
+  harness = new FleetHarness(port)
+  await Promise.all(machines.map((number) => harness.startControl(number)))
+  return harness
 }
 
 const text = (version: number, prefix?: string) => JSON.stringify(sheet(version, prefix))
-const isRead = (number: number, expected: string) => async () => (await world.read(number)).text === expected
+const isRead = (number: number, expected: string) => async () =>
+  (await harness.read(number)).text === expected
 
 describe('control machines', () => {
   it('found their group from the seeds, take another one in, and keep the highest version everywhere', async () => {
     await startFleet(17_600, [1, 2, 3, 4])
-    await until('a sheet is taken', async () => (await world.put(4, text(3))) === 200)
-    expect(await world.put(2, text(2))).toBe(200)
-    expect(await world.put(1, text(3, '/other/'))).toBe(200)
+    await until('a sheet is taken', async () => (await harness.put(4, text(3))) === 200)
+    expect(await harness.put(2, text(2))).toBe(200)
+    expect(await harness.put(1, text(3, '/other/'))).toBe(200)
     for (const number of [1, 2, 3, 4]) await until(`machine ${number} reads it`, isRead(number, text(3)))
   })
 
   it('refuse what is invalid, also where no leader is known', async () => {
     await startFleet(17_610, [1])
-    expect(await world.put(1, '{')).toBe(400)
-    expect(await world.put(1, JSON.stringify({ ...sheet(1), services: [] }))).toBe(400)
-    expect(await world.put(1, text(1))).toBe(503)
-    expect((await world.read(1)).status).toBe(503)
+    expect(await harness.put(1, '{')).toBe(400)
+    expect(await harness.put(1, JSON.stringify({ ...sheet(1), services: [] }))).toBe(400)
+    expect(await harness.put(1, text(1))).toBe(503)
+    expect((await harness.read(1)).status).toBe(503)
   })
 
   it('keep what was acknowledged when all of them stop and start again', async () => {
     await startFleet(17_620)
-    await until('a sheet is taken', async () => (await world.put(1, text(7))) === 200)
-    for (const number of [1, 2, 3]) await world.stopControl(number)
-    for (const number of [1, 2, 3]) await world.startControl(number, false)
+    await until('a sheet is taken', async () => (await harness.put(1, text(7))) === 200)
+    for (const number of [1, 2, 3]) await harness.stopControl(number)
+    for (const number of [1, 2, 3]) await harness.startControl(number, false)
     await until('it is read again', isRead(2, text(7)))
   })
 
   it('take a machine back whose disk was lost, and then bear the loss of another', async () => {
     await startFleet(17_630)
-    await until('a sheet is taken', async () => (await world.put(1, text(5))) === 200)
-    await world.stopControl(1)
-    world.loseDisk(1)
-    await world.startControl(1, false)
+    await until('a sheet is taken', async () => (await harness.put(1, text(5))) === 200)
+    await harness.stopControl(1)
+    harness.loseDisk(1)
+    await harness.startControl(1, false)
     const isWhole = () => {
-      const voters = world.control.get(3)?.status()?.config.voters ?? []
-      const self = world.control.get(1)?.status()?.replica
+      const voters = harness.control.get(3)?.status()?.config.voters ?? []
+      const self = harness.control.get(1)?.status()?.replica
       return voters.length === 3 && voters.some((voter) => voter.replica === self)
     }
     await until('the empty machine votes and its old identity has left', isWhole)
-    await world.stopControl(2)
-    await until('a sheet is taken without the other', async () => (await world.put(1, text(6))) === 200)
-    expect(await world.read(3)).toEqual({ status: 200, text: text(6) })
+    await harness.stopControl(2)
+    await until('a sheet is taken without the other', async () => (await harness.put(1, text(6))) === 200)
+    expect(await harness.read(3)).toEqual({ status: 200, text: text(6) })
   })
 
   it('acknowledge that an endpoint leaves only while they reach a majority', async () => {
     await startFleet(17_640)
-    await until('a leader is there', async () => (await world.put(1, text(1))) === 200)
-    expect(await world.register(1, 'i-1', { address: '127.0.0.1:1' })).toBe(200)
-    await Promise.all([2, 3].map((number) => world.stopControl(number)))
+    await until('a leader is there', async () => (await harness.put(1, text(1))) === 200)
+    expect(await harness.register(1, 'i-1', { address: '127.0.0.1:1' })).toBe(200)
+    await Promise.all([2, 3].map((number) => harness.stopControl(number)))
     await until(
       'it notices',
-      async () => (await world.register(1, 'i-1', { state: 'draining', sequence: 9 })) === 503,
+      async () => (await harness.register(1, 'i-1', { state: 'draining', sequence: 9 })) === 503,
     )
-    expect(await world.register(1, 'i-2', { address: '127.0.0.1:2' })).toBe(200)
-    expect(await world.leave(1, 'i-1')).toBe(503)
+    expect(await harness.register(1, 'i-2', { address: '127.0.0.1:2' })).toBe(200)
+    expect(await harness.leave(1, 'i-1')).toBe(503)
   })
 })
 
 describe('an entry', () => {
   it('serves by the newest sheet and the endpoints that registered at any machine', async () => {
     await startFleet(17_650)
-    const entry = await world.startEntry()
-    expect((await world.call('/p/')).status).toBe(503)
+    const entry = await harness.startEntry()
+    expect((await harness.call('/p/')).status).toBe(503)
     expect(entry.isReady).toBe(false)
-    const [one, two] = [await world.startWorker('one'), await world.startWorker('two')]
-    await until('a sheet is taken', async () => (await world.put(2, text(1))) === 200)
-    await world.register(1, 'i-1', { address: one.address })
-    await world.register(3, 'i-2', { address: two.address })
+    const [one, two] = [await harness.startWorker('one'), await harness.startWorker('two')]
+    await until('a sheet is taken', async () => (await harness.put(2, text(1))) === 200)
+    await harness.register(1, 'i-1', { address: one.address })
+    await harness.register(3, 'i-2', { address: two.address })
     await until('both answer', async () => {
-      await world.call('/p/')
+      await harness.call('/p/')
       return one.runs() > 0 && two.runs() > 0
     })
     expect(entry.isReady).toBe(true)
-    expect(await world.register(2, 'i-1', { address: one.address, state: 'draining', sequence: 2 })).toBe(200)
+    expect(await harness.register(2, 'i-1', { address: one.address, state: 'draining', sequence: 2 })).toBe(
+      200,
+    )
     await until('the one that drains gets no more', async () => {
       const before = one.runs()
-      for (let index = 0; index < 8; index += 1) await world.call('/p/')
+      for (let index = 0; index < 8; index += 1) await harness.call('/p/')
       return one.runs() === before
     })
-    expect(await world.put(1, text(2, '/q/'))).toBe(200)
-    await until('the new route is in force', async () => (await world.call('/q/')).status === 200)
-    expect((await world.call('/p/')).status).toBe(404)
+    expect(await harness.put(1, text(2, '/q/'))).toBe(200)
+    await until('the new route is in force', async () => (await harness.call('/q/')).status === 200)
+    expect((await harness.call('/p/')).status).toBe(404)
   })
 
   it('goes on with what it knows while no control machine is there', async () => {
     await startFleet(17_660)
-    await world.startEntry()
-    const worker = await world.startWorker('one')
-    await until('a sheet is taken', async () => (await world.put(2, text(1))) === 200)
-    await world.register(1, 'i-1', { address: worker.address })
-    await until('it serves', async () => (await world.call('/p/')).status === 200)
-    for (const number of [1, 2, 3]) await world.stopControl(number)
-    expect((await world.call('/p/')).status).toBe(200)
+    await harness.startEntry()
+    const worker = await harness.startWorker('one')
+    await until('a sheet is taken', async () => (await harness.put(2, text(1))) === 200)
+    await harness.register(1, 'i-1', { address: worker.address })
+    await until('it serves', async () => (await harness.call('/p/')).status === 200)
+    for (const number of [1, 2, 3]) await harness.stopControl(number)
+    expect((await harness.call('/p/')).status).toBe(200)
   })
 })
--- a/daemon/fleet/test/fleetWorld.ts
+++ b/daemon/fleet/test/fleetHarness.ts
@@ -8,7 +8,7 @@
 import type { PeerClient } from '@forkstage/peer-rpc'
 import type { RouteSheet } from '@forkstage/routes'
 import { TEST_WIRE } from '../../../request/gateway/test/testWire'
-import { ControlMachine, createMachineBasics, EntryMachine, type ControlWire } from '../src'
+import { ControlMachine, createMachineContext, EntryMachine, type ControlWire } from '../src'
 
 /** The formats of no deployment at all. */
 export const CONTROL_WIRE: ControlWire = {
@@ -29,16 +29,16 @@
   reportCall: () => ({ method: 'GET', path: '/report', rawHeaders: [], body: Buffer.alloc(0) }),
   readReport: () => undefined,
   stageOrderCall: () => ({ method: 'POST', path: '/order', rawHeaders: [], body: Buffer.alloc(0) }),
-  recallCall: ({ id }) => ({ method: 'GET', path: `/sound/${id}`, rawHeaders: [], body: Buffer.alloc(0) }),
-  readRecall: ({ head }) => ({ isGood: true, instance: String(head.headers['x-sound']) }),
+  probeCall: ({ id }) => ({ method: 'GET', path: `/sound/${id}`, rawHeaders: [], body: Buffer.alloc(0) }),
+  readProbe: ({ head }) => ({ isHealthy: true, instance: String(head.headers['x-sound']) }),
 }
 
 /** A statement of an endpoint; undefined where it has no slots to speak of. */
 function readEndpoint(name: string, text: string): RegisteredEndpoint | undefined {
-  const said = JSON.parse(text) as RegisteredEndpoint
-  if (typeof said.slots !== 'number') return undefined
-  const own = said.born === undefined ? {} : { name }
-  return { ...said, ...own, id: lifeId(name, said.born) }
+  const statement = JSON.parse(text) as RegisteredEndpoint
+  if (typeof statement.slots !== 'number') return undefined
+  const own = statement.born === undefined ? {} : { name }
+  return { ...statement, ...own, id: lifeId(name, statement.born) }
 }
 
 /** A route sheet with one route to one plain service. */
@@ -74,7 +74,7 @@
 const FIRST_ENTRY = 100
 
 /** Control machines at .1, .2 and so on of a loopback network, which share ports, and entries from .100 on. */
-export class FleetWorld {
+export class FleetHarness {
   private readonly folder = mkdtempSync(join(tmpdir(), 'forkstage-fleet-'))
   readonly control = new Map<number, ControlMachine>()
   private readonly entries = new Map<number, EntryMachine>()
@@ -103,9 +103,9 @@
   }
 
   async startControl(number: number, found = true): Promise<ControlMachine> {
-    const basics = this.basics(number, 'control', found)
-    cutWhile(basics.peers, () => this.cutControl.has(number))
-    const machine = new ControlMachine(basics, CONTROL_WIRE)
+    const context = this.context(number, 'control', found)
+    cutWhile(context.peers, () => this.cutControl.has(number))
+    const machine = new ControlMachine(context, CONTROL_WIRE)
     await machine.start()
     this.control.set(number, machine)
     return machine
@@ -113,9 +113,9 @@
 
   async startEntry(number = FIRST_ENTRY): Promise<EntryMachine> {
     const wire = { gateway: TEST_WIRE, readSheet: CONTROL_WIRE.readSheet }
-    const basics = this.basics(number, 'entry', false)
-    cutWhile(basics.peers, () => this.isEntryCut)
-    const entry = new EntryMachine(basics, wire)
+    const context = this.context(number, 'entry', false)
+    cutWhile(context.peers, () => this.isEntryCut)
+    const entry = new EntryMachine(context, wire)
     this.entries.set(number, entry)
     await entry.start()
     return entry
@@ -237,7 +237,7 @@
     return { status: response.statusCode, text: response.body }
   }
 
-  private basics(number: number, role: 'entry' | 'control', found: boolean) {
+  private context(number: number, role: 'entry' | 'control', found: boolean) {
     const ip = `${NETWORK}.${number}`
     const listen =
       role === 'control'
@@ -264,10 +264,10 @@
 [log]
 level = "error"
 `
-    const basics = createMachineBasics(parseFleetSettings(text, { source: 'test' }))
+    const context = createMachineContext(parseFleetSettings(text, { source: 'test' }))
     const suspendedAt = () => this.suspendedAt.get(number) ?? -Infinity
-    const warn: typeof basics.logger.warn = (event, fields) => void this.warnings.push({ event, ...fields })
-    return { ...basics, clock: { ...basics.clock, suspendedAt }, logger: { ...basics.logger, warn } }
+    const warn: typeof context.logger.warn = (event, fields) => void this.warnings.push({ event, ...fields })
+    return { ...context, clock: { ...context.clock, suspendedAt }, logger: { ...context.logger, warn } }
   }
 }
 
--- a/daemon/fleet/test/endpointRecall.test.ts
+++ b/daemon/fleet/test/probeSavedEndpoints.test.ts
@@ -8,9 +8,9 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { createFileSystem, type FileSystem } from '@forkstage/storage'
 import { callEndpoint } from '../src/callEndpoint'
-import { EndpointMemory } from '../src/endpointMemory'
-import { recallEndpoints } from '../src/endpointRecall'
-import { CONTROL_WIRE, until } from './fleetWorld'
+import { EndpointStore } from '../src/endpointStore'
+import { probeSavedEndpoints } from '../src/probeSavedEndpoints'
+import { CONTROL_WIRE, until } from './fleetHarness'
 
 const servers: Server[] = []
 const folders: string[] = []
@@ -28,7 +28,7 @@
 }
 
 /** A process at an address that calls itself by a name while it takes work. */
-async function process(name: string): Promise<string> {
+async function startProcess(name: string): Promise<string> {
   const server = createServer((_request, response) => void response.setHeader('x-sound', name).end())
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   servers.push(server)
@@ -43,25 +43,25 @@
 
 describe('recallEndpoints', () => {
   it('does not know how long an endpoint is cold that does not say so again', async () => {
-    const told: (number | undefined)[] = []
-    await recallEndpoints([{ ...endpoint('i-1', await process('i-1')), coldMs: 0 }], {
+    const coldTimes: (number | undefined)[] = []
+    await probeSavedEndpoints([{ ...endpoint('i-1', await startProcess('i-1')), coldMs: 0 }], {
       wire: CONTROL_WIRE,
       service: () => ({ name: 's', maxConnections: 1 }),
       isKnown: () => false,
-      onReady: ({ coldMs }) => void told.push(coldMs),
+      onReady: ({ coldMs }) => void coldTimes.push(coldMs),
       clock: createSystemClock(),
       logger: createSilentLogger(),
     })
-    expect(told).toEqual([undefined])
+    expect(coldTimes).toEqual([undefined])
   })
 
   it('takes an endpoint back only when it says itself that it takes work', async () => {
-    const sound = endpoint('i-1', await process('i-1'))
-    const replaced = endpoint('i-2', await process('i-9'))
+    const healthy = endpoint('i-1', await startProcess('i-1'))
+    const replaced = endpoint('i-2', await startProcess('i-9'))
     const gone = endpoint('i-3', '127.0.0.1:9')
-    const known = endpoint('i-4', await process('i-4'))
+    const known = endpoint('i-4', await startProcess('i-4'))
     const ready: string[] = []
-    await recallEndpoints([sound, replaced, gone, known], {
+    await probeSavedEndpoints([healthy, replaced, gone, known], {
       wire: CONTROL_WIRE,
       service: () => ({ name: 's', maxConnections: 1 }),
       isKnown: (id) => id === 'i-4',
@@ -94,17 +94,17 @@
   function memory(folder: string, endpoints: RegisteredEndpoint[]) {
     const clock = new ManualClock()
     const options = { folder, files: createFileSystem(), clock, logger: createSilentLogger() }
-    return { clock, memory: new EndpointMemory({ ...options, endpoints: () => endpoints }) }
+    return { clock, memory: new EndpointStore({ ...options, endpoints: () => endpoints }) }
   }
 
   it('keeps those that take work, over a start', async () => {
     const folder = newFolder()
     const endpoints = [endpoint('i-1'), endpoint('i-2', 'b:1', 'draining')]
     const { clock, memory: first } = memory(folder, endpoints)
-    first.noteChange()
+    first.markChanged()
     clock.advance(1_000)
-    await until('the file to be written', async () => (await memory(folder, []).memory.recall()).length > 0)
-    expect(await memory(folder, []).memory.recall()).toEqual([endpoint('i-1')])
+    await until('the file to be written', async () => (await memory(folder, []).memory.load()).length > 0)
+    expect(await memory(folder, []).memory.load()).toEqual([endpoint('i-1')])
   })
 
   it('keeps what changes while it writes, though nothing changes after', async () => {
@@ -121,12 +121,12 @@
       },
     }
     const options = { folder: 'f', files, clock, logger: createSilentLogger() }
-    const kept = new EndpointMemory({ ...options, endpoints: () => endpoints })
-    kept.noteChange()
+    const store = new EndpointStore({ ...options, endpoints: () => endpoints })
+    store.markChanged()
     clock.advance(1_000)
     await until('the write to begin', async () => written.length === 1)
     endpoints.push(endpoint('i-2', 'b:1'))
-    kept.noteChange()
+    store.markChanged()
     finish()
     await until('the next write to begin', async () => {
       clock.advance(100)
@@ -137,13 +137,13 @@
 
   it('recalls nobody from an empty disk or a torn file', async () => {
     const folder = newFolder()
-    expect(await memory(folder, []).memory.recall()).toEqual([])
+    expect(await memory(folder, []).memory.load()).toEqual([])
     writeFileSync(join(folder, 'endpoints.json'), '{"endpoints":[{"id"')
-    expect(await memory(folder, []).memory.recall()).toEqual([])
-    expect(await memory(join(folder, 'absent'), []).memory.recall()).toEqual([])
+    expect(await memory(folder, []).memory.load()).toEqual([])
+    expect(await memory(join(folder, 'absent'), []).memory.load()).toEqual([])
     for (const text of ['null', '7', '{"endpoints":{"id":"i-1"}}']) {
       writeFileSync(join(folder, 'endpoints.json'), text)
-      expect(await memory(folder, []).memory.recall()).toEqual([])
+      expect(await memory(folder, []).memory.load()).toEqual([])
     }
   })
 
@@ -156,6 +156,6 @@
       null,
     ]
     writeFileSync(join(folder, 'endpoints.json'), JSON.stringify({ endpoints: [endpoint('i-1'), ...odd] }))
-    expect(await memory(folder, []).memory.recall()).toEqual([endpoint('i-1')])
+    expect(await memory(folder, []).memory.load()).toEqual([endpoint('i-1')])
   })
 })
--- a/daemon/fleet/test/stageOrders.test.ts
+++ b/daemon/fleet/test/stageOrderSender.test.ts
@@ -5,10 +5,10 @@
 import { createSilentLogger } from '@forkstage/logger'
 import type { RouteSheet } from '@forkstage/routes'
 import type { ControlWire, StageOrder } from '../src'
-import { StageOrders } from '../src/stageOrders'
-import { CONTROL_WIRE, sheet } from './fleetWorld'
+import { StageOrderSender } from '../src/stageOrderSender'
+import { CONTROL_WIRE, sheet } from './fleetHarness'
 
-const LEAD_FIRST_MS = 3_900
+const FIRST_ORDER_DELAY_MS = 3_900
 const servers: Server[] = []
 afterEach(() => servers.splice(0).forEach((server) => server.close()))
 
@@ -57,7 +57,7 @@
   }
   const changing: [string, string, number][] = []
   const ordered: [string, string, number][] = []
-  const used: [string, string][] = []
+  const uses: [string, string][] = []
   let wanted: StageChange | undefined = {
     id: 'i-1',
     stage: 'decode',
@@ -68,7 +68,7 @@
     planStage: () => (changing.length + ordered.length > 0 ? undefined : wanted),
     markOrdered: (id: string, to: string, forMs: number) => void ordered.push([id, to, forMs]),
     markChanging: (id: string, to: string, forMs: number) => void changing.push([id, to, forMs]),
-    recordUse: (id: string, outcome: string) => void used.push([id, outcome]),
+    recordUse: (id: string, outcome: string) => void uses.push([id, outcome]),
     isChanging: () => changing.length > 0 && changing.at(-1)![2] > 0,
   } as unknown as AllocatorService
   const wire: ControlWire = {
@@ -93,7 +93,7 @@
   }
   const routes: RouteSheet = { ...sheet(1), services: [{ name: 'm', maxConnections: 1, engine }] }
   const clock = new ManualClock()
-  const orders = new StageOrders({
+  const orders = new StageOrderSender({
     wire,
     allocator,
     sheet: () => routes,
@@ -102,12 +102,12 @@
     holder: 'control-1',
     isLeader: () => state.leads,
     term: () => state.term,
-    leadFirstMs: LEAD_FIRST_MS,
+    firstOrderDelayMs: FIRST_ORDER_DELAY_MS,
     clock,
     logger: createSilentLogger(),
   })
   orders.start()
-  const settled = async (holds: () => boolean) => {
+  const waitUntil = async (holds: () => boolean) => {
     while (!holds()) await new Promise<void>((resolve) => ((wake = resolve), setImmediate(resolve)))
   }
   return {
@@ -115,12 +115,12 @@
     clock,
     changing,
     ordered,
-    used,
-    settled,
+    uses,
+    waitUntil,
     /** The next question after a second of the clock has been answered. */
     asked: async (count: number) => {
       clock.advance(1_000)
-      await settled(() => state.reports >= count)
+      await waitUntil(() => state.reports >= count)
       for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve))
     },
     crash: () => new Promise((resolve) => server.close(resolve)),
@@ -130,7 +130,7 @@
 }
 
 /** Lets all that is under way in this process go on. */
-async function turns(): Promise<void> {
+async function flushTasks(): Promise<void> {
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve))
 }
 
@@ -138,25 +138,25 @@
   it('orders nothing by the report of a later life of the engine, nor once a later life is known', async () => {
     const later = await start()
     later.state.born = 200
-    later.clock.advance(LEAD_FIRST_MS + 600)
-    await later.settled(() => later.ordered.length === 1)
+    later.clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await later.waitUntil(() => later.ordered.length === 1)
     expect(later.state.orders).toEqual([])
     later.stop()
     const ended = await start()
     ended.state.isEnded = true
-    ended.clock.advance(LEAD_FIRST_MS + 600)
-    await ended.settled(() => ended.state.reports === 1)
-    await turns()
+    ended.clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await ended.waitUntil(() => ended.state.reports === 1)
+    await flushTasks()
     expect(ended.state.orders).toEqual([])
     ended.stop()
   })
 
   it('orders only once an earlier leader cannot order any more, with its term as fence and what the engine has taken', async () => {
-    const { state, clock, changing, settled, stop } = await start()
-    clock.advance(LEAD_FIRST_MS)
+    const { state, clock, changing, waitUntil, stop } = await start()
+    clock.advance(FIRST_ORDER_DELAY_MS)
     expect(state.reports).toBe(0)
     clock.advance(600)
-    await settled(() => changing.length === 1)
+    await waitUntil(() => changing.length === 1)
     expect(state.orders).toEqual([
       { stage: 'decode', holder: 'control-1', fence: 4, expectedOrders: 7, instance: 'i-1' },
     ])
@@ -167,9 +167,9 @@
 
   it('waits anew in each term that it leads', async () => {
     const { state, clock, stop } = await start()
-    clock.advance(LEAD_FIRST_MS - 500)
+    clock.advance(FIRST_ORDER_DELAY_MS - 500)
     state.term = 6
-    clock.advance(LEAD_FIRST_MS)
+    clock.advance(FIRST_ORDER_DELAY_MS)
     expect(state.reports).toBe(0)
     stop()
   })
@@ -180,25 +180,25 @@
    * fence would carry out beside this one.
    */
   it('gives no order in a term that began while the engine was asked how it stands', async () => {
-    const { state, clock, ordered, changing, settled, stop } = await start()
-    clock.advance(LEAD_FIRST_MS + 600)
+    const { state, clock, ordered, changing, waitUntil, stop } = await start()
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
     state.term = 6
-    await settled(() => state.reports === 1)
-    await turns()
+    await waitUntil(() => state.reports === 1)
+    await flushTasks()
     expect([state.orders, changing]).toEqual([[], []])
     expect(ordered).toEqual([['i-1', 'prefill', 4_000]])
     stop()
   })
 
   it('gives no order while it does not lead, nor to an engine that carries one out', async () => {
-    const { state, clock, changing, settled, stop } = await start()
+    const { state, clock, changing, waitUntil, stop } = await start()
     state.leads = false
     clock.advance(20_000)
     expect(state.reports).toBe(0)
     state.leads = true
     state.busy = true
-    clock.advance(LEAD_FIRST_MS + 600)
-    await settled(() => changing.length === 1)
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await waitUntil(() => changing.length === 1)
     expect(state.orders).toEqual([])
     // What it is busy with can only be a change to the other part.
     expect(changing[0]!.slice(0, 2)).toEqual(['i-1', 'decode'])
@@ -206,25 +206,25 @@
   })
 
   it('gives no order to an engine that must get nothing, also from one moment to the next', async () => {
-    const { state, clock, ordered, changing, settled, stop } = await start()
+    const { state, clock, ordered, changing, waitUntil, stop } = await start()
     state.barred = true
-    clock.advance(LEAD_FIRST_MS + 600)
-    await turns()
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await flushTasks()
     expect(state.reports).toBe(0)
     // It turns so while it is asked how it stands.
     state.barred = false
     clock.advance(500)
     state.barred = true
-    await settled(() => state.reports === 1)
-    await turns()
+    await waitUntil(() => state.reports === 1)
+    await flushTasks()
     expect([state.orders, ordered, changing]).toEqual([[], [], []])
     stop()
   })
 
   it('counts an engine back only when its own report says that it has changed', async () => {
-    const { state, clock, changing, asked, settled, stop } = await start()
-    clock.advance(LEAD_FIRST_MS + 600)
-    await settled(() => changing.length === 1)
+    const { state, clock, changing, asked, waitUntil, stop } = await start()
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await waitUntil(() => changing.length === 1)
     await asked(2)
     await asked(3)
     expect(changing).toHaveLength(1)
@@ -234,23 +234,23 @@
     expect(changing).toHaveLength(1)
     state.busy = false
     await asked(5)
-    await settled(() => changing.length === 2)
+    await waitUntil(() => changing.length === 2)
     expect(changing[1]).toEqual(['i-1', 'decode', 0])
     stop()
   })
 
   it('does not wait for an engine that has crashed on its way: two questions that reach nobody end it', async () => {
-    const { clock, changing, used, settled, crash, stop } = await start()
-    clock.advance(LEAD_FIRST_MS + 600)
-    await settled(() => changing.length === 1)
+    const { clock, changing, uses, waitUntil, crash, stop } = await start()
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await waitUntil(() => changing.length === 1)
     await crash()
     clock.advance(1_000)
-    await settled(() => used.length === 1)
+    await waitUntil(() => uses.length === 1)
     expect(changing).toHaveLength(1)
     clock.advance(1_000)
-    await settled(() => changing.length === 2)
+    await waitUntil(() => changing.length === 2)
     expect(changing[1]).toEqual(['i-1', 'decode', 0])
-    expect(used).toEqual([
+    expect(uses).toEqual([
       ['i-1', 'unreachable'],
       ['i-1', 'unreachable'],
     ])
@@ -258,18 +258,18 @@
   })
 
   it('leaves an engine alone for a while that refused, in the part that it has', async () => {
-    const { clock, changing, ordered, settled, stop } = await start(412)
-    clock.advance(LEAD_FIRST_MS + 600)
-    await settled(() => ordered.length === 1)
+    const { clock, changing, ordered, waitUntil, stop } = await start(412)
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await waitUntil(() => ordered.length === 1)
     expect(ordered[0]).toEqual(['i-1', 'prefill', 4_000])
     expect(changing).toEqual([])
     stop()
   })
 
   it('lets an engine work on whose order got no answer, and gives it no other one meanwhile', async () => {
-    const { clock, changing, ordered, settled, stop } = await start('no answer')
-    clock.advance(LEAD_FIRST_MS + 600)
-    await settled(() => ordered.length === 1)
+    const { clock, changing, ordered, waitUntil, stop } = await start('no answer')
+    clock.advance(FIRST_ORDER_DELAY_MS + 600)
+    await waitUntil(() => ordered.length === 1)
     expect(ordered[0]).toEqual(['i-1', 'decode', 14_000])
     expect(changing).toEqual([])
     stop()
--- a/daemon/fleet/test/workspaces.test.ts
+++ b/daemon/fleet/test/workspaces.test.ts
@@ -1,9 +1,9 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { Workspace } from '@forkstage/routes'
-import { FleetWorld, sheet, until } from './fleetWorld'
+import { FleetHarness, sheet, until } from './fleetHarness'
 
-let world: FleetWorld
-afterEach(() => world.stop())
+let harness: FleetHarness
+afterEach(() => harness.stop())
 
 const PORT = 17_700
 const TOKENS = { unit: 'tokens' as const, perSecond: 50, burst: 1_000, plainTokens: 200 }
@@ -17,13 +17,13 @@
 }
 
 async function startFleet(port: number, workspaces: Workspace[]) {
-  world = new FleetWorld(port)
-  await Promise.all([1, 2, 3].map((number) => world.startControl(number)))
-  await until('a sheet is taken', async () => (await world.put(1, text(1, workspaces))) === 200)
-  const { address, runs } = await world.startWorker('w')
-  await until('it is registered', async () => (await world.register(1, 'i-1', { address })) === 200)
-  await world.startEntry()
-  const isServed = async () => (await world.call('/p/', { key: workspaces[0]!.keys[0] })).status === 200
+  harness = new FleetHarness(port)
+  await Promise.all([1, 2, 3].map((number) => harness.startControl(number)))
+  await until('a sheet is taken', async () => (await harness.put(1, text(1, workspaces))) === 200)
+  const { address, runs } = await harness.startWorker('w')
+  await until('it is registered', async () => (await harness.register(1, 'i-1', { address })) === 200)
+  await harness.startEntry()
+  const isServed = async () => (await harness.call('/p/', { key: workspaces[0]!.keys[0] })).status === 200
   await until('a request with a key is served', isServed)
   return { runs }
 }
@@ -31,26 +31,29 @@
 describe('workspaces of a fleet', () => {
   it('have their keys in force once the sheet is, and lose them with it', async () => {
     await startFleet(PORT, [workspace('one', ['k1'])])
-    expect((await world.call('/p/', { key: 'k2' })).status).toBe(401)
-    expect(await world.put(2, text(2, [workspace('one', ['k2'])]))).toBe(200)
-    await until('the new key is served', async () => (await world.call('/p/', { key: 'k2' })).status === 200)
-    expect((await world.call('/p/', { key: 'k1' })).status).toBe(401)
+    expect((await harness.call('/p/', { key: 'k2' })).status).toBe(401)
+    expect(await harness.put(2, text(2, [workspace('one', ['k2'])]))).toBe(200)
+    await until(
+      'the new key is served',
+      async () => (await harness.call('/p/', { key: 'k2' })).status === 200,
+    )
+    expect((await harness.call('/p/', { key: 'k1' })).status).toBe(401)
   })
 
   it('stay as they are where a sheet gives one key to two, and nothing of that sheet is in force', async () => {
     const first = [workspace('one', ['k1'])]
     await startFleet(PORT + 10, first)
     const shared = [workspace('one', ['k1', 'k3']), workspace('two', ['k1'])]
-    for (const number of [1, 2, 3]) expect(await world.put(number, text(2, shared))).toBe(400)
-    expect((await world.read(3)).text).toBe(text(1, first))
-    expect((await world.call('/p/', { key: 'k3' })).status).toBe(401)
-    expect((await world.call('/p/', { key: 'k1' })).status).toBe(200)
+    for (const number of [1, 2, 3]) expect(await harness.put(number, text(2, shared))).toBe(400)
+    expect((await harness.read(3)).text).toBe(text(1, first))
+    expect((await harness.call('/p/', { key: 'k3' })).status).toBe(401)
+    expect((await harness.call('/p/', { key: 'k1' })).status).toBe(200)
   })
 
   it('are held to their quota', async () => {
     const { runs } = await startFleet(PORT + 20, [{ ...workspace('one', ['k1']), quota: TOKENS }])
     const before = runs()
-    const answers = await Promise.all(Array.from({ length: 30 }, () => world.call('/p/', { key: 'k1' })))
+    const answers = await Promise.all(Array.from({ length: 30 }, () => harness.call('/p/', { key: 'k1' })))
     const over = answers.filter(({ status }) => status === 429)
     // 1,000 tokens are 5 plain requests; a few more come back, or overdraw, while the answers are under way.
     expect(over.length).toBeGreaterThan(15)
