--- a/membership/control/src/boxRegistry.ts
+++ b/membership/control/src/boxRegistry.ts
@@ -5,9 +5,9 @@
 /** Options of {@link BoxRegistry}. */
 export interface BoxRegistryOptions {
   clock: Clock
-  /** A box unheard of for this long is not live. */
+  /** A box without a heartbeat for this long is not live. */
   goneAfter: Millis
-  /** How long a box may act on its table without renewing. */
+  /** How long a box may act on its table without renewing its lease. */
   tableLease: Millis
 }
 
@@ -19,10 +19,12 @@
   leaseUntil: Millis
 }
 
-/** How long an unheard box stays on the status page. */
+/** How long a box without heartbeats stays in the status. */
 const FORGET_AFTER_MS = 600_000
 
-/** The boxes that a control replica hears from. Soft state: rebuilt from their questions. */
+/**
+ * The boxes that send heartbeats to a control replica. Soft state: rebuilt from heartbeats after a restart.
+ */
 export class BoxRegistry {
   private readonly records = new Map<string, BoxRecord>()
   private count = 0
@@ -31,7 +33,7 @@
 
   constructor(private readonly options: BoxRegistryOptions) {}
 
-  /** Takes a question as a heartbeat. */
+  /** Records a box's heartbeat. */
   recordHeartbeat(request: HeartbeatRequest): void {
     const now = this.options.clock.now()
     const { box } = request.box
@@ -47,12 +49,12 @@
     })
   }
 
-  /** Takes what the platform lists as leaving. */
+  /** Sets the names of the boxes and endpoints that the platform lists as leaving. */
   setLeaving(names: string[]): void {
     this.leaving = [...names].sort()
   }
 
-  /** The live boxes as this replica hears them; `term` orders the lists of successive leaders. */
+  /** The boxes with a recent heartbeat to this replica. `term` orders the lists of successive leaders. */
   members(term: number): Members {
     const now = this.options.clock.now()
     const live = [...this.records.values()].filter((record) => now - record.heardAt < this.options.goneAfter)
@@ -65,7 +67,7 @@
     return { version: [term, this.count], boxes, leaving: this.leaving }
   }
 
-  /** Where the boxes heard lately can be reached. */
+  /** The addresses of the live boxes. */
   addresses(): Address[] {
     const now = this.options.clock.now()
     const live = [...this.records.values()].filter((record) => now - record.heardAt < this.options.goneAfter)
--- a/membership/control/src/controlCommands.ts
+++ b/membership/control/src/controlCommands.ts
@@ -1,19 +1,22 @@
 import type { Table, TableDelta } from '@forkstage/types'
 
-/** Confirms a table: compare-and-set on base version and digest, under an id of the operator's own. */
+/**
+ * Replaces the table by compare-and-set on its base version and the digest of the result. `confirmId`, chosen
+ * by the operator, makes a resend idempotent.
+ */
 export interface ConfirmCommand {
   type: 'confirm'
   base: number
-  /** Digest of the whole table that the delta leads to. */
+  /** Digest of the table that results from applying `delta` to the base version. */
   digest: string
   confirmId: string
   delta: TableDelta
   who: string
-  /** Wall-clock milliseconds, for display. */
+  /** Unix time in milliseconds, for display only. */
   at: number
 }
 
-/** Takes the next order fence. The nonce makes a resend safe. */
+/** Issues the next fence, the fencing token of an order to an engine. `nonce` makes a resend idempotent. */
 export interface FenceCommand {
   type: 'fence'
   nonce: string
@@ -21,10 +24,10 @@
 
 export type ControlCommand = ConfirmCommand | FenceCommand
 
-/** What became of a confirm. */
+/** The result of a {@link ConfirmCommand}. */
 export type ConfirmResult =
   | { outcome: 'accepted'; version: number; digest: string }
-  /** Another table holds this version number; `version` and `digest` are the newest ones. */
+  /** The command was rejected for `reason`; `version` and `digest` are those of the newest table. */
   | { outcome: 'conflict'; version: number; digest: string; reason: string }
 
 export interface FenceResult {
@@ -34,7 +37,7 @@
 
 export type ControlResult = ConfirmResult | FenceResult
 
-/** One accepted version with who made it, for the history. */
+/** An accepted version of the table, with who confirmed it, as kept in the history. */
 export interface HistoryEntry {
   version: number
   digest: string
@@ -44,7 +47,7 @@
   delta: TableDelta
 }
 
-/** How a box gets from its version to the newest one. */
+/** What brings a box to the newest version: the changes since its own version, or the whole table. */
 export type TableUpdate =
   | { type: 'steps'; steps: Pick<HistoryEntry, 'version' | 'digest' | 'delta'>[] }
   | { type: 'full'; version: number; digest: string; table: Table }
--- a/membership/control/src/controlService.ts
+++ b/membership/control/src/controlService.ts
@@ -14,26 +14,26 @@
   machine: ControlStateMachine
   registry: BoxRegistry
   clock: Clock
-  /** How long a new leader waits before it publishes who is live. */
+  /** How long a new leader waits before it publishes the list of live boxes. */
   publishAfter: Millis
   tableLease: Millis
 }
 
-/** Raised where a question needs the leader and this replica cannot be sure that it leads. */
+/** Thrown when a request needs the leader and this replica does not hold the leader lease. */
 export class NoLeaseError extends ForkstageError {
   constructor() {
     super(
       'FORKSTAGE_NOT_LEADER',
-      'This control replica cannot be sure that it leads.',
-      'Ask again in a moment.',
+      'This control replica does not hold the leader lease.',
+      'Retry in a moment.',
       {
-        step: 'control question',
+        step: 'control request',
       },
     )
   }
 }
 
-/** The methods through which boxes talk to a control replica, besides those of its group. */
+/** The peer methods of a control replica, in addition to those of its group. */
 export function createControlMethods(options: ControlServiceOptions): Record<string, PeerMethod> {
   return {
     'control.ask': (request: HeartbeatRequest) => answerHeartbeat(request, options),
@@ -65,7 +65,7 @@
 
 function newerMembers(known: [number, number], options: ControlServiceOptions): Members | undefined {
   const replica = options.host.require()
-  // A new leader has not heard from everyone yet; a list made now would drop live boxes.
+  // A new leader lacks some heartbeats at first; a list made now would omit live boxes.
   if (options.clock.now() - replica.leaderSince < options.publishAfter) return undefined
   const members = options.registry.members(replica.term)
   const [term, count] = members.version
@@ -78,7 +78,7 @@
   const replica = host.require()
   if (!replica.holdsLease) throw new NoLeaseError()
   const { version, digest } = machine.table
-  // A box that this leader has not heard yet may act on an older table until its lease has run out.
+  // A box without a heartbeat to this leader may act on an older table until its lease has expired.
   const settled = clock.now() - replica.leaderSince >= tableLease
   return { version, digest, boxes: registry.status(), settled }
 }
--- a/membership/control/src/controlStateMachine.ts
+++ b/membership/control/src/controlStateMachine.ts
@@ -14,9 +14,9 @@
 } from './controlCommands'
 import { VersionFingerprints } from './versionFingerprints'
 
-/** Versions whose changes are kept in full, for the history and to bring boxes up to date. */
+/** Versions whose changes are kept, for the history and for incremental updates of boxes. */
 const RECENT_VERSIONS = 1_000
-/** Fence nonces remembered; an order is resent within seconds. */
+/** Fence nonces kept to recognize resends, which follow within seconds. */
 const RECENT_FENCES = 256
 
 interface ControlSnapshot {
@@ -27,14 +27,14 @@
   fences: [string, number][]
 }
 
-/** The control group's state: the accepted table, its history, and the order fence. */
+/** The replicated state of the control group: the accepted table, its history, and the order fence. */
 export class ControlStateMachine implements StateMachine<ControlCommand, ControlResult> {
   private current: VersionedTable = emptyTable()
   private recent: HistoryEntry[] = []
   private fingerprints = new VersionFingerprints()
   private fence = 0
   private fences = new Map<string, number>()
-  /** Called when a table has been accepted; not part of the replicated state. */
+  /** Called with the version of each accepted table; not part of the replicated state. */
   onAccepted: (version: number) => void = () => undefined
 
   get table(): VersionedTable {
@@ -49,7 +49,7 @@
     return command.type === 'confirm' ? this.confirm(command) : this.issueFence(command.nonce)
   }
 
-  /** What a box at a version needs to reach the newest one; undefined where it has it. */
+  /** The update from a version to the newest one; undefined if the version is not older. */
   updateFrom(version: number): TableUpdate | undefined {
     if (version >= this.current.version) return undefined
     const steps = this.recent.filter((entry) => entry.version > version)
@@ -92,7 +92,7 @@
     if (command.base !== this.current.version) return this.conflict(command, version)
     const table = applyDelta(this.current.table, command.delta)
     if (digestTable(table) !== command.digest) {
-      return { ...this.currentConflict(), reason: 'the changes do not lead to the digest that was confirmed' }
+      return { ...this.currentConflict(), reason: 'the changes do not produce the confirmed digest' }
     }
     return this.accept(command, version, table)
   }
@@ -100,8 +100,8 @@
   private conflict(command: ConfirmCommand, version: number): ConfirmResult {
     const reused = this.fingerprints.hasConfirmId(version, command.confirmId)
     const reason = reused
-      ? `confirm id ${command.confirmId} has accepted another table as version ${version}`
-      : `the table was made from version ${command.base}; the newest is ${this.current.version}`
+      ? `confirm id ${command.confirmId} was already used for another table, accepted as version ${version}`
+      : `the table is based on version ${command.base}; the newest is ${this.current.version}`
     return { ...this.currentConflict(), reason }
   }
 
--- a/membership/control/src/heartbeatTypes.ts
+++ b/membership/control/src/heartbeatTypes.ts
@@ -2,64 +2,67 @@
 import type { Address, BoxId, FailureDomain, Millis } from '@forkstage/types'
 import type { TableUpdate } from './controlCommands'
 
-/** A box as it presents itself with every question. */
+/** A box as it describes itself in every heartbeat. */
 export interface BoxInfo {
   box: BoxId
-  /** A new one for every start of the process. */
+  /** Identifies one start of the process. */
   incarnation: string
-  /** The listener for other boxes. */
+  /** Where other boxes reach this box. */
   address: Address
   domain: FailureDomain
   state: 'serving' | 'leaving'
 }
 
-/** The live boxes and what the platform says is leaving. */
+/** The live boxes, and what the platform lists as leaving. */
 export interface Members {
-  /** Rises with every change: the term of the control leader and a count. */
+  /** Rises with every change. Compared by the control leader's term first, then by its count of changes. */
   version: [term: number, count: number]
   boxes: BoxInfo[]
   /** Boxes and endpoints that the platform lists as leaving. */
   leaving: string[]
 }
 
-/** What every box asks every control replica, again and again. It is also the box's heartbeat. */
+/** A box's heartbeat, sent periodically to every control replica. It also requests newer state. */
 export interface HeartbeatRequest {
   box: BoxInfo
-  /** The version of the table that is in force on the box. */
+  /** The version of the table that the box uses. */
   version: number
-  /** The newest configuration of the control group that the box knows. */
+  /** Log index of the newest control group configuration that the box knows; -1 without one. */
   configIndex: number
   membersVersion: [number, number]
-  /** Until when the box's lease runs, counted from now, in milliseconds; 0 without one. */
+  /** Remaining time of the box's lease in milliseconds; 0 without a lease. */
   leaseLeft: Millis
-  /** Asks for the table also from a replica that does not lead. */
+  /** Requests the table even if the replica does not lead. */
   wantUpdate: boolean
 }
 
-/** A control replica's answer. */
+/** A control replica's answer to a {@link HeartbeatRequest}. */
 export interface HeartbeatAnswer {
   replica: ReplicaId
-  /** Whether the replica leads and no other can have become leader. */
+  /** Whether the replica leads and no other replica can have become leader. */
   holdsLease: boolean
-  /** The newest table in its log, committed or not. */
+  /** Version of the newest table in the replica's log, committed or not. */
   newestVersion: number
-  /** The newest table that it knows to be accepted. */
+  /** Version of the newest table that the replica knows to be accepted. */
   acceptedVersion: number
   newestConfigIndex: number
-  /** The newest configuration, where the box has an older one. */
+  /** The newest configuration of the control group; absent if the box has it already. */
   config?: GroupConfig
   update?: TableUpdate
   members?: Members
 }
 
-/** What the control leader knows of one box, for `status` and for waiting until a table is in force. */
+/**
+ * What the control leader knows of one box. Shown by `status`, and polled to wait until every box uses a
+ * table.
+ */
 export interface BoxStatus extends BoxInfo {
   version: number
-  /** Since when this version is in force there, in milliseconds before now. */
+  /** How long the box has used this version, in milliseconds. */
   versionForMs: Millis
-  /** When the box was last heard, in milliseconds before now. */
+  /** Time since the box's last heartbeat, in milliseconds. */
   heardAgoMs: Millis
-  /** How long the box may still act on its version, in milliseconds. */
+  /** How much longer the box may act on its version, in milliseconds. */
   leaseLeftMs: Millis
 }
 
@@ -68,6 +71,6 @@
   version: number
   digest: string
   boxes: BoxStatus[]
-  /** False while a new leader may not have heard from every box yet. */
+  /** False while a new leader may still lack a heartbeat of some box. */
   settled: boolean
 }
--- a/membership/control/src/index.ts
+++ b/membership/control/src/index.ts
@@ -1,4 +1,4 @@
-/** The control group: accepted tables, order fences, the boxes that are live. */
+/** The control group: accepted tables, order fences and the live boxes. */
 export { ControlStateMachine } from './controlStateMachine'
 export { BoxRegistry } from './boxRegistry'
 export type { BoxRegistryOptions } from './boxRegistry'
--- a/membership/control/src/versionFingerprints.ts
+++ b/membership/control/src/versionFingerprints.ts
@@ -1,13 +1,13 @@
 import { createHash } from 'node:crypto'
 
-/** Bytes kept a version, for ever: half for the confirm id, half for the digest. */
+/** Bytes kept for each version, without limit of time: half for the confirm id, half for the digest. */
 const FINGERPRINT_BYTES = 16
 const HALF_BYTES = FINGERPRINT_BYTES / 2
 const INITIAL_CAPACITY = 1_024
 
 /**
- * The confirm id and digest of every version ever accepted, as fixed marks of 16 bytes, so that a
- * resend gets its first answer however late it comes. Version n stands at offset (n - 1) * 16.
+ * Fingerprints of the confirm id and digest of every version ever accepted, 16 bytes each, so that a resend
+ * gets its first result however late it arrives. Version n starts at offset (n - 1) * 16.
  */
 export class VersionFingerprints {
   private bytes = Buffer.alloc(INITIAL_CAPACITY * FINGERPRINT_BYTES)
@@ -23,12 +23,12 @@
     this.count += 1
   }
 
-  /** Whether a version was made by this confirm id with this digest. */
+  /** Whether a version was accepted under this confirm id with this digest. */
   matches(version: number, confirmId: string, digest: string): boolean {
     return this.slot(version)?.equals(fingerprint(confirmId, digest)) ?? false
   }
 
-  /** Whether a version was made by this confirm id, whatever its digest. */
+  /** Whether a version was accepted under this confirm id, with any digest. */
   hasConfirmId(version: number, confirmId: string): boolean {
     return this.slot(version)?.subarray(0, HALF_BYTES).equals(truncatedHash(confirmId)) ?? false
   }
--- a/membership/control/test/controlStateMachine.test.ts
+++ b/membership/control/test/controlStateMachine.test.ts
@@ -30,8 +30,8 @@
   at: 0,
 })
 
-describe('controlMachine', () => {
-  it('accepts one table a version and gives every resend its first answer, over snapshots and later changes', () => {
+describe('ControlStateMachine', () => {
+  it('accepts one table per version and repeats the first result for a resend, also after snapshots and later changes', () => {
     const attempt = fc.record({
       base: fc.nat(2),
       weight: fc.integer({ min: 1, max: 5 }),
@@ -72,7 +72,7 @@
     )
   })
 
-  it('brings a box up to date by steps while it can, and whole beyond', () => {
+  it('updates a box step by step from a recent version and with the whole table from an older one', () => {
     const machine = new ControlStateMachine()
     let table: Table = { endpoints: [], links: [] }
     for (let version = 0; version < 1_100; version += 1) {
@@ -88,7 +88,7 @@
     expect([steps.length, digestTable(caughtUp)]).toEqual([3, machine.table.digest])
   })
 
-  it('hands out fences that only rise, the same one for a resend', () => {
+  it('issues rising fences and repeats the fence of a resend', () => {
     const machine = new ControlStateMachine()
     const issueFence = (nonce: string) => machine.apply({ type: 'fence', nonce })
     expect([issueFence('a'), issueFence('b'), issueFence('a')]).toEqual(
--- a/membership/lease/src/index.ts
+++ b/membership/lease/src/index.ts
@@ -1,4 +1,4 @@
-/** An entry's lease on its table. */
+/** A box's lease on its table. */
 export { TableFollower } from './tableFollower'
 export type { TableFollowerOptions } from './tableFollower'
 export { createLeaseState, knownNewestSince, applyAnswer } from './leaseState'
--- a/membership/lease/src/leaseState.ts
+++ b/membership/lease/src/leaseState.ts
@@ -4,25 +4,25 @@
 import { applyDelta } from '@forkstage/table'
 import type { Millis, VersionedTable } from '@forkstage/types'
 
-/** What one replica last answered. */
+/** The last answer of one control replica. */
 interface LastAnswer {
   sentAt: Millis
   newestVersion: number
   newestConfigIndex: number
 }
 
-/** An entry's table, its lease on it, and the list of live boxes. Does no I/O. */
+/** A box's table, what its lease follows from, and the list of live boxes. Does no I/O. */
 export interface LeaseState {
   table: VersionedTable
   config?: GroupConfig
   configIndex: number
   members: Members
   answers: Map<ReplicaId, LastAnswer>
-  /** Sending time of the newest question that a leader with a lease answered with nothing newer. */
+  /** When the latest heartbeat was sent that a leader with a lease answered without a newer table. */
   leaderSentAt: Millis
 }
 
-/** What an answer changed. */
+/** What changed when an answer was applied. */
 export interface LeaseChange {
   installed: boolean
   members: boolean
@@ -33,7 +33,7 @@
   return { table: empty, configIndex: -1, members, answers: new Map(), leaderSentAt: -Infinity }
 }
 
-/** Takes a control replica's answer to a question sent at `sentAt`. */
+/** Applies a control replica's answer to a heartbeat sent at `sentAt`; returns what changed. */
 export function applyAnswer(state: LeaseState, answer: HeartbeatAnswer, sentAt: Millis): LeaseChange {
   const installed = answer.update !== undefined && installUpdate(state, answer.update)
   if (answer.config !== undefined && answer.newestConfigIndex > state.configIndex) {
@@ -51,9 +51,10 @@
 }
 
 /**
- * Since when the table is known to be the newest: the sending time of the oldest question among a
- * majority of voters that hold nothing newer, or of the leader's own word. Two majorities share a
- * replica, so no table accepted before that moment can have been missed.
+ * The latest time at which the table is known to have been the newest; -Infinity if there is none. It is the
+ * later of two sending times: that of the oldest heartbeat among a majority of voters without a newer table,
+ * and that of the latest heartbeat that the leader confirmed. Two majorities share a replica, so no table
+ * accepted before that time can have been missed.
  */
 export function knownNewestSince(state: LeaseState): Millis {
   return Math.max(state.leaderSentAt, majoritySentAt(state))
@@ -82,7 +83,7 @@
   } else {
     for (const step of update.steps) installStep(state, step)
   }
-  assertInvariant(state.table.version >= before, 'an entry never installs a lower version', () => `${before}`)
+  assertInvariant(state.table.version >= before, 'a box never installs a lower version', () => `${before}`)
   return state.table.version > before
 }
 
@@ -90,7 +91,7 @@
   state: LeaseState,
   step: Extract<TableUpdate, { type: 'steps' }>['steps'][number],
 ): void {
-  // Answers may overtake each other; a step that does not follow on is asked for again.
+  // Answers may arrive out of order. A step that does not follow directly is requested again.
   if (step.version !== state.table.version + 1) return
   state.table = {
     version: step.version,
--- a/membership/lease/src/tableFollower.ts
+++ b/membership/lease/src/tableFollower.ts
@@ -8,9 +8,9 @@
 
 /** Options of {@link TableFollower}. */
 export interface TableFollowerOptions {
-  /** How this box presents itself; read for every question. */
+  /** Describes this box; called for every heartbeat. */
   self: () => BoxInfo
-  /** The boxes of the first control replicas. */
+  /** Addresses of the initial control replicas. */
   firstReplicas: Address[]
   peers: PeerCaller
   clock: Clock
@@ -21,16 +21,16 @@
   onMembers: (members: Members) => void
 }
 
-/** While a box can take no work it asks this often. */
+/** Interval of heartbeats while the box cannot accept work. */
 const UNREADY_HEARTBEAT_MS = 200
 
-/** Keeps this box's table and lease up to date by asking every control replica. */
+/** Keeps this box's table and its lease up to date with heartbeats to every control replica. */
 export class TableFollower {
   private readonly state: LeaseState
   private cancel: CancelTimer = () => undefined
   private heldLease = false
   private lastSentAt: Millis = -Infinity
-  /** When a leader last answered; without one, the table is asked for from every replica. */
+  /** When a leader last answered. After a while without an answer, every replica is asked for the table. */
   private leaderAnsweredAt = -Infinity
   private leaderAddress: Address | undefined
 
@@ -47,18 +47,18 @@
     return this.state.members
   }
 
-  /** The control replicas' addresses: those of the newest configuration, or the first ones. */
+  /** Addresses of the control replicas: the voters of the newest configuration and the initial replicas. */
   get replicas(): Address[] {
     const voters = this.state.config?.voters.map((voter) => voter.address) ?? []
     return [...new Set([...voters, ...this.options.firstReplicas])]
   }
 
-  /** Until when new work may be taken on the present table. */
+  /** Until when new work may be accepted on the current table, by the box's clock. */
   get leaseUntil(): Millis {
     return knownNewestSince(this.state) + this.options.tableLease
   }
 
-  /** Whether new work may be taken now. */
+  /** Whether the lease allows new work now. */
   holdsLease(): boolean {
     return this.state.table.version > 0 && this.options.clock.now() < this.leaseUntil
   }
@@ -75,15 +75,18 @@
     this.cancel()
   }
 
-  /** Asks at once where a newer version has been heard of. */
+  /** Requests the table at once if a version is newer than the current one. */
   fetchIfNewer(version: number): void {
     if (version <= this.state.table.version) return
-    // The leader alone has it for certain, and its word alone renews the lease.
+    // Only the leader is certain to have the version, and only its answer renews the lease at once.
     if (this.leaderAddress === undefined) this.sendHeartbeats()
     else void this.sendHeartbeat(this.leaderAddress)
   }
 
-  /** Asks at its interval; sooner while it has no lease or no list of boxes, as after a restart. */
+  /**
+   * Sends heartbeats at their interval, and more often without a lease or a list of boxes, as after a
+   * restart.
+   */
   private sendHeartbeatsIfDue(): void {
     const isUnready = !this.holdsLease() || this.state.members.version[0] === 0
     if (isUnready || this.options.clock.now() - this.lastSentAt >= this.options.heartbeatEvery)
@@ -108,7 +111,7 @@
       this.handleAnswer(answer, sentAt)
     } catch {
       if (this.leaderAddress === address) this.leaderAddress = undefined
-      // A replica that does not answer is asked again; the lease says what that means.
+      // The next heartbeat retries. The lease expires if too few replicas answer.
     }
   }
 
--- a/membership/lease/test/leaseState.test.ts
+++ b/membership/lease/test/leaseState.test.ts
@@ -29,7 +29,7 @@
 })
 
 describe('leaseState', () => {
-  it('needs a majority that holds nothing newer, and counts from the sending', () => {
+  it('needs a majority without a newer table, and counts from when heartbeats were sent', () => {
     const state = createLeaseState(empty)
     applyAnswer(state, answer('a', 1, { update: full(1) }), 100)
     expect(knownNewestSince(state)).toBe(-Infinity)
@@ -40,20 +40,20 @@
     expect(knownNewestSince(state)).toBe(-Infinity)
   })
 
-  it('takes the leader at its word while a confirm is under way', () => {
+  it('trusts the leader alone while a confirm is in progress', () => {
     const state = createLeaseState(empty)
     applyAnswer(state, answer('a', 2, { holdsLease: true, acceptedVersion: 1, update: full(1) }), 100)
     expect(knownNewestSince(state)).toBe(100)
   })
 
-  it('does not count answers that know of a newer configuration of the group', () => {
+  it('ignores replicas that have a newer configuration of the group', () => {
     const state = createLeaseState(empty)
     applyAnswer(state, answer('a', 1, { update: full(1) }), 100)
     applyAnswer(state, answer('b', 1, { newestConfigIndex: 7, config: undefined }), 100)
     expect(knownNewestSince(state)).toBe(-Infinity)
   })
 
-  it('never installs a lower version, however late it comes', () => {
+  it('never installs a lower version from a late answer, and no step that skips a version', () => {
     const state = createLeaseState(empty)
     applyAnswer(state, answer('a', 5, { update: full(5) }), 100)
     applyAnswer(state, answer('b', 3, { update: full(3) }), 50)
@@ -71,7 +71,7 @@
     expect(state.table.version).toBe(5)
   })
 
-  it('vouches for no moment at which a newer table had been accepted, in whatever order answers come', () => {
+  it('is never sure of a time after a newer table was accepted, in any order of answers', () => {
     const action = fc.record({
       kind: fc.constantFrom('append', 'ask', 'deliver'),
       replica: fc.nat(2),
@@ -87,13 +87,14 @@
         let now = 0
         for (const { kind, replica, pick, wait } of actions) {
           now += wait
-          // Entries go to replicas one at a time, in order; a version counts once two of three have it.
+          // Log entries reach replicas one at a time, in order. A version is accepted once two of three have
+          // it.
           if (kind === 'append')
             logs[replica] = Math.max(logs[replica]!, Math.min(logs[replica]! + 1, Math.max(...logs) + 1))
           const accepted = [...logs].sort((left, right) => right - left)[1]!
           for (let version = 1; version <= accepted; version += 1)
             if (!acceptedAt.has(version)) acceptedAt.set(version, now)
-          // The answer is what the replica holds now; it was asked a little earlier.
+          // The answer shows the replica's current log; the heartbeat was sent a little earlier.
           if (kind === 'ask')
             inFlight.push({
               sentAt: now - (pick % 4),
