--- a/membership/directory/src/directory.ts
+++ b/membership/directory/src/directory.ts
@@ -2,14 +2,17 @@
 import type { InstanceId, RegisteredEndpoint } from './directoryTypes'
 import { instanceIdOf, nameOf } from './instanceIdOf'
 
-/** How many lives that are over are remembered. */
+/** The number of records of ended incarnations that are kept. */
 const MAX_TOMBSTONES = 5_000
-/** Changes that are kept in order though the same instance has changed again. */
+/** The change log is compacted once it is longer than this plus twice the number of records. */
 const MAX_STALE_CHANGES = 64
-/** Ends of a cold time that differ less are the same: heartbeats are some hundred milliseconds on their way at times. */
+/**
+ * Ends of a cold time that differ by less count as equal, since a heartbeat may take some hundred
+ * milliseconds to arrive.
+ */
 const COLD_TOLERANCE_MS: Millis = 500
 
-/** One change of an instance, by the directory's own count. */
+/** A change of an incarnation, and the directory's position after it. */
 interface Change {
   id: InstanceId
   at: number
@@ -17,37 +20,40 @@
 
 interface Entry {
   endpoint: RegisteredEndpoint
-  /** This directory's own count when the entry last changed. */
+  /** The directory's position after the entry's last change. */
   changedAt: number
-  /** When this directory first heard of it, by its own clock. */
+  /** When this directory first received the incarnation, by its own clock. */
   firstHeardAt: Millis
-  /** Until when it said that it is cold, by this directory's clock; absent where it has never said. */
+  /** When the reported cold time ends, by this directory's clock; absent if none was reported. */
   coldUntil?: Millis
 }
 
 /**
  * A merged view of registered endpoints. Merging the same records in any order, any number of times, gives
- * the same view, so machines need not agree on who heard what first.
+ * the same view, so machines need not agree on the order in which they received them.
  */
 export class Directory {
   private readonly entries = new Map<InstanceId, Entry>()
-  /** The newest life of each name. */
+  /** The newest incarnation of each name. */
   private readonly newest = new Map<string, RegisteredEndpoint>()
   private changeCount = 0
-  /** Ids in the order of their changes, with those that have changed again since. */
+  /** Ids in the order of their changes, including outdated entries of incarnations that changed again. */
   private changeLog: Change[] = []
   private tombstones = 0
   private lastUpdate = 0
 
-  /** @param now a steady clock, by which what endpoints said of their cold time falls. */
+  /** @param now a monotonic clock in milliseconds, by which reported cold times run down. */
   constructor(private readonly now: () => Millis = () => performance.now()) {}
 
-  /** Counts the changes of this directory; rises with each. */
+  /** The number of changes of this directory so far. */
   get position(): number {
     return this.changeCount
   }
 
-  /** The position of the last change that was no new instance: what was known holds no more. */
+  /**
+   * The position of the last change other than the addition of a ready incarnation. Such a change invalidates
+   * records that were sent before.
+   */
   get lastUpdatePosition(): number {
     return this.lastUpdate
   }
@@ -57,7 +63,10 @@
     return entry && this.view(entry)
   }
 
-  /** Whether a record as it came from another machine says nothing that is not known here: most do, told by several. */
+  /**
+   * Whether a raw record from another machine contains nothing new. True for most, as several machines send
+   * the same record.
+   */
   isKnown(raw: unknown): boolean {
     const { id, sequence, state } = (raw ?? {}) as Partial<RegisteredEndpoint>
     if (typeof id !== 'string' || typeof sequence !== 'number') return false
@@ -66,8 +75,9 @@
   }
 
   /**
-   * Until when an instance is cold, by this directory's clock; -Infinity where it is not known.
-   * @param unknownMs how long one that has not said so counts as cold from when it was first heard of.
+   * When an incarnation's cold time ends, by this directory's clock; -Infinity if the incarnation is unknown.
+   * @param unknownMs how long an incarnation counts as cold after it was first received if it has reported no
+   * cold time.
    */
   coldUntil(id: InstanceId, unknownMs: Millis): Millis {
     const entry = this.entries.get(id)
@@ -76,8 +86,9 @@
   }
 
   /**
-   * Takes back that instances are warm: they may have turned cold since they said so. Until their next word they count as
-   * those that have never said; one that is believed cold stays so.
+   * Discards the knowledge that incarnations are warm, because they may have become cold since their last
+   * report. Until their next report they count as if they had never reported a cold time. Those known to be
+   * cold stay so.
    */
   invalidateWarm(ids: InstanceId[]): void {
     const now = this.now()
@@ -90,25 +101,25 @@
     }
   }
 
-  /** Whether an instance has said how long it is cold, as far as this machine has heard and has not come to doubt it. */
+  /** Whether an incarnation's cold time was reported and has not been invalidated since. */
   hasReportedCold(id: InstanceId): boolean {
     return this.entries.get(id)?.coldUntil !== undefined
   }
 
-  /** How much longer it is cold; 0 where it is warm or not known. */
+  /** An incarnation's remaining cold time in milliseconds; 0 if it is warm or unknown. */
   coldLeft(id: InstanceId, unknownMs: Millis): Millis {
     return Math.max(0, this.coldUntil(id, unknownMs) - this.now())
   }
 
-  /** Every instance whose life is not over. */
+  /** Every incarnation that has neither left nor ended. */
   list(): RegisteredEndpoint[] {
     return [...this.entries.values()].map((entry) => this.view(entry)).filter(isAlive)
   }
 
-  /** What changed after a position, oldest first. */
+  /** The records that changed after a position, the oldest change first. */
   since(position: number): RegisteredEndpoint[] {
     const changed: RegisteredEndpoint[] = []
-    // From the end: what is asked for are a few of thousands.
+    // Searched from the end, because callers request the last few of thousands of changes.
     for (
       let index = this.changeLog.length - 1;
       index >= 0 && this.changeLog[index]!.at > position;
@@ -121,7 +132,9 @@
     return changed.reverse()
   }
 
-  /** Takes what another machine or the instance itself says; returns what was new. */
+  /**
+   * Merges records from another machine or from the endpoints themselves; returns the records that changed.
+   */
   merge(records: RegisteredEndpoint[]): RegisteredEndpoint[] {
     const changed = records.flatMap((record) => this.mergeOne(record))
     if (changed.length > 0) this.dropOldTombstones()
@@ -129,8 +142,8 @@
   }
 
   /**
-   * Notes that an endpoint has left for good.
-   * @param born the start of the life that says so; where it is left out, the newest life known is meant.
+   * Records that an incarnation has left for good; returns the records that changed.
+   * @param born the start of its process; by default that of the newest known incarnation of the name.
    */
   markLeft(name: string, born = this.newest.get(name)?.born): RegisteredEndpoint[] {
     const id = instanceIdOf(name, born)
@@ -149,10 +162,11 @@
     return this.merge([{ ...left, state: 'left' }])
   }
 
-  /** Takes one record; gives what is new by it: also that an earlier life is over. */
+  /** Merges one record; returns the records that changed, also an earlier incarnation that ended. */
   private mergeOne(record: RegisteredEndpoint): RegisteredEndpoint[] {
     const newest = this.newest.get(nameOf(record))
-    // Told by the start alone: a new life's counts begin anew, and a late word of an earlier one may come from anywhere.
+    // Compares only the starts: sequences restart with a new incarnation, and a late report of an earlier one
+    // may come from any machine.
     if (newest !== undefined && isEarlier(record, newest)) return []
     const ended = newest !== undefined && isEarlier(newest, record) ? this.endInstance(newest.id) : []
     this.newest.set(nameOf(record), record)
@@ -162,7 +176,10 @@
     return isChange ? [...ended, record] : ended
   }
 
-  /** A later life has its name. One that gave no start may be the same process, so that it is not taken for gone. */
+  /**
+   * Ends an incarnation whose name a later one has. Without a start it may be the same process, so it counts
+   * as left, not as ended without a report.
+   */
   private endInstance(id: InstanceId): RegisteredEndpoint[] {
     const known = this.get(id)
     if (known === undefined || !isAlive(known)) return []
@@ -179,7 +196,7 @@
     const coldUntil = coldMs === undefined ? known?.coldUntil : now + coldMs
     if (known !== undefined || endpoint.state !== 'ready') this.lastUpdate = this.changeCount
     this.tombstones += Number(!isAlive(endpoint)) - Number(known !== undefined && !isAlive(known.endpoint))
-    // Set anew, so that the map stays in order of change.
+    // Deleted and inserted again, so that the map stays in the order of changes.
     this.entries.delete(id)
     this.entries.set(id, {
       endpoint,
@@ -190,7 +207,7 @@
     this.recordChange(id)
   }
 
-  /** A record as it holds now: what it said of its cold time has fallen since, so that it can be passed on. */
+  /** An entry's record with the remaining cold time, so that it can be sent to other machines. */
   private view(entry: Entry): RegisteredEndpoint {
     const { endpoint, coldUntil } = entry
     if (coldUntil === undefined || endpoint.coldMs === 0) return endpoint
@@ -208,16 +225,20 @@
     return !isSameReport(known.endpoint, record) || this.hasColdChanged(known, record)
   }
 
-  /** Whether a cold time ends elsewhere than was believed. One that has only fallen with time is no news. */
+  /** Whether the cold time ends at another time than known. A cold time that only ran down is no change. */
   private hasColdChanged({ coldUntil }: Entry, { coldMs }: RegisteredEndpoint): boolean {
     if (coldMs === undefined) return false
-    // Unknown counts as cold: that one is warm is no news that others must hear at once, as all are after a restart.
+    // Unknown counts as cold. A first report of being warm need not be sent to others at once: after a
+    // restart, every endpoint sends one.
     if (coldUntil === undefined) return coldMs > 0
     const left = Math.max(0, coldUntil - this.now())
     return Math.abs(left - coldMs) > COLD_TOLERANCE_MS
   }
 
-  /** A call that says nothing new still tells late ones before it from newer ones, and here what was unknown. */
+  /**
+   * Stores the sequence of a call without changes, which identifies late calls, and a cold time that was
+   * unknown here.
+   */
   private updateSequence({ id, sequence, coldMs }: RegisteredEndpoint): void {
     const known = this.entries.get(id)
     if (known === undefined || known.endpoint.sequence >= sequence) return
@@ -248,12 +269,18 @@
   return state !== 'left' && state !== 'ended'
 }
 
-/** Whether a life of the same name began earlier; one that gives no start counts as earlier than any that does. */
+/**
+ * Whether the first incarnation of a name started earlier than the other. One without a start counts as
+ * earlier than any with one.
+ */
 function isEarlier(one: RegisteredEndpoint, other: RegisteredEndpoint): boolean {
   return (one.born ?? -Infinity) < (other.born ?? -Infinity)
 }
 
-/** Whether two statements differ in nothing but their sequence and cold time. A draining instance stays so. */
+/**
+ * Whether two reports are equal apart from their sequence and cold time. A draining incarnation stays
+ * draining.
+ */
 function isSameReport(known: RegisteredEndpoint, record: RegisteredEndpoint): boolean {
   return JSON.stringify(withoutCold(known)) === JSON.stringify(withoutCold(record))
 }
--- a/membership/directory/src/directoryTypes.ts
+++ b/membership/directory/src/directoryTypes.ts
@@ -1,33 +1,36 @@
 import type { Address, Millis } from '@forkstage/types'
 
-/** One life of an endpoint: one start of its process. See {@link lifeId}. */
+/** Identifies one incarnation of an endpoint, that is one start of its process. See {@link instanceIdOf}. */
 export type InstanceId = string
 
-/** The half of a model request that an engine does. */
+/** The phase of a model request that an engine serves. */
 export type Stage = 'prefill' | 'decode'
 
-/** What an endpoint says of itself. */
+/** What an endpoint reports about itself. */
 export interface RegisteredEndpoint {
   id: InstanceId
-  /** What it calls itself, where its start is part of `id`. */
+  /** The endpoint's own name; present if the start of its process is part of `id`. */
   name?: string
-  /** When its process started, in Unix milliseconds by its own clock; absent where it does not say. */
+  /** When the process started, in Unix milliseconds by its own clock; absent if not reported. */
   born?: number
   service: string
   address: Address
   zone: string
-  /** Requests worked on at once. */
+  /** The number of requests that it processes concurrently. */
   slots: number
   /**
-   * `left` and `ended` are final: a life never comes back. `ended`: a later life has its name, so that its process is gone
-   * without having said so.
+   * `left` and `ended` are final for an incarnation. `ended`: a later incarnation has the same name, so the
+   * process ended without reporting it.
    */
   state: 'ready' | 'draining' | 'left' | 'ended'
   /** Present for engines. */
   stage?: Stage
   models: string[]
-  /** How much longer it was cold when it said so, in milliseconds; absent where it did not say, which is not zero. */
+  /**
+   * Remaining cold time at the time of the report, in milliseconds; absent if not reported, which does not
+   * mean 0.
+   */
   coldMs?: Millis
-  /** Rises with each call of the instance; tells a late call from a new one. */
+  /** Rises with each call of the incarnation, so that late calls are recognized. */
   sequence: number
 }
--- a/membership/directory/src/newestPerAddress.ts
+++ b/membership/directory/src/newestPerAddress.ts
@@ -2,9 +2,9 @@
 import type { RegisteredEndpoint } from './directoryTypes'
 
 /**
- * Of instances at one address the one that registered last: the others have ended without a word, for a process
- * listens there alone.
- * @param endpoints in the order in which they last changed, as {@link Directory.list} gives them.
+ * The endpoints without those whose address a later registration uses. Only one process can listen at an
+ * address, so the earlier ones ended without reporting it.
+ * @param endpoints in the order of their last change, as {@link Directory.list} returns them.
  */
 export function newestPerAddress(endpoints: RegisteredEndpoint[]): RegisteredEndpoint[] {
   const newest = new Map<Address, RegisteredEndpoint>()
--- a/membership/directory/src/readEndpoints.ts
+++ b/membership/directory/src/readEndpoints.ts
@@ -18,7 +18,10 @@
   sequence: wholeNumber,
 })
 
-/** The endpoints that another machine sent or a file holds; what is none is left out, and the others hold. */
+/**
+ * Parses endpoints that another machine sent or a file contains. Omits invalid records and returns the
+ * others.
+ */
 export function readEndpoints(raw: unknown): RegisteredEndpoint[] {
   if (!Array.isArray(raw)) return []
   return raw.flatMap((one) => {
--- a/membership/directory/test/directory.test.ts
+++ b/membership/directory/test/directory.test.ts
@@ -18,7 +18,7 @@
   }
 }
 
-/** What instances say: an instance's calls have rising sequences and the state never goes back. */
+/** Reports of endpoints: each endpoint's sequences rise, and its state never reverts. */
 const reports = fc
   .array(fc.record({ id: fc.constantFrom('i-1', 'i-2', 'i-3'), step: fc.nat(2) }), { maxLength: 12 })
   .map((steps) => {
@@ -32,7 +32,7 @@
   })
 
 describe('Directory', () => {
-  it('gives the same view whatever the order and number of arrivals', () => {
+  it('gives the same view for any order and number of arrivals', () => {
     const arrivals = reports.chain((all) =>
       fc.tuple(fc.constant(all), fc.shuffledSubarray([...all, ...all], { minLength: all.length * 2 })),
     )
@@ -51,8 +51,8 @@
     )
   })
 
-  // Guards against news that is lost or told twice, now that changes are kept in order and not looked for in all entries.
-  it('tells each change after a position once, the newest of each instance, also after thousands', () => {
+  // Guards against changes that the change log loses or returns twice.
+  it('returns each change after a position once, the newest of each endpoint, also after a thousand changes', () => {
     const directory = new Directory()
     const asked = new Map<number, number>([[0, 0]])
     for (let change = 1; change <= 1_000; change += 1) {
@@ -71,8 +71,8 @@
     expect(directory.since(directory.position)).toEqual([])
   })
 
-  // Guards against a word that is dropped though it says something new: the fast check must not decide more than merging does.
-  it('knows records only that merging would find nothing new in', () => {
+  // Guards against a changed record that the fast check drops: it must only skip what a merge would ignore.
+  it('counts a record as known only if a merge would change nothing', () => {
     const state = fc.constantFrom('ready', 'draining', 'left', 'ended' as const)
     const record = fc.record({ born: fc.constantFrom(1, 2), sequence: fc.nat(3), state, slots: fc.nat(1) })
     const records = record.map((fields) =>
@@ -95,7 +95,7 @@
     )
   })
 
-  it('says at which position anything last changed that was known, or left', () => {
+  it('returns the position of the last change to a known endpoint, such as leaving', () => {
     const directory = new Directory()
     directory.merge([endpoint({ id: 'i-1' }), endpoint({ id: 'i-2' })])
     expect(directory.lastUpdatePosition).toBe(0)
@@ -107,7 +107,7 @@
     expect(directory.lastUpdatePosition).toBe(5)
   })
 
-  it('does not bring back one that has left, however late its calls arrive', () => {
+  it('does not restore an endpoint that has left when its calls arrive late', () => {
     const directory = new Directory()
     directory.merge([endpoint({ sequence: 3 })])
     directory.markLeft('i-1')
@@ -115,20 +115,20 @@
     expect(directory.list()).toEqual([])
   })
 
-  it('remembers one that left before it was ever heard of', () => {
+  it('remembers an endpoint that left before its first report arrived', () => {
     const directory = new Directory()
     directory.markLeft('i-1')
     expect(directory.merge([endpoint()])).toEqual([])
   })
 
-  it('takes a late call for what it is', () => {
+  it('ignores a call that arrives after a newer one', () => {
     const directory = new Directory()
     directory.merge([endpoint({ state: 'draining', sequence: 7 })])
     expect(directory.merge([endpoint({ sequence: 6 })])).toEqual([])
     expect(directory.get('i-1')?.state).toBe('draining')
   })
 
-  it('counts no change where only the sequence is new, and gives the changes after a position', () => {
+  it('counts no change if only the sequence is new, and returns the changes after a position', () => {
     const directory = new Directory()
     directory.merge([endpoint(), endpoint({ id: 'i-2' })])
     const { position } = directory
@@ -139,7 +139,7 @@
 })
 
 describe('newestPerAddress', () => {
-  it('leaves out whom another instance has followed at its address', () => {
+  it('omits an endpoint whose address a later one uses', () => {
     const directory = new Directory()
     directory.merge([endpoint({ id: 'old' }), endpoint({ id: 'other', address: '10.0.0.2:80' })])
     directory.merge([endpoint({ id: 'new' })])
@@ -154,7 +154,7 @@
     return { time, directory: new Directory(() => time.now) }
   }
 
-  it('turn warm by themselves, also when they are never heard again', () => {
+  it('become warm over time, also without further reports', () => {
     const { time, directory } = timed()
     directory.merge([endpoint({ coldMs: 3_000 })])
     time.now += 2_000
@@ -164,7 +164,7 @@
     expect(directory.list()[0]!.coldMs).toBe(0)
   })
 
-  it('are cold for a while where they have not said how long, from when they were first heard of', () => {
+  it('count as cold for a while after their first report if they have reported no cold time', () => {
     const { time, directory } = timed()
     directory.merge([endpoint()])
     time.now += 1_000
@@ -176,7 +176,7 @@
     expect(directory.coldLeft('i-1', 3_000)).toBe(0)
   })
 
-  it('are passed on with what is left, and heard again from others they look no colder', () => {
+  it('are sent to others with the remaining cold time, which does not grow when they are received back', () => {
     const [first, second] = [timed(), timed(500_000)]
     first.directory.merge([endpoint({ coldMs: 3_000 })])
     first.time.now += 1_800
@@ -192,7 +192,7 @@
     expect(first.directory.coldLeft('i-1', 0)).toBe(200)
   })
 
-  it('are no news while their time falls as expected, and are when they turn cold again or are warm early', () => {
+  it('count as changed if they become cold again or are warm early, but not while their cold time runs down', () => {
     const { time, directory } = timed()
     directory.merge([endpoint({ coldMs: 3_000 })])
     const { position } = directory
@@ -209,7 +209,7 @@
     expect(directory.coldLeft('i-1', 0)).toBe(0)
   })
 
-  it('that say they are warm after they were unknown are so here, and no news for others', () => {
+  it('become warm by their first report of it, which counts as no change', () => {
     const { time, directory } = timed()
     directory.merge([endpoint(), endpoint({ id: 'i-2' })])
     const { position } = directory
@@ -223,10 +223,10 @@
     expect(directory.coldLeft('i-2', 3_000)).toBe(1_500)
   })
 
-  it('are in doubt where they may have turned cold, until their next word; those known to be cold stay so', () => {
+  it('count as unknown after an invalidation until their next report; those known to be cold stay cold', () => {
     const { time, directory } = timed()
     directory.merge([endpoint({ coldMs: 0 }), endpoint({ id: 'i-2', coldMs: 4_000 })])
-    directory.invalidateWarm(['i-1', 'i-2', 'never heard of'])
+    directory.invalidateWarm(['i-1', 'i-2', 'unknown'])
     expect(directory.coldLeft('i-1', 3_000)).toBe(3_000)
     expect(directory.get('i-1')!.coldMs).toBeUndefined()
     expect(directory.coldLeft('i-2', 3_000)).toBe(4_000)
@@ -239,7 +239,7 @@
     expect(directory.coldLeft('i-1', 3_000)).toBe(0)
   })
 
-  it('do not turn cold again by a call that was long on its way', () => {
+  it('do not become cold again because of a delayed call', () => {
     const { time, directory } = timed()
     directory.merge([endpoint({ coldMs: 3_000 })])
     time.now += 4_000
--- a/membership/directory/test/readEndpoints.test.ts
+++ b/membership/directory/test/readEndpoints.test.ts
@@ -17,7 +17,7 @@
   sequence: 1,
 }
 
-it('takes forty less the one that is broken, whatever is broken in it, and nothing throws', () => {
+it('omits at most the invalid one of forty records, whichever field is invalid, and never throws', () => {
   const many = Array.from({ length: 40 }, (_, index) => ({ ...GOOD, id: `i-${index}` }))
   fc.assert(
     fc.property(fc.nat(39), fc.constantFrom(...Object.keys(GOOD)), fc.jsonValue(), (at, field, value) => {
--- a/membership/directory/test/restartedEndpoint.test.ts
+++ b/membership/directory/test/restartedEndpoint.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest'
 import { Directory, instanceIdOf, type RegisteredEndpoint } from '../src'
 
-/** What a life of `i-1` says of itself. */
+/** A report of one incarnation of `i-1`. */
 function report(born: number | undefined, fields: Partial<RegisteredEndpoint> = {}): RegisteredEndpoint {
   return {
     id: instanceIdOf('i-1', born),
@@ -20,8 +20,8 @@
 
 const statesOf = (records: RegisteredEndpoint[]) => records.map(({ born, state }) => [born, state])
 
-describe('an endpoint that starts again under its id', () => {
-  it('is another one: its later life ends the earlier, whatever the counts', () => {
+describe('an endpoint that restarts under its name', () => {
+  it('is a new incarnation, which ends the earlier one whatever their sequences are', () => {
     const directory = new Directory()
     directory.merge([report(100, { sequence: 50, coldMs: 0 })])
     expect(statesOf(directory.merge([report(200, { sequence: 1, coldMs: 900 })]))).toEqual([
@@ -32,7 +32,7 @@
     expect(directory.coldLeft(instanceIdOf('i-1', 200), 0)).toBeGreaterThan(0)
   })
 
-  it('is changed by nothing that an earlier life says late, its farewell included', () => {
+  it('ignores late reports of an earlier incarnation, including that it has left', () => {
     const directory = new Directory()
     directory.merge([report(200)])
     const { position } = directory
@@ -42,7 +42,7 @@
     expect(statesOf(directory.list())).toEqual([[200, 'ready']])
   })
 
-  it('is taken back after it has left', () => {
+  it('is accepted again after an earlier incarnation has left', () => {
     const directory = new Directory()
     directory.merge([report(100)])
     directory.markLeft('i-1', 100)
@@ -50,14 +50,14 @@
     expect(statesOf(directory.merge([report(200)]))).toEqual([[200, 'ready']])
   })
 
-  it('leaves with its newest life where the farewell says no start', () => {
+  it('leaves with its newest incarnation if the deregistration names no start', () => {
     const directory = new Directory()
     directory.merge([report(100), report(200)])
     expect(statesOf(directory.markLeft('i-1'))).toEqual([[200, 'left']])
     expect(directory.list()).toEqual([])
   })
 
-  it('is not taken for gone where a start is said for the first time', () => {
+  it('does not count as ended when it reports a start for the first time', () => {
     const directory = new Directory()
     directory.merge([report(undefined)])
     expect(statesOf(directory.merge([report(100)]))).toEqual([
@@ -66,14 +66,14 @@
     ])
   })
 
-  it('is one life by one start, in the order of its counts', () => {
+  it('is one incarnation per start, and its reports apply in the order of their sequences', () => {
     const directory = new Directory()
     directory.merge([report(100, { sequence: 5, state: 'draining' })])
     expect(directory.merge([report(100, { sequence: 4 })])).toEqual([])
     expect(statesOf(directory.list())).toEqual([[100, 'draining']])
   })
 
-  it('comes to the same on machines that hear its lives in any order, through each other, twice', () => {
+  it('has the same state on machines that receive its incarnations in any order, twice, and from each other', () => {
     const incarnation = fc.record({ born: fc.constantFrom(undefined, 100, 200, 300), sequence: fc.nat(3) })
     fc.assert(
       fc.property(fc.array(incarnation, { minLength: 1, maxLength: 8 }), fc.nat(), (incarnations, offset) => {
--- a/membership/orders/src/orderSender.ts
+++ b/membership/orders/src/orderSender.ts
@@ -7,7 +7,7 @@
 import type { Logger } from '@forkstage/logger'
 import type { EndpointName, EndpointRow, Millis } from '@forkstage/types'
 
-/** An order as an operator gives it. */
+/** An order of an operator. */
 export interface OrderRequest {
   endpoint: EndpointName
   action: EngineOrder['action']
@@ -21,15 +21,15 @@
   engines: Pick<EngineClient, 'order'>
   clock: Clock
   logger: Logger
-  /** No earlier leader acts for longer than this after it was last heard. */
+  /** An earlier leader stops acting within this time after it was last heard. */
   leaderLease: Millis
-  /** How long an order may be on its way. */
+  /** How long an order may take to arrive. */
   orderTimeout: Millis
 }
 
 const POLL_INTERVAL_MS = 50
 
-/** Raised where an order names an endpoint that is not in the table. */
+/** Thrown when an order names an endpoint that is not in the table. */
 export class UnknownEndpointError extends ForkstageError {
   constructor(endpoint: EndpointName) {
     super(
@@ -46,9 +46,9 @@
   constructor(private readonly options: OrderSenderOptions) {}
 
   /**
-   * Takes a fence from the control group and sends the order under it.
-   * An endpoint that does not check fences gets it only once every order of an earlier leader has
-   * arrived or timed out.
+   * Requests a fence from the control group and sends the order with it; returns the fence. An endpoint that
+   * does not check fences receives the order only after every order of an earlier leader has arrived or timed
+   * out.
    */
   async send(order: OrderRequest): Promise<{ fence: number }> {
     const row = this.options.row(order.endpoint)
@@ -81,7 +81,7 @@
   private async dispatch(row: EndpointRow, order: OrderRequest, fence: number): Promise<void> {
     const { engines, logger, orderTimeout } = this.options
     const { endpoint, action, argument } = order
-    // Without a lease at this moment another leader may be giving orders already.
+    // Without the lease, another leader may already be sending orders.
     this.requireLeader()
     try {
       await engines.order(row, { fence, action, argument }, orderTimeout)
--- a/membership/owners/src/endpointSubset.ts
+++ b/membership/owners/src/endpointSubset.ts
@@ -2,9 +2,9 @@
 import { scoreOf } from './scoreOf'
 
 /**
- * The part of the table that one box sends work to. With thousands of endpoints a box follows only so
- * many of each pool, chosen by rendezvous hash of box and endpoint: the choice stays when other rows come
- * or go, and different boxes choose differently, so that together they cover all.
+ * The part of the table that one box sends work to. Limits the endpoints of each pool by rendezvous hashing
+ * of box and endpoint: the selection is stable when other rows are added or removed, and boxes select
+ * differently, so that together they cover all of thousands of endpoints.
  */
 export class EndpointSubset {
   private readonly scores = new Map<EndpointName, bigint>()
@@ -14,7 +14,10 @@
     private readonly perPool: number,
   ) {}
 
-  /** The table with the rows that this box follows; rows that are out are not counted and left out where there are too many. */
+  /**
+   * The table with the rows that this box uses. In a pool above the limit, rows in state `out` do not count
+   * and are omitted.
+   */
   choose(table: Table): Table {
     const pools = new Map<string, EndpointRow[]>()
     for (const row of table.endpoints) {
--- a/membership/owners/src/ownerMap.ts
+++ b/membership/owners/src/ownerMap.ts
@@ -2,7 +2,10 @@
 import type { BoxId, EndpointName } from '@forkstage/types'
 import { scoreOf } from './scoreOf'
 
-/** The owner of an endpoint, fenced by the version of the box list that made it so. */
+/**
+ * The owner of an endpoint, with the version of the box list that it was chosen from, which serves as its
+ * fence.
+ */
 export interface Ownership {
   owner: BoxInfo
   epoch: [term: number, count: number]
@@ -14,20 +17,20 @@
 }
 
 /**
- * Chooses an owner for every endpoint by rendezvous hash over the live boxes. A box that comes or
- * goes moves only the endpoints that it wins or had; each change costs one hash an endpoint.
+ * Chooses an owner for every endpoint by rendezvous hashing over the live boxes. A box that joins or leaves
+ * moves only the endpoints that it gains or owned; each change costs one hash per endpoint.
  */
 export class OwnerMap {
   private boxes = new Map<BoxId, BoxInfo>()
   private epoch: [number, number] = [0, 0]
   private readonly best = new Map<EndpointName, Best>()
 
-  /** The version of the box list that the present owners come from. */
+  /** The version of the box list that the current owners were chosen from. */
   get currentEpoch(): [number, number] {
     return this.epoch
   }
 
-  /** Takes a new list of live boxes. Boxes that are leaving own nothing. */
+  /** Applies a new list of live boxes. Boxes that are leaving own nothing. */
   update(members: Members): void {
     const live = members.boxes.filter((box) => box.state === 'serving')
     const next = new Map(live.map((box) => [box.box, box]))
@@ -38,7 +41,7 @@
     for (const [endpoint, best] of this.best) this.adjust(endpoint, best, departed, joined)
   }
 
-  /** The owner of an endpoint, or undefined while no box is known to be live. */
+  /** The owner of an endpoint; undefined while no box is known to be live. */
   ownerOf(endpoint: EndpointName): Ownership | undefined {
     const best = this.best.get(endpoint) ?? this.choose(endpoint)
     const owner = best === undefined ? undefined : this.boxes.get(best.box)
--- a/membership/owners/test/owners.test.ts
+++ b/membership/owners/test/owners.test.ts
@@ -30,8 +30,8 @@
   repeatable: true,
 })
 
-describe('ownerMap', () => {
-  it('moves only what a box that comes wins and what a box that goes had, as if computed afresh', () => {
+describe('OwnerMap', () => {
+  it('moves only endpoints that a joining box gains or a leaving box owned, with the result of a new map', () => {
     const map = new OwnerMap()
     map.update({ version: [1, 1], boxes: boxes(8), leaving: [] })
     const before = ownersOf(map)
@@ -50,7 +50,7 @@
     ).toEqual([])
   })
 
-  it('gives a leaving box nothing, and knows no owner without boxes', () => {
+  it('assigns nothing to a leaving box, and returns no owner without boxes', () => {
     const map = new OwnerMap()
     expect(map.ownerOf('worker-1')).toBeUndefined()
     map.update({ version: [1, 1], boxes: [box('a'), { ...box('b'), state: 'leaving' }], leaving: [] })
@@ -58,12 +58,12 @@
   })
 })
 
-describe('endpointSubset', () => {
+describe('EndpointSubset', () => {
   const table = { endpoints: endpoints.map(row), links: [] }
   const chosenBy = (name: string) =>
     new EndpointSubset(name, 64).choose(table).endpoints.map((each) => each.endpoint)
 
-  it('follows all of a small pool and only so many of a large one, others than other boxes do', () => {
+  it('selects all of a small pool and a limited part of a large one, different on each box', () => {
     expect(new EndpointSubset('a', 600).choose(table).endpoints).toHaveLength(600)
     expect(chosenBy('a')).toHaveLength(64)
     expect(chosenBy('a')).not.toEqual(chosenBy('b'))
@@ -71,7 +71,7 @@
     expect(covered.size).toBeGreaterThan(590)
   })
 
-  it('keeps its choice when other rows come, and takes no row that is out', () => {
+  it('keeps its selection when rows are added, and selects no row in state out', () => {
     const subset = new EndpointSubset('a', 64)
     const before = subset.choose(table).endpoints.map((each) => each.endpoint)
     const more = { ...table, endpoints: [...table.endpoints, row('new')] }
--- a/membership/platform/src/index.ts
+++ b/membership/platform/src/index.ts
@@ -1,3 +1,3 @@
-/** The platform's list. */
+/** The platform's list of members. */
 export { startPlatformWatcher } from './platformWatcher'
 export type { PlatformWatcherOptions } from './platformWatcher'
--- a/membership/platform/src/platformWatcher.ts
+++ b/membership/platform/src/platformWatcher.ts
@@ -4,7 +4,7 @@
 
 /** Options of {@link startPlatformWatcher}. */
 export interface PlatformWatcherOptions {
-  /** Where the list is read, as JSON `{ live: string[], leaving: string[] }`. */
+  /** URL of the list, which is JSON of the form `{ live: string[], leaving: string[] }`. */
   url: string
   clock: Clock
   readEvery: Millis
@@ -12,8 +12,8 @@
 }
 
 /**
- * Reads the platform's list again and again. Only its word on who is leaving is used: the list lags,
- * so who is live is known better from the boxes' own questions.
+ * Polls the platform's list until cancelled. Only `leaving` is used: the list lags, so heartbeats show better
+ * which boxes are live.
  */
 export function startPlatformWatcher(options: PlatformWatcherOptions): CancelTimer {
   const { url, clock, readEvery, onLeaving } = options
@@ -24,7 +24,7 @@
       }>()
       if (Array.isArray(list.leaving)) onLeaving(list.leaving)
     } catch {
-      // The last word stands until the list can be read again.
+      // Keeps the last list until the next successful read.
     }
   }
   void read()
--- a/membership/repair/src/index.ts
+++ b/membership/repair/src/index.ts
@@ -1,3 +1,3 @@
-/** Repair of groups. */
+/** Repair of replicated groups. */
 export { ReplaceError, replaceReplica } from './replaceReplica'
 export type { ReplaceReplicaOptions } from './replaceReplica'
--- a/membership/repair/src/replaceReplica.ts
+++ b/membership/repair/src/replaceReplica.ts
@@ -13,18 +13,18 @@
   clock: Clock
   /** The box whose replica is lost. */
   lost: BoxId
-  /** Where the new replica is; may be the same box with a new disk. */
+  /** Address of the new replica; may be the same box with a new disk. */
   withAddress: Address
   deadline: Millis
 }
 
-/** Raised where a replacement does not come to its end in time. */
+/** Thrown when a replacement does not finish in time. */
 export class ReplaceError extends ForkstageError {
   constructor(group: string, step: string, reason: string) {
     super(
       'FORKSTAGE_REPLACE',
       `Replacing a replica of ${group} stopped at "${step}": ${reason}.`,
-      'Run the same command again: it goes on where it stopped.',
+      'Run the same command again; it resumes where it stopped.',
       { step },
     )
   }
@@ -34,9 +34,10 @@
 const CALL_TIMEOUT_MS = 2_000
 
 /**
- * Adds the new replica as a learner, waits until it has caught up, lets it vote, and removes the lost
- * one: one change at a time, so that every two majorities share a replica. May be run again after a
- * failure: each step looks first whether it has been done.
+ * Adds the new replica as a learner, promotes it to a voter once it has caught up, and removes the lost
+ * replica. Makes one change at a time, so that majorities before and after a change share a replica. May be
+ * repeated after a failure: each step first checks whether it is already done.
+ * @returns the id of the new replica and the ids of the removed ones.
  */
 export async function replaceReplica(
   options: ReplaceReplicaOptions,
@@ -47,7 +48,7 @@
     withAddress,
     `${group}.identity`,
     {},
-    { deadline: CALL_TIMEOUT_MS, step: 'ask new replica' },
+    { deadline: CALL_TIMEOUT_MS, step: 'identify new replica' },
   )
   const newReplica: Member = { replica: identity.replica, box: identity.box, address: identity.address }
   const status = () =>
@@ -72,7 +73,7 @@
     { type: 'addLearner', member: newReplica },
     ({ config }) => includesNew(config.learners) || includesNew(config.voters),
   )
-  await change('let it vote', { type: 'promote', replica: newReplica.replica }, ({ config }) =>
+  await change('promote replica', { type: 'promote', replica: newReplica.replica }, ({ config }) =>
     includesNew(config.voters),
   )
   const before = await status()
@@ -81,7 +82,7 @@
   )
   for (const { replica } of lost) {
     await change(
-      'remove the lost one',
+      'remove lost replica',
       { type: 'remove', replica },
       ({ config }) => !config.voters.some((voter) => voter.replica === replica),
     )
@@ -103,7 +104,7 @@
 }
 
 async function repeatUntil({ group, step, end, clock, isDone, act }: RepeatOptions): Promise<void> {
-  let reason = 'it was not taken in time'
+  let reason = 'the change was not applied in time'
   while (clock.now() < end) {
     try {
       if (await isDone()) return
