--- a/daemon/daemon/src/boxDaemon.ts
+++ b/daemon/daemon/src/boxDaemon.ts
@@ -19,7 +19,7 @@
 const READ_PLATFORM_EVERY_MS = 1_000
 const ORDER_TIMEOUT_MS = 3_000
 const DRAIN_CHECK_MS = 50
-/** After the last stream has ended, its outcome still goes to the journal. */
+/** Time for the outcome of the last stream to reach the journal. */
 const SETTLE_MS = 300
 
 /** One box: everything that `forkstage run` starts and stops. */
@@ -27,7 +27,7 @@
   private readonly container: Container
   private readonly timers: CancelTimer[] = []
   private servers: Server[] = []
-  /** Answers to callers that have not left yet. */
+  /** Answers that have not been sent completely yet. */
   private answers: OpenAnswers | undefined
   private peerServer: PeerServer | undefined
   private stopping: Promise<number> | undefined
@@ -38,7 +38,7 @@
   private wasReady = false
 
   constructor(private readonly settings: Settings) {
-    this.container = buildContainer(settings, () => void this.stop('an operator asked for it'))
+    this.container = buildContainer(settings, () => void this.stop('requested by an operator'))
   }
 
   async start(): Promise<void> {
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Stops as planned: unready first, still serving what the balancer sends; then no new work, until
-   * every request has ended; then out. Called again, it cuts short what is left.
-   * @returns how many requests were cut short.
+   * Stops gracefully: reports unready but still serves what the load balancer sends, then accepts no new work
+   * until every request has ended, then closes. A second call cuts short the remaining requests.
+   * @returns the number of requests that were cut short.
    */
   stop(reason: string): Promise<number> {
     if (this.stopping !== undefined) this.cutShort = true
@@ -167,7 +167,7 @@
     const endsAt = clock.now() + settings.stop.drain_ms
     await this.waitWhile(() => this.running() > 0, settings.stop.drain_ms)
     const cut = container.get(TOKENS.runs).cancelAll()
-    // What has ended may still lie here while its caller reads slowly.
+    // The answer of an ended request may still be buffered for a caller that reads slowly.
     await this.waitWhile(() => (this.answers?.count ?? 0) > 0, Math.max(SETTLE_MS, endsAt - clock.now()))
     await this.waitWhile(() => container.get(TOKENS.releases).pending > 0, SETTLE_MS * 4)
     await delay(clock, SETTLE_MS)
--- a/daemon/daemon/src/boxGroups.ts
+++ b/daemon/daemon/src/boxGroups.ts
@@ -22,7 +22,7 @@
 /** The name of the control group. */
 export const CONTROL_GROUP = 'control'
 
-/** The notification that a newer table has been accepted. */
+/** The method that notifies boxes of a newer accepted table. */
 export const TABLE_CHANGED = 'table.changed'
 
 /** The name of a journal group. */
@@ -30,7 +30,7 @@
   return `journal${index}`
 }
 
-/** The state of this box's replica of a group, or why it takes no part. */
+/** The status of this box's replica of a group, or why the replica is not running. */
 export type GroupStatus = ReplicaStatus | { group: string; failure: string }
 
 /** Options of {@link BoxGroups}. */
@@ -44,7 +44,7 @@
 
 type AnyHost = GroupHost<ControlCommand, ControlResult> | GroupHost<JournalCommand, JournalResult>
 
-/** The replicas that a control box keeps: one of the control group and one of each journal group. */
+/** The replicas on a control box: one of the control group and one of each journal group. */
 export class BoxGroups {
   readonly machine = new ControlStateMachine()
   readonly registry: BoxRegistry
@@ -75,7 +75,7 @@
     }
   }
 
-  /** What other boxes may call on these replicas. */
+  /** The peer methods of these replicas. */
   methods(): Record<string, PeerMethod> {
     const { settings, clock } = this.options
     if (this.control === undefined) return {}
@@ -84,7 +84,8 @@
       machine: this.machine,
       registry: this.registry,
       clock,
-      // Every live box has asked by then; waiting longer only keeps boxes unready after a restart of all.
+      // Every live box has sent a heartbeat by then. A longer wait would only delay readiness after a restart
+      // of all boxes.
       publishAfter: settings.lease.ask_every_ms * 1.5,
       tableLease: settings.lease.table_ms,
     })
@@ -95,13 +96,13 @@
     return Object.assign({}, this.control.methods(), control, ...journals) as Record<string, PeerMethod>
   }
 
-  /** Brings up all replicas in the background. */
+  /** Starts all replicas in the background. */
   start(): void {
     for (const host of this.hosts()) void host.start()
     this.timers = this.journals.map(({ host }) => startJournalTicker(host, this.options.clock))
   }
 
-  /** Hands leadership of every group to another box. */
+  /** Transfers the leadership of every group to another box. */
   transferLeadership(): void {
     for (const host of this.hosts()) host.replica?.transferLeadership()
   }
@@ -119,7 +120,10 @@
     ]
   }
 
-  /** Tells every box that there is a newer table; whoever misses it learns at its next question. */
+  /**
+   * Notifies every live box of a newer table. A box that misses the notification learns of it by its next
+   * heartbeat.
+   */
   private announce(version: number): void {
     if (this.control?.replica?.leads !== true) return
     for (const address of this.registry.addresses())
@@ -153,6 +157,6 @@
 function statusOf(group: string, host: AnyHost): GroupStatus {
   if (host.replica !== undefined) return host.replica.status()
   const failure =
-    host.failure === undefined ? 'waiting to found or join its group' : toErrorBody(host.failure).message
+    host.failure === undefined ? 'waiting to create or join its group' : toErrorBody(host.failure).message
   return { group, failure }
 }
--- a/daemon/daemon/src/buildContainer.ts
+++ b/daemon/daemon/src/buildContainer.ts
@@ -25,14 +25,14 @@
 const SWEEP_EVERY_MS = 1_000
 const RENEW_CREDITS_EVERY_MS = 250
 const RENEW_CREDITS_IDLE_MS = 1_000
-/** Exceeds the lag of reports and the time a step may be on its way. */
+/** Exceeds the delay of reports plus the time that a step may be in transit. */
 const HOLD_GRACE_MS = 3_000
 const BOX_GONE_GRACE_MS = 8_000
 const JOURNAL_DEADLINE_MS = 5_000
-/** Between failure domains without a row in the link sheet: 10 Gbit/s. */
+/** Assumed between failure domains without a row in the link table: 10 Gbit/s. */
 const DEFAULT_LINK_BYTES_PER_MS = 1_250_000
 
-/** Puts the parts of a box together. Nothing runs until {@link BoxDaemon} starts it. */
+/** Builds the container with a box's components. Nothing runs until {@link BoxDaemon} starts it. */
 export function buildContainer(settings: Settings, stop: () => void): Container {
   const container = new Container({ defaultScope: 'Singleton' })
   bindBasics(container, settings)
--- a/daemon/daemon/src/fleetService.ts
+++ b/daemon/daemon/src/fleetService.ts
@@ -31,13 +31,13 @@
 const BOX_CALL_DEADLINE_MS = 1_500
 const ORDER_DEADLINE_MS = 20_000
 const REPLACE_DEADLINE_MS = 60_000
-/** How long a box that is behind waits for the table that a confirm was made from. */
+/** How long to wait for a table version that has not reached this box yet. */
 const CATCH_UP_MS = 2_000
 const POLL_INTERVAL_MS = 5
 
 const EMPTY_DELTA = { upsertEndpoints: [], removeEndpoints: [], upsertLinks: [], removeLinks: [] }
 
-/** What operators ask of a box, answered from its parts and from other boxes. */
+/** The operator API of a box, answered from its own components and from other boxes. */
 export class FleetService implements OperatorService {
   private readonly controlGroup: GroupClient<ControlCommand, ControlResult>
 
@@ -48,7 +48,7 @@
     this.controlGroup = this.createClient(CONTROL_GROUP) as GroupClient<ControlCommand, ControlResult>
   }
 
-  /** What other boxes may ask about this one. */
+  /** The peer methods that report on this box. */
   methods(): Record<string, PeerMethod> {
     return {
       'box.report': () => this.report(),
@@ -66,7 +66,7 @@
     const { version, table } = this.table()
     const digest = digestTable(request.table)
     const { base, confirmId } = request
-    // A base that is not the newest leads to a conflict, or to the first answer of a resend: no changes needed.
+    // An outdated base ends in a conflict, or in the first result of a resend; neither needs the changes.
     const delta = version === base ? diffTables(table, request.table) : EMPTY_DELTA
     const command: ControlCommand = {
       type: 'confirm',
@@ -93,7 +93,7 @@
     return this.callControl('history', { limit })
   }
 
-  /** The control leader's view of all boxes. */
+  /** The control leader's status of all boxes. */
   control(): Promise<ControlStatus> {
     return this.callControl('boxes', {})
   }
@@ -164,14 +164,14 @@
     return serving && this.refusalReason() === undefined && this.container.get(TOKENS.tracker).knowsShares
   }
 
-  /** Why this box may take no new work now; undefined while it may. */
+  /** Why this box accepts no new work; undefined while it accepts work. */
   refusalReason(): string | undefined {
     const { refusal } = this.container.get(TOKENS.state)
     if (refusal !== undefined) return refusal
     const follower = this.container.get(TOKENS.follower)
     if (follower.table.version === 0) return 'no table has been accepted yet'
-    if (follower.members.version[0] === 0) return 'the list of live boxes has not come yet'
-    return follower.holdsLease() ? undefined : 'it cannot be sure that its table is the newest'
+    if (follower.members.version[0] === 0) return 'the list of live boxes has not arrived yet'
+    return follower.holdsLease() ? undefined : 'it holds no lease on its table'
   }
 
   async metrics(): Promise<string> {
@@ -246,7 +246,7 @@
     if (faults.length > 0) throw new TableError(faults)
   }
 
-  /** Waits a moment for a version that was accepted elsewhere to arrive here. */
+  /** Waits for a version that was accepted elsewhere to arrive on this box, for at most `CATCH_UP_MS`. */
   private async catchUp(version: number): Promise<void> {
     const clock = this.container.get(TOKENS.clock)
     const end = clock.now() + CATCH_UP_MS
--- a/daemon/daemon/src/fleetToken.ts
+++ b/daemon/daemon/src/fleetToken.ts
@@ -1,5 +1,8 @@
 import type { FleetService } from './fleetService'
 import { createToken } from './tokens'
 
-/** The name of the part that uses all others; apart from their names, so that no file needs itself. */
+/**
+ * The container token of the fleet service, which uses all other components. It has a file of its own to
+ * avoid a circular import.
+ */
 export const FLEET_TOKEN = createToken<FleetService>('fleet')
--- a/daemon/daemon/src/index.ts
+++ b/daemon/daemon/src/index.ts
@@ -1,3 +1,3 @@
-/** One box. */
+/** The daemon of one box. */
 export { BoxDaemon } from './boxDaemon'
 export { VERSION } from '@forkstage/version'
--- a/daemon/daemon/src/listenHttp.ts
+++ b/daemon/daemon/src/listenHttp.ts
@@ -3,7 +3,7 @@
 import { parseAddress } from '@forkstage/peer-rpc'
 import type { Address } from '@forkstage/types'
 
-/** Raised where a listener cannot be opened. */
+/** Thrown when a listener cannot be opened. */
 export class ListenError extends ForkstageError {
   constructor(address: Address, cause: Error) {
     super(
@@ -15,7 +15,7 @@
   }
 }
 
-/** Listens for HTTP on an address. */
+/** Listens for HTTP on an address; resolves once the listener is open. */
 export function listenHttp(handler: RequestListener, address: Address): Promise<Server> {
   const { host, port } = parseAddress(address)
   const server = createServer(handler)
--- a/daemon/daemon/src/tokens.ts
+++ b/daemon/daemon/src/tokens.ts
@@ -21,11 +21,11 @@
 import type { BoxState } from './boxState'
 import type { BoxGroups } from './boxGroups'
 
-/** Makes the name of a part. */
+/** Creates the container token of a component. */
 export const createToken = <Part>(name: string): ServiceIdentifier<Part> =>
   Symbol.for(`forkstage.${name}`) as ServiceIdentifier<Part>
 
-/** The names under which the container keeps a box's parts. */
+/** The container tokens of a box's components. */
 export const TOKENS = {
   settings: createToken<Settings>('settings'),
   clock: createToken<Clock>('clock'),
