--- a/membership/owners/test/owners.test.ts
+++ b/membership/owners/test/owners.test.ts
@@ -42,9 +42,9 @@
     )
     const withoutThree = boxes(9).filter((each) => each.box !== 'box-3')
     map.update({ version: [1, 3], boxes: withoutThree, leaving: [] })
-    const fresh = new OwnerMap()
-    fresh.update({ version: [1, 3], boxes: withoutThree, leaving: [] })
-    expect(ownersOf(map)).toEqual(ownersOf(fresh))
+    const recomputed = new OwnerMap()
+    recomputed.update({ version: [1, 3], boxes: withoutThree, leaving: [] })
+    expect(ownersOf(map)).toEqual(ownersOf(recomputed))
     expect(
       ownersOf(map).filter((owner, index) => owner !== grown[index] && grown[index] !== 'box-3'),
     ).toEqual([])
--- a/membership/watch/src/controlFollower.ts
+++ b/membership/watch/src/controlFollower.ts
@@ -134,8 +134,8 @@
   /** Whether a control machine answered recently and none has named a newer sheet than the one in use. */
   isCurrent(): boolean {
     const { sheetVersion } = this.options
-    const isHeard = this.recentlyAnswered().some((machine) => !machine.lost)
-    return isHeard && this.fetcher.newestKnown <= (sheetVersion?.() ?? Infinity)
+    const hasRecentAnswer = this.recentlyAnswered().some((machine) => !machine.lost)
+    return hasRecentAnswer && this.fetcher.newestKnown <= (sheetVersion?.() ?? Infinity)
   }
 
   /**
--- a/membership/watch/test/watch.test.ts
+++ b/membership/watch/test/watch.test.ts
@@ -78,16 +78,16 @@
 
   it('sends domains that may be evacuated while it knows no set, also to a request that came before it had read its disk', async () => {
     const { clock, state, hub, request } = createHubHarness()
-    const unheard = { evacuationIndex: UNKNOWN_INDEX }
+    const withoutSet = { evacuationIndex: UNKNOWN_INDEX }
     state.evacuations = { index: UNKNOWN_INDEX, domains: [] }
-    const early = hub.answer(request(unheard))
+    const early = hub.answer(request(withoutSet))
     state.supposed = ['a']
     hub.notifyChange()
     expect((await early).supposedEvacuations).toEqual(['a'])
     // A follower that has a set gets no such domains.
     expect((await hub.answer(request({ epoch: 'life-0' }))).supposedEvacuations).toBeUndefined()
     let answered = false
-    const held = hub.answer(request({ ...unheard, supposedEvacuations: ['a', 'b'] }))
+    const held = hub.answer(request({ ...withoutSet, supposedEvacuations: ['a', 'b'] }))
     void held.then(() => (answered = true))
     clock.advance(900)
     await settle()
@@ -216,8 +216,8 @@
       false,
       false,
     ])
-    const anew = last()
-    expect(anew.request.holdMs).toBe(0)
+    const repeated = last()
+    expect(repeated.request.holdMs).toBe(0)
     // An answer from before the suspension arrives late. Its endpoints count, its leader does not.
     held.answer({ leader: OTHER, sheetVersion: -1, endpoints: [endpoint('i-1')] })
     await settle()
@@ -226,7 +226,7 @@
       false,
       ['i-1'],
     ])
-    anew.answer({ leader: CONTROL, sheetVersion: -1 })
+    repeated.answer({ leader: CONTROL, sheetVersion: -1 })
     await settle()
     expect([follower.leader(), follower.isCurrent(), follower.hasAnswerSinceSuspension()]).toEqual([
       CONTROL,
