--- a/daemon/daemon/src/tokens.ts
+++ b/daemon/daemon/src/tokens.ts
@@ -21,11 +21,11 @@
 import type { BoxState } from './boxState'
 import type { BoxGroups } from './boxGroups'
 
-/** Makes the name of a part. */
+/** Creates the container token of a component. */
 export const createToken = <Part>(name: string): ServiceIdentifier<Part> =>
   Symbol.for(`forkstage.${name}`) as ServiceIdentifier<Part>
 
-/** The names under which the container keeps a box's parts. */
+/** The container tokens of a box's components. */
 export const TOKENS = {
   settings: createToken<Settings>('settings'),
   clock: createToken<Clock>('clock'),
@@ -33,8 +33,8 @@
   logger: createToken<Logger>('logger'),
   origin: createToken<RequestOrigin>('origin'),
   state: createToken<BoxState>('state'),
-  metricsRegistry: createToken<Registry>('registry'),
-  metrics: createToken<RequestMetrics>('meters'),
+  metricsRegistry: createToken<Registry>('metricsRegistry'),
+  metrics: createToken<RequestMetrics>('metrics'),
   peers: createToken<PeerClient>('peers'),
   engines: createToken<EngineClient>('engines'),
   groups: createToken<BoxGroups>('groups'),
@@ -42,12 +42,12 @@
   owners: createToken<OwnerMap>('owners'),
   ownerService: createToken<OwnerService>('ownerService'),
   credits: createToken<CreditClient>('credits'),
-  tracker: createToken<EndpointTracker>('book'),
+  tracker: createToken<EndpointTracker>('tracker'),
   forecast: createToken<OutputForecast>('forecast'),
   budget: createToken<RetryBudget>('budget'),
   placer: createToken<Placer>('placer'),
   releases: createToken<ReleaseSender>('releases'),
-  traces: createToken<TraceStore>('stories'),
+  traces: createToken<TraceStore>('traces'),
   journal: createToken<JournalClient>('journal'),
   runs: createToken<RunRegistry>('runs'),
   plain: createToken<PlainCalls>('plain'),
