--- a/replication/raft/src/elections.ts
+++ b/replication/raft/src/elections.ts
@@ -13,7 +13,10 @@
 } from './raftState'
 import type { Member, VoteReply, VoteRequest } from './types'
 
-/** Starts an election: first a pre-vote, so that a replica that was cut off does not raise the term. */
+/**
+ * Starts an election with a pre-vote, so that a replica that was cut off from the group does not raise the term.
+ * A leadership transfer skips the pre-vote.
+ */
 export function campaign(state: RaftState, now: Millis, transfer: boolean): void {
   if (!isVoter(state, state.replica)) return
   resetElectionDeadline(state, now)
@@ -54,7 +57,7 @@
   }
 }
 
-/** Answers a vote or a pre-vote. */
+/** Replies to a vote or pre-vote request. */
 export function handleVoteRequest(state: RaftState, from: Member, request: VoteRequest, now: Millis): void {
   const heardLeader = state.role === 'leader' || now - state.leaderContactAt < state.options.electionTimeout
   if (heardLeader && !request.transfer) return replyToVote(state, from, request, false)
@@ -87,7 +90,7 @@
   return request.lastIndex >= lastIndex
 }
 
-/** Counts an answer to a vote or a pre-vote. */
+/** Counts a reply to a vote or pre-vote request, and acts on a majority of granted ones. */
 export function handleVoteReply(state: RaftState, from: Member, message: VoteReply, now: Millis): void {
   const isPreVote = message.type === 'preVoteReply'
   if (!message.granted && message.term > state.term) return becomeFollower(state, message.term, null, now)
@@ -114,7 +117,7 @@
   state.transferTo = null
   state.progress.clear()
   state.effects.push({ type: 'role', role: 'leader', term: state.term })
-  // An entry of its own term is what lets a leader commit the entries of earlier ones.
+  // A leader commits entries of earlier terms only through an entry of its own term.
   appendAsLeader(state, 'noop', null)
   broadcastAppend(state, now)
 }
--- a/replication/raft/src/follow.ts
+++ b/replication/raft/src/follow.ts
@@ -4,7 +4,7 @@
 import { commitTo } from './replicate'
 import type { AppendReply, AppendRequest, InstallSnapshot, LogEntry, Member } from './types'
 
-/** Takes entries or a heartbeat from a leader. */
+/** Appends the entries that a leader sent, or handles its heartbeat. */
 export function handleAppend(state: RaftState, from: Member, request: AppendRequest, now: Millis): void {
   if (request.term < state.term) return replyToAppend(state, from, request.sentAt, false, 0)
   followLeader(state, from, request.term, now)
@@ -19,11 +19,15 @@
 
 function followLeader(state: RaftState, from: Member, term: number, now: Millis): void {
   const rival = state.role === 'leader' && term === state.term
-  assertInvariant(!rival, 'one leader a term', () => `${from.replica} and ${state.replica} in term ${term}`)
+  assertInvariant(
+    !rival,
+    'at most one leader per term',
+    () => `${from.replica} and ${state.replica} in term ${term}`,
+  )
   const sameTerm = term === state.term && state.leader !== null
   assertInvariant(
     !sameTerm || state.leader === from.replica,
-    'one leader a term',
+    'at most one leader per term',
     () => `${state.leader} and ${from.replica}`,
   )
   if (term > state.term || state.role !== 'follower') becomeFollower(state, term, from.replica, now)
@@ -37,12 +41,12 @@
   const hint = Math.min(log.lastIndex, request.prevIndex - 1)
   const conflicting = log.termAt(Math.min(request.prevIndex, log.lastIndex))
   let index = hint
-  // Skips the whole conflicting term at once, which spares a round trip an entry.
+  // Skips the whole conflicting term at once instead of one entry per round trip.
   while (index > state.commitIndex && log.termAt(index) === conflicting) index -= 1
   replyToAppend(state, from, request.sentAt, false, Math.max(index, state.commitIndex))
 }
 
-/** Appends what is new, after dropping what contradicts the leader. */
+/** Appends the entries that the log lacks, after truncating those that conflict with the leader's log. */
 function mergeEntries(state: RaftState, entries: LogEntry[]): void {
   const { log } = state
   const firstNew = entries.findIndex(
@@ -55,7 +59,7 @@
   if (truncates) {
     assertInvariant(
       start > state.commitIndex,
-      'committed entries are never lost',
+      'committed entries are never truncated',
       () => `${start} of ${state.commitIndex}`,
     )
     log.truncateFrom(start)
@@ -65,7 +69,7 @@
   state.effects.push({ type: 'persist', truncateFrom: truncates ? start : undefined, entries: fresh })
 }
 
-/** Replaces the log by the leader's snapshot, unless it holds as much already. */
+/** Replaces the log with the leader's snapshot, unless the log covers the snapshot already. */
 export function handleSnapshot(state: RaftState, from: Member, message: InstallSnapshot, now: Millis): void {
   if (message.term < state.term) return replyToAppend(state, from, message.sentAt, false, 0)
   followLeader(state, from, message.term, now)
@@ -73,7 +77,7 @@
   if (meta.index <= state.commitIndex)
     return replyToAppend(state, from, message.sentAt, true, state.commitIndex)
   if (state.log.termAt(meta.index) === meta.term) {
-    // The log holds the snapshot and may hold acknowledged entries after it: those must stay.
+    // The log contains the last entry of the snapshot. Later entries may be acknowledged and must stay.
     commitTo(state, meta.index)
     return replyToAppend(state, from, message.sentAt, true, meta.index)
   }
--- a/replication/raft/src/index.ts
+++ b/replication/raft/src/index.ts
@@ -1,4 +1,4 @@
-/** The replicated log as a state machine without I/O. */
+/** The Raft protocol as a state machine without I/O. */
 export { stepRaft } from './stepRaft'
 export type { RaftEvent, StepResult } from './stepRaft'
 export { createRaft } from './raftState'
--- a/replication/raft/src/raftLog.ts
+++ b/replication/raft/src/raftLog.ts
@@ -1,7 +1,7 @@
 import { assertInvariant } from '@forkstage/error'
 import type { GroupConfig, LogEntry, SnapshotMeta } from './types'
 
-/** The log in memory: everything after the snapshot, with the configurations that stand in it. */
+/** The log in memory: all entries after the snapshot, and the group configurations among them. */
 export class RaftLog {
   private entries: LogEntry[] = []
   private configs: { index: number; config: GroupConfig }[]
@@ -30,18 +30,19 @@
     return this.newestConfig().index
   }
 
-  /** The configuration in force at an index. */
+  /** The configuration that applies at an index: the newest one up to there. */
   configAt(index: number): { index: number; config: GroupConfig } {
     const earlier = this.configs.filter((known) => known.index <= index)
     return earlier.at(-1) ?? this.configs[0]!
   }
 
-  /** The term at an index, or undefined where the log does not reach. */
+  /** The term at an index; undefined if the log does not contain that index. */
   termAt(index: number): number | undefined {
     if (index === this.snapshot.index) return this.snapshot.term
     return this.entries[index - this.snapshot.index - 1]?.term
   }
 
+  /** The entries from one index to another, both included. */
   slice(from: number, to: number): LogEntry[] {
     const base = this.snapshot.index + 1
     return this.entries.slice(Math.max(0, from - base), Math.max(0, to - base + 1))
@@ -51,23 +52,27 @@
     for (const entry of entries) {
       assertInvariant(
         entry.index === this.lastIndex + 1,
-        'log without gaps',
+        'the log has no gaps',
         () => `${entry.index} after ${this.lastIndex}`,
       )
-      assertInvariant(entry.term >= this.lastTerm, 'terms never fall in the log', () => `at ${entry.index}`)
+      assertInvariant(
+        entry.term >= this.lastTerm,
+        'terms in the log never decrease',
+        () => `at ${entry.index}`,
+      )
       this.entries.push(entry)
       if (entry.kind === 'config')
         this.configs.push({ index: entry.index, config: entry.data as GroupConfig })
     }
   }
 
-  /** Drops the entries from an index on. */
+  /** Removes the entries from an index on. */
   truncateFrom(index: number): void {
     this.entries.length = Math.max(0, index - this.snapshot.index - 1)
     this.configs = this.configs.filter((known, position) => position === 0 || known.index < index)
   }
 
-  /** Forgets the entries that a snapshot of this replica's own state covers. */
+  /** Removes the entries that a snapshot of this replica's own state covers. */
   compact(meta: SnapshotMeta): void {
     if (meta.index <= this.snapshot.index) return
     this.entries = this.entries.slice(meta.index - this.snapshot.index)
@@ -78,7 +83,7 @@
     this.snapshot = meta
   }
 
-  /** Replaces the whole log by a snapshot that came from the leader. */
+  /** Replaces the whole log with a snapshot received from the leader. */
   reset(meta: SnapshotMeta): void {
     this.snapshot = meta
     this.entries = []
--- a/replication/raft/src/raftState.ts
+++ b/replication/raft/src/raftState.ts
@@ -14,7 +14,7 @@
   Snapshot,
 } from './types'
 
-/** Everything a replica knows. Changed only by the functions of this package. */
+/** The protocol state of a replica. Only the functions of this package change it. */
 export interface RaftState {
   readonly replica: ReplicaId
   readonly options: RaftOptions
@@ -22,25 +22,25 @@
   term: number
   votedFor: ReplicaId | null
   log: RaftLog
-  /** The newest snapshot with its bytes, for replicas that have fallen behind. */
+  /** The newest snapshot with its data, sent to replicas that lag too far behind. */
   snapshot: Snapshot
   commitIndex: number
   appliedIndex: number
-  /** The last index synced on this replica's own disk. */
+  /** The last index synced to this replica's own disk. */
   persistedIndex: number
   role: Role
   leader: ReplicaId | null
   electionDeadline: Millis
-  /** When a leader was last heard; within an election timeout of it no vote is given. */
+  /** When a leader last made contact. No vote is granted within an election timeout of it, except for a transfer. */
   leaderContactAt: Millis
   heartbeatDue: Millis
   leaderSince: Millis
   votes: Map<ReplicaId, boolean>
   progress: Map<ReplicaId, Progress>
-  /** Set while leadership is being handed over; no proposals and no lease then. */
+  /** The voter that leadership is being transferred to. Meanwhile there are no proposals and no lease. */
   transferTo: ReplicaId | null
   transferDeadline: Millis
-  /** Effects gathered during the current step. */
+  /** Effects collected during the current step. */
   effects: Effect[]
 }
 
@@ -54,7 +54,7 @@
   now: Millis
 }
 
-/** Builds a replica's state from what its disk holds. */
+/** Creates a replica's state from the contents of its disk. */
 export function createRaft(options: CreateRaftOptions): RaftState {
   const { replica, random, hardState, snapshot, entries, now, ...raftOptions } = options
   const log = new RaftLog(snapshot.meta, entries)
@@ -72,7 +72,7 @@
     role: 'follower',
     leader: null,
     electionDeadline: now + raftOptions.electionTimeout * (1 + random()),
-    // A restarted replica may have promised a leader its silence: it keeps quiet for one election timeout.
+    // Before a restart the replica may have confirmed a leader's lease, so it grants no vote for one election timeout.
     leaderContactAt: now,
     heartbeatDue: now,
     leaderSince: 0,
@@ -84,14 +84,14 @@
   }
 }
 
-/** Takes the effects of the step that has just ended. */
+/** Returns the effects of the current step and clears them. */
 export function drainEffects(state: RaftState): Effect[] {
   const effects = state.effects
   state.effects = []
   return effects
 }
 
-/** Every member but this replica. */
+/** All voters and learners except this replica. */
 export function otherMembers(state: RaftState): Member[] {
   const { voters, learners } = state.log.config
   return [...voters, ...learners].filter((member) => member.replica !== state.replica)
@@ -101,7 +101,7 @@
   return state.log.config.voters.some((member) => member.replica === replica)
 }
 
-/** How many of the voters make a majority. */
+/** The number of voters that form a majority. */
 export function majority(state: RaftState): number {
   return Math.floor(state.log.config.voters.length / 2) + 1
 }
@@ -125,7 +125,7 @@
   state.electionDeadline = now + electionTimeout * (1 + state.random())
 }
 
-/** Goes back to following, in the given term, which is never lower than the current one. */
+/** Makes the replica a follower in the given term, which must not be lower than the current one. */
 export function becomeFollower(state: RaftState, term: number, leader: ReplicaId | null, now: Millis): void {
   const changed = state.role !== 'follower'
   if (term > state.term) {
--- a/replication/raft/src/reconfigure.ts
+++ b/replication/raft/src/reconfigure.ts
@@ -4,23 +4,23 @@
 import { appendAsLeader, broadcastAppend, progressOf } from './replicate'
 import type { GroupConfig, LogEntry, Member, ReplicaId } from './types'
 
-/** A change to the group, one replica at a time. */
+/** A change of the group's membership, by one replica. */
 export type ConfigChange =
   | { type: 'addLearner'; member: Member }
   | { type: 'promote'; replica: ReplicaId }
   | { type: 'remove'; replica: ReplicaId }
 
-/** Raised when a change to the group cannot be taken now. */
+/** Raised when a membership change cannot be made now. */
 export class ReconfigurationError extends ForkstageError {
   constructor(message: string, hint: string) {
     super('FORKSTAGE_RECONFIGURATION', message, hint, { step: 'reconfigure' })
   }
 }
 
-/** How far behind, in entries, a learner may be and still be counted as a voter. */
+/** A learner that lags further behind the leader is not promoted. */
 const MAX_LEARNER_LAG_ENTRIES = 64
 
-/** Proposes a change to the group as the leader. Counts as soon as it is appended. */
+/** Proposes a membership change as the leader. The new configuration applies as soon as its entry is appended. */
 export function proposeConfig(state: RaftState, change: ConfigChange, now: Millis): LogEntry {
   assertCanChange(state)
   const config = changeConfig(state, change)
@@ -33,9 +33,9 @@
   const retry = 'Try again in a moment.'
   if (state.role !== 'leader') throw new ReconfigurationError('This replica is not the leader.', retry)
   if (state.log.configIndex > state.commitIndex)
-    throw new ReconfigurationError('An earlier change is not committed.', retry)
+    throw new ReconfigurationError('An earlier membership change is not committed yet.', retry)
   if (state.log.termAt(state.commitIndex) !== state.term)
-    throw new ReconfigurationError('The leader has not committed in its term.', retry)
+    throw new ReconfigurationError('The leader has not committed an entry of its own term yet.', retry)
 }
 
 function changeConfig(state: RaftState, change: ConfigChange): GroupConfig {
@@ -44,17 +44,23 @@
   if (change.type === 'promote') return promote(state, change.replica)
   const known = findMember(state, change.replica)
   if (known === undefined)
-    throw new ReconfigurationError(`${change.replica} is no member.`, 'See "forkstage status".')
+    throw new ReconfigurationError(
+      `${change.replica} is not a member of the group.`,
+      'See "forkstage status".',
+    )
   const without = (members: Member[]) => members.filter((member) => member.replica !== change.replica)
   if (without(voters).length === 0)
-    throw new ReconfigurationError('The last voter cannot be removed.', 'Add another first.')
+    throw new ReconfigurationError('The last voter cannot be removed.', 'Add another voter first.')
   return { voters: without(voters), learners: without(learners) }
 }
 
 function addLearner(state: RaftState, member: Member): GroupConfig {
   const { voters, learners } = state.log.config
   if (findMember(state, member.replica) !== undefined) {
-    throw new ReconfigurationError(`${member.replica} is a member already.`, 'See "forkstage status".')
+    throw new ReconfigurationError(
+      `${member.replica} is already a member of the group.`,
+      'See "forkstage status".',
+    )
   }
   return { voters, learners: [...learners, member] }
 }
@@ -63,7 +69,7 @@
   const { voters, learners } = state.log.config
   const learner = learners.find((member) => member.replica === replica)
   if (learner === undefined)
-    throw new ReconfigurationError(`${replica} is no learner.`, 'Add it as a learner first.')
+    throw new ReconfigurationError(`${replica} is not a learner.`, 'Add it as a learner first.')
   const lagEntries = state.log.lastIndex - progressOf(state, learner).match
   if (lagEntries > MAX_LEARNER_LAG_ENTRIES) {
     throw new ReconfigurationError(
@@ -74,7 +80,10 @@
   return { voters: [...voters, learner], learners: learners.filter((member) => member !== learner) }
 }
 
-/** Hands leadership to a voter that has the whole log; used by a planned stop. */
+/**
+ * Transfers leadership to a voter that has the whole log; used by a planned stop.
+ * Returns whether a transfer has begun.
+ */
 export function transferLeadership(state: RaftState, now: Millis): boolean {
   if (state.role !== 'leader' || state.transferTo !== null) return false
   const successor = state.log.config.voters.find(
--- a/replication/raft/src/replicate.ts
+++ b/replication/raft/src/replicate.ts
@@ -3,7 +3,7 @@
 import { becomeFollower, isVoter, majority, otherMembers, send, type RaftState } from './raftState'
 import type { AppendReply, LogEntry, Member, Progress } from './types'
 
-/** Appends an entry to the leader's own log; sending it is up to {@link broadcastAppend}. */
+/** Appends an entry to the leader's own log, without sending it to the other members. */
 export function appendAsLeader(state: RaftState, kind: LogEntry['kind'], data: unknown): LogEntry {
   const entry: LogEntry = { index: state.log.lastIndex + 1, term: state.term, kind, data }
   state.log.append([entry])
@@ -11,13 +11,13 @@
   return entry
 }
 
-/** Sends every other member what it lacks, or a heartbeat. */
+/** Sends every other member the entries that it lacks, or a heartbeat. */
 export function broadcastAppend(state: RaftState, now: Millis): void {
   state.heartbeatDue = now + state.options.heartbeat
   for (const member of otherMembers(state)) sendAppend(state, member, now, true)
 }
 
-/** Sends members that have room what they lack, without heartbeats. */
+/** Sends missing entries to the members whose in-flight limit allows it, without heartbeats. */
 export function flushAppends(state: RaftState, now: Millis): void {
   if (state.role !== 'leader') return
   for (const member of otherMembers(state)) sendAppend(state, member, now, false)
@@ -71,13 +71,14 @@
   return fresh
 }
 
-/** Takes a replica's answer to entries, to a heartbeat or to a snapshot. */
+/** Applies a replica's reply to entries, a heartbeat or a snapshot. */
 export function handleAppendReply(state: RaftState, from: Member, reply: AppendReply, now: Millis): void {
   if (reply.term > state.term) return becomeFollower(state, reply.term, null, now)
   if (state.role !== 'leader' || reply.term < state.term) return
   const progress = progressOf(state, from)
   if (progress.lostData) return
-  // Only a message sent after the acknowledgement came proves a loss: earlier ones may have been reordered.
+  // A lower index proves a loss only in the reply to a message sent after the acknowledgement arrived.
+  // Replies to earlier messages may arrive out of order.
   const hasRegressed = reply.lastIndex < progress.match && reply.sentAt > progress.matchKnownAt
   if (hasRegressed) return markLostData(state, from, progress)
   progress.ackedSentAt = Math.max(progress.ackedSentAt, reply.sentAt)
@@ -97,7 +98,7 @@
   if (progress.next <= state.log.lastIndex) sendAppend(state, from, now, false)
 }
 
-/** A replica that answers with less than it once acknowledged runs on an older or emptied disk. */
+/** Stops counting a replica whose log ends before an index that it acknowledged: its disk is older or was emptied. */
 function markLostData(state: RaftState, from: Member, progress: Progress): void {
   progress.lostData = true
   progress.match = 0
@@ -106,7 +107,7 @@
   send(state, from, { type: 'staleDisk', term: state.term }, false)
 }
 
-/** Commits what a majority of voters has synced, if it is of the leader's own term. */
+/** Commits the entries that a majority of voters has synced, if the last of them is of the leader's own term. */
 export function advanceCommit(state: RaftState): void {
   if (state.role !== 'leader') return
   const synced = state.log.config.voters.map((voter) =>
@@ -119,7 +120,7 @@
   commitTo(state, index)
 }
 
-/** Marks entries committed and hands them to the state machine, in order. */
+/** Commits the entries up to an index and emits them, in order, to be applied to the state machine. */
 export function commitTo(state: RaftState, index: number): void {
   const target = Math.min(index, state.log.lastIndex)
   if (target <= state.commitIndex) return
@@ -127,14 +128,17 @@
   const entries = state.log.slice(state.appliedIndex + 1, target)
   assertInvariant(
     entries.length === target - state.appliedIndex && entries[0]?.index === state.appliedIndex + 1,
-    'entries are applied in order, each once',
+    'entries are applied once each and in order',
     () => `from ${state.appliedIndex + 1} to ${target}`,
   )
   state.appliedIndex = target
   state.effects.push({ type: 'apply', entries })
 }
 
-/** When the message was sent that a majority has answered last, or -Infinity where this replica does not lead. */
+/**
+ * The start of the lease: the latest time such that a majority of voters has replied to messages sent then or later.
+ * -Infinity if this replica is not the leader or is transferring leadership.
+ */
 export function leaseSince(state: RaftState): Millis {
   if (state.role !== 'leader' || state.transferTo !== null) return -Infinity
   const ackedSentAts = state.log.config.voters.map((voter) =>
@@ -146,15 +150,15 @@
   return ackedSentAts[majority(state) - 1] ?? -Infinity
 }
 
-/** The time up to which no other replica can have become leader, or -Infinity without a lease. */
+/** The end of the lease: no other replica can become leader before it. -Infinity without a lease. */
 export function leaseUntil(state: RaftState): Millis {
-  // The margin covers clocks that run at slightly different rates.
+  // The margin allows for clocks that run at slightly different rates.
   return leaseSince(state) + state.options.electionTimeout * LEASE_FRACTION
 }
 
 const LEASE_FRACTION = 0.9
 
-/** Steps down when a majority has not been heard for an election timeout. */
+/** Steps down if no majority of voters has replied for an election timeout, or if the group has removed this replica. */
 export function checkQuorum(state: RaftState, now: Millis): void {
   if (state.role !== 'leader') return
   const { electionTimeout } = state.options
--- a/replication/raft/src/stepRaft.ts
+++ b/replication/raft/src/stepRaft.ts
@@ -13,26 +13,26 @@
 } from './replicate'
 import type { Effect, LogEntry, Member, Message, Snapshot } from './types'
 
-/** What can happen to a replica. */
+/** An event that a replica handles. */
 export type RaftEvent =
   | { type: 'tick' }
   | { type: 'message'; from: Member; message: Message }
-  /** Proposes commands; only a leader takes them. */
+  /** Proposes commands; only a leader appends them. */
   | { type: 'propose'; commands: unknown[] }
   | { type: 'reconfigure'; change: ConfigChange }
-  /** Entries up to `index`, the last of them of `term`, are synced on this replica's disk. */
+  /** Entries up to `index`, whose term is `term`, are synced to this replica's disk. */
   | { type: 'persisted'; index: number; term: number }
-  /** The shell has saved a snapshot of its own state machine. */
+  /** The caller has taken a snapshot of its state machine, so the log can be compacted. */
   | { type: 'compacted'; snapshot: Snapshot }
   | { type: 'transfer' }
 
-/** The outcome of a step: what to do, and the entries a proposal made. */
+/** The result of a step: the effects to perform, and the entries that a proposal appended. */
 export interface StepResult {
   effects: Effect[]
   proposed: LogEntry[]
 }
 
-/** Advances a replica by one event. The only way its state changes; does no I/O. */
+/** Applies one event to a replica's state, which changes in no other way. Does no I/O. */
 export function stepRaft(state: RaftState, event: RaftEvent, now: Millis): StepResult {
   const proposed = handleEvent(state, event, now)
   return { effects: drainEffects(state), proposed }
@@ -104,7 +104,7 @@
 }
 
 function handlePersisted(state: RaftState, index: number, term: number): void {
-  // An entry that was replaced while its sync was under way does not count.
+  // An entry that was replaced during its sync does not count as persisted.
   if (state.log.termAt(index) !== term) return
   state.persistedIndex = Math.max(state.persistedIndex, index)
   advanceCommit(state)
--- a/replication/raft/src/types.ts
+++ b/replication/raft/src/types.ts
@@ -1,24 +1,24 @@
 import type { Address, BoxId, FailureDomain, Millis } from '@forkstage/types'
 
-/** The identity of a replica: random, written on its disk, never used again once the disk is lost. */
+/** The identity of a replica: random, stored on its disk, and never reused once the disk is lost. */
 export type ReplicaId = string
 
-/** A replica and where to reach it. */
+/** A replica and its address. */
 export interface Member {
   replica: ReplicaId
   box: BoxId
   address: Address
-  /** What is lost together with it; absent where that is not known, as in logs that were written without it. */
+  /** The replica's failure domain; absent if unknown, as in logs written without this field. */
   domain?: FailureDomain
 }
 
-/** Who belongs to a group. Only voters count; learners receive the log. */
+/** The members of a group. Only voters count towards a majority; learners only receive the log. */
 export interface GroupConfig {
   voters: Member[]
   learners: Member[]
 }
 
-/** One entry of the log. `data` is a command, a {@link GroupConfig}, or nothing. */
+/** One entry of the log. Depending on `kind`, `data` is a command, a {@link GroupConfig} or null. */
 export interface LogEntry {
   index: number
   term: number
@@ -26,7 +26,7 @@
   data: unknown
 }
 
-/** What a snapshot stands for: all entries up to `index`. */
+/** The part of the log that a snapshot replaces: all entries up to `index`. */
 export interface SnapshotMeta {
   index: number
   term: number
@@ -34,13 +34,13 @@
   configIndex: number
 }
 
-/** A snapshot with the state machine's own bytes. */
+/** A snapshot with the serialized state of the state machine. */
 export interface Snapshot {
   meta: SnapshotMeta
   data: Uint8Array
 }
 
-/** The part of the state that must be on disk before a vote or a reply leaves. */
+/** The part of the state that must be on disk before a vote or a reply is sent. */
 export interface HardState {
   term: number
   votedFor: ReplicaId | null
@@ -48,13 +48,13 @@
 
 export type Role = 'follower' | 'preCandidate' | 'candidate' | 'leader'
 
-/** Asks for a vote; a pre-vote asks whether one would be granted, changing nothing. */
+/** Requests a vote. A pre-vote asks whether the vote would be granted, and changes no state. */
 export interface VoteRequest {
   type: 'vote' | 'preVote'
   term: number
   lastIndex: number
   lastTerm: number
-  /** Set when the leader itself asked for the election, so that its lease does not stand in the way. */
+  /** Whether the leader itself requested the election; voters then disregard its lease. */
   transfer: boolean
 }
 
@@ -64,7 +64,7 @@
   granted: boolean
 }
 
-/** Replicates entries; without entries it is the heartbeat. */
+/** Replicates entries; a request without entries is a heartbeat. */
 export interface AppendRequest {
   type: 'append'
   term: number
@@ -72,7 +72,7 @@
   prevTerm: number
   entries: LogEntry[]
   commit: number
-  /** The leader's clock when it sent this; echoed, so that the lease counts from the sending. */
+  /** Sending time by the leader's clock. The reply repeats it, so that the lease counts from the sending. */
   sentAt: Millis
 }
 
@@ -80,7 +80,7 @@
   type: 'appendReply'
   term: number
   success: boolean
-  /** On success the last index known to match and to be synced; otherwise where to try next. */
+  /** On success the last index that matches the leader's log and is synced; otherwise the index to try next. */
   matchIndex: number
   /** The last index of the replica's log. */
   lastIndex: number
@@ -94,13 +94,13 @@
   sentAt: Millis
 }
 
-/** Tells a replica to campaign at once, for a planned change of leader. */
+/** Tells a replica to start an election at once, for a leadership transfer. */
 export interface TimeoutNow {
   type: 'timeoutNow'
   term: number
 }
 
-/** Tells a replica that its disk has lost entries that it had acknowledged. */
+/** Tells a replica that its disk has lost entries that the replica had acknowledged. */
 export interface StaleDisk {
   type: 'staleDisk'
   term: number
@@ -109,44 +109,44 @@
 export type Message =
   VoteRequest | VoteReply | AppendRequest | AppendReply | InstallSnapshot | TimeoutNow | StaleDisk
 
-/** What the shell must do after a step, in this order. */
+/** What the caller must do after a step, in the order of the effects. */
 export type Effect =
   | { type: 'persist'; hardState?: HardState; truncateFrom?: number; entries: LogEntry[] }
   | { type: 'saveSnapshot'; snapshot: Snapshot }
-  /** `afterPersist`: leave only once every earlier `persist` and `saveSnapshot` is synced. */
+  /** `afterPersist`: to be sent only once every earlier `persist` and `saveSnapshot` is synced. */
   | { type: 'send'; to: Member; message: Message; afterPersist: boolean }
   | { type: 'apply'; entries: LogEntry[] }
   | { type: 'restore'; snapshot: Snapshot }
   | { type: 'role'; role: Role; term: number }
-  /** The replica's own disk is older than what it acknowledged; it must not go on under its identity. */
+  /** This replica's disk has lost acknowledged entries, so it must not continue under its identity. */
   | { type: 'staleDisk'; leader: ReplicaId }
-  /** A voter was found to have lost acknowledged entries; it is not counted any more. */
+  /** A member has lost acknowledged entries and no longer counts towards a majority. */
   | { type: 'memberLostData'; replica: ReplicaId }
 
-/** What the leader knows about another replica. */
+/** The replication progress of another replica, as known to the leader. */
 export interface Progress {
   match: number
-  /** When the leader learned of `match`; answers to later messages cannot fall below it. */
+  /** When the leader learned of `match`. Replies to messages sent later cannot report a log that ends before it. */
   matchKnownAt: Millis
   next: number
-  /** Sending time of the newest message this replica has answered. */
+  /** Sending time of the newest message that this replica has replied to. */
   ackedSentAt: Millis
-  /** Append messages sent and not answered. */
+  /** Number of append messages without a reply yet. */
   inFlight: number
-  /** Whether the log position is still being looked for. */
+  /** Whether the leader is still searching for the last matching index. */
   probing: boolean
-  /** When a snapshot was sent that has not been answered. */
+  /** When a snapshot was sent that has no reply yet. */
   snapshotSentAt?: Millis
   /** Whether the replica was found to have lost acknowledged entries. */
   lostData: boolean
 }
 
-/** Times of the protocol, in milliseconds, and sizes. */
+/** Timeouts of the protocol, in milliseconds, and size limits. */
 export interface RaftOptions {
   electionTimeout: Millis
   heartbeat: Millis
-  /** Entries a message at most. */
+  /** Maximum number of entries per message. */
   maxEntriesPerMessage: number
-  /** Messages in flight a replica at most. */
+  /** Maximum number of append messages in flight per replica. */
   maxInFlight: number
 }
--- a/replication/raft/test/cluster.ts
+++ b/replication/raft/test/cluster.ts
@@ -13,7 +13,7 @@
   type HardState,
 } from '../src'
 
-/** What a replica's disk holds: only what was synced survives a crash. */
+/** The contents of a replica's disk. Only synced writes survive a crash. */
 interface Disk {
   hardState: HardState
   snapshot: Snapshot
@@ -32,7 +32,7 @@
 const EMPTY: Disk['hardState'] = { term: 0, votedFor: null }
 export const ELECTION_TIMEOUT = 100
 
-/** A group of replicas on an unreliable network, driven step by step from one random source. */
+/** Simulates a group of replicas on an unreliable network, step by step, with one seeded random source. */
 export class Cluster {
   now = 0
   readonly nodes = new Map<string, Node>()
@@ -82,7 +82,7 @@
     })
   }
 
-  /** Ends a replica; what was not synced is gone. */
+  /** Stops a replica and drops its unsynced writes. */
   crash(name: string): void {
     const node = this.nodes.get(name)!
     node.state = undefined
@@ -99,7 +99,7 @@
     return proposed
   }
 
-  /** Finishes a replica's oldest syncs and lets the messages that waited for them go. */
+  /** Completes a replica's pending syncs and sends the messages that waited for them. */
   sync(name: string): void {
     const node = this.nodes.get(name)!
     for (const effect of node.unsynced.splice(0)) persist(node.synced, effect)
@@ -109,7 +109,7 @@
     this.step(name, { type: 'persisted', index: last.index, term: last.term })
   }
 
-  /** Delivers, loses or doubles one message, any of those on the way. */
+  /** Delivers, loses or duplicates one message in transit, chosen at random. */
   deliverOne(lossRate: number): void {
     if (this.inTransit.length === 0) return
     const index = Math.floor(this.random() * this.inTransit.length)
@@ -122,7 +122,7 @@
     })
   }
 
-  /** Runs without faults for a while, delivering in order. */
+  /** Runs for a duration, delivering all messages in order except those of cut-off replicas. */
   settle(duration: number): void {
     for (const end = this.now + duration; this.now < end; this.now += 5) {
       for (const name of this.nodes.keys()) this.step(name, { type: 'tick' })
@@ -189,12 +189,12 @@
     this.leaders.set(term, node.member.replica)
   }
 
-  /** While one replica holds the lease, nobody leads in a higher term. */
+  /** Throws if another replica leads in a higher term while this one holds the lease. */
   private checkLease(node: Node): void {
     if (node.state === undefined || leaseUntil(node.state) <= this.now) return
     for (const other of this.nodes.values()) {
       if (other.state?.role === 'leader' && other.state.term > node.state.term)
-        throw new Error('a lease and a newer leader')
+        throw new Error('a replica leads in a higher term while another one holds the lease')
     }
   }
 }
--- a/replication/raft/test/regions.test.ts
+++ b/replication/raft/test/regions.test.ts
@@ -2,14 +2,14 @@
 import { leaseUntil, type Message, type Member } from '../src'
 import { Cluster } from './cluster'
 
-/** As machines are set where nothing else is said, in milliseconds. */
+/** The default settings of machines, in milliseconds. */
 const TIMES = { electionTimeout: 450, heartbeat: 90 }
-/** A synchronous write of the disk, in milliseconds. */
+/** Duration of a synced disk write. */
 const SYNC_MS = 5
 const TICK_MS = 5
 const INTRA_REGION_MS = 1
 
-/** Five replicas in three regions, as 2, 2, 1; messages between regions take their time, and some are lost. */
+/** Five replicas in three regions (2, 2 and 1), with latency between regions and message loss. */
 class MultiRegionCluster extends Cluster {
   private delayed: { at: number; from: Member; to: Member; message: Message }[] = []
 
@@ -21,7 +21,7 @@
     super(5, seed, TIMES)
   }
 
-  /** Lets time pass; `look` is called at each millisecond. */
+  /** Runs for a duration and calls `onMillisecond` at each millisecond. */
   run(duration: number, onMillisecond: () => void = () => undefined): void {
     for (const end = this.now + duration; this.now < end; this.now += 1) {
       for (const name of this.nodes.keys()) {
@@ -40,21 +40,21 @@
     }
   }
 
-  /** The replica that leads and may say so. */
+  /** The leader, if it holds its lease. */
   get leaderWithLease(): string | undefined {
     const name = this.leader()
     const state = name === undefined ? undefined : this.nodes.get(name)!.state
     return state !== undefined && leaseUntil(state) > this.now ? name : undefined
   }
 
-  /** How long until one leads with its lease. */
+  /** Runs until a leader holds its lease, and returns how long that took, at most `limit`. */
   timeUntilLeased(limit: number): number {
     const since = this.now
     while (this.leaderWithLease === undefined && this.now - since < limit) this.run(1)
     return this.now - since
   }
 
-  /** How long a command takes until its leader has applied it. */
+  /** Proposes a command and returns how long it took until the leader had applied it. */
   commitMs(): number {
     const since = this.now
     const name = this.leaderWithLease!
@@ -73,7 +73,7 @@
 
 describe.each([8, 20])('replicas in three regions, %i ms apart', (interRegionMs) => {
   it.each([0, 0.02])(
-    'elect once and never lose the lease in calm times, with %f of messages lost',
+    'elect no further leader and never lose the lease while all run, with %f of messages lost',
     (lossRate) => {
       for (const seed of [1, 2, 3]) {
         const cluster = new MultiRegionCluster(seed, interRegionMs, lossRate)
@@ -86,7 +86,7 @@
     },
   )
 
-  it('have another leader soon after one is lost, and commit in a round trip and the disks', () => {
+  it('elect another leader soon after one crashes, and commit within a round trip and the disk syncs', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const cluster = new MultiRegionCluster(seed, interRegionMs, 0)
       cluster.timeUntilLeased(5_000)
@@ -94,7 +94,7 @@
       expect(cluster.commitMs()).toBeLessThanOrEqual(interRegionMs * 2 + SYNC_MS * 4)
       cluster.crash(cluster.leaderWithLease!)
       cluster.run(TIMES.electionTimeout)
-      // The lost one's lease has run out by now; then one waits for up to another time-out, and is voted for twice.
+      // The crashed leader's lease has expired. A replica waits up to another timeout and needs two rounds of votes.
       expect(cluster.timeUntilLeased(5_000)).toBeLessThan(TIMES.electionTimeout * 2 + interRegionMs * 8)
     }
   })
--- a/replication/raft/test/stepRaft.test.ts
+++ b/replication/raft/test/stepRaft.test.ts
@@ -47,7 +47,7 @@
 }
 
 describe('stepRaft', () => {
-  it('keeps its invariants through loss, doubling, reordering, crashes and cuts', () => {
+  it('keeps its invariants under message loss, duplication, reordering, crashes and network cuts', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 2 ** 30 }),
@@ -67,7 +67,7 @@
     )
   })
 
-  it('does not raise the term while a replica is cut off, and does not depose the leader after', () => {
+  it('does not raise the term while a replica is cut off, and keeps the leader afterwards', () => {
     const cluster = new Cluster(3, 1)
     cluster.settle(5 * ELECTION_TIMEOUT)
     const leader = cluster.leader()!
@@ -80,7 +80,7 @@
     expect(cluster.nodes.get(other)!.state!.term).toBe(cluster.nodes.get(leader)!.state!.term)
   })
 
-  it('a leader that is cut off steps down and its unfinished entries are replaced', () => {
+  it('makes a leader that is cut off step down, and replaces its uncommitted entries', () => {
     const cluster = new Cluster(3, 2)
     cluster.settle(5 * ELECTION_TIMEOUT)
     const old = cluster.leader()!
@@ -94,7 +94,7 @@
     expect(cluster.nodes.get(old)!.applied).toEqual(['kept'])
   })
 
-  it('does not count a replica whose disk lost what it had acknowledged', () => {
+  it('does not count a replica whose disk lost entries that it had acknowledged', () => {
     const cluster = new Cluster(3, 3)
     cluster.settle(5 * ELECTION_TIMEOUT)
     const leader = cluster.leader()!
@@ -113,7 +113,7 @@
     expect(cluster.nodes.get(leader)!.applied).not.toContain('d')
   })
 
-  it('replaces a replica one step at a time; a second loss right after the repair loses nothing', () => {
+  it('replaces a replica by single-member changes; a second crash right after the repair loses no entry', () => {
     const cluster = new Cluster(3, 4)
     cluster.settle(5 * ELECTION_TIMEOUT)
     const leader = cluster.leader()!
@@ -139,7 +139,7 @@
     expect(cluster.leader()).toBeDefined()
   })
 
-  it('hands leadership over at once on a planned stop', () => {
+  it('transfers leadership at once on a planned stop', () => {
     const cluster = new Cluster(3, 5)
     cluster.settle(5 * ELECTION_TIMEOUT)
     const old = cluster.leader()!
