--- a/replication/group/src/founding.ts
+++ b/replication/group/src/founding.ts
@@ -1,20 +1,20 @@
 import type { GroupConfig, Member, ReplicaId } from '@forkstage/raft'
 import type { FailureDomain } from '@forkstage/types'
 
-/** What a box answers when asked who its replica of a group is. */
+/** A box's answer to the question which replica of a group it has. */
 export interface IdentityAnswer {
   replica: ReplicaId
   box: string
   address: string
-  /** Absent from machines that do not tell it. */
+  /** Absent if the machine reports no failure domain. */
   domain?: FailureDomain
-  /** The configuration it started from; absent while the replica is empty. */
+  /** The configuration that the replica started from; absent while it is empty. */
   founding?: GroupConfig
-  /** The newest configuration it knows of. */
+  /** The newest configuration that the replica has; absent until it runs. */
   config?: GroupConfig
 }
 
-/** What an empty replica does next. */
+/** What an empty replica is to do next. */
 export type FoundingDecision =
   | { type: 'wait' }
   /** Start from this configuration, of which the replica is a voter. */
@@ -23,9 +23,9 @@
   | { type: 'join' }
 
 /**
- * Decides how an empty replica begins. A group is founded once, by the first box in name order, when
- * every first replica has answered and all are empty; the others take over what was founded, if their
- * own identity is in it. A replica whose disk was lost has a new identity and so can only join.
+ * Decides how an empty replica starts. The first box by name founds the group, once every first replica has
+ * answered and all are empty. The other replicas start from the founded configuration if it contains their identity.
+ * A replica that lost its disk has a new identity and so can only join.
  */
 export function decideFounding(self: Member, answers: (IdentityAnswer | undefined)[]): FoundingDecision {
   const known = answers.filter((answer) => answer !== undefined)
--- a/replication/group/src/groupClient.ts
+++ b/replication/group/src/groupClient.ts
@@ -6,7 +6,7 @@
 /** Options of {@link GroupClient}. */
 export interface GroupClientOptions {
   group: string
-  /** Where replicas of the group may be found. */
+  /** The addresses at which replicas of the group may run. */
   replicas: () => Address[]
   peers: PeerCaller
   clock: Clock
@@ -14,17 +14,17 @@
 
 /** Options of one proposal. */
 export interface ProposeOptions {
-  /** How long to go on trying, over changes of leader. */
+  /** How long to keep trying, also across changes of leader. */
   deadline: Millis
   step: string
-  /** How long one replica may take to answer; for calls that do more than write to the log. */
+  /** The deadline of a single call, for calls that do more than write to the log. */
   callDeadline?: Millis
 }
 
 const CALL_DEADLINE_MS = 1_500
 const RETRY_PAUSE_MS = 40
 const NOT_LEADER = 'FORKSTAGE_NOT_LEADER'
-/** Codes after which the same command is sent again, to the same or another replica. */
+/** Error codes after which the same command is sent again, to the same or another replica. */
 const RETRYABLE_CODES = new Set([
   NOT_LEADER,
   'FORKSTAGE_OUTCOME_UNKNOWN',
@@ -34,8 +34,8 @@
 ])
 
 /**
- * Finds the leader of a group and sends it commands and questions.
- * A command whose answer was lost is sent again, so every command must be safe to apply twice.
+ * Finds the leader of a group and sends commands and queries to it.
+ * A command whose reply was lost is sent again, so every command must be safe to apply twice.
  */
 export class GroupClient<Command, Result> {
   private leader: Address | undefined
@@ -47,7 +47,10 @@
     return this.callLeader<Result>('propose', { command }, options)
   }
 
-  /** Calls a method that only the leader answers. */
+  /**
+   * Calls a method that only the leader serves.
+   * @throws GroupUnavailableError if no leader has answered by the deadline.
+   */
   async callLeader<Answer>(method: string, params: unknown, options: ProposeOptions): Promise<Answer> {
     const { clock, peers, group } = this.options
     const endsAt = clock.now() + options.deadline
--- a/replication/group/src/groupErrors.ts
+++ b/replication/group/src/groupErrors.ts
@@ -1,14 +1,14 @@
 import { ForkstageError } from '@forkstage/error'
 import type { Address } from '@forkstage/types'
 
-/** Raised when a command reached a replica that does not lead; names the leader where it is known. */
+/** Raised when a command reaches a replica that is not the leader; names the leader if known. */
 export class NotLeaderError extends ForkstageError {
   readonly leader?: Address
 
   constructor(group: string, leader: Address | undefined) {
     super(
       'FORKSTAGE_NOT_LEADER',
-      `This replica does not lead ${group}.`,
+      `This replica is not the leader of ${group}.`,
       `The leader is ${leader ?? 'not known yet'}.`,
       {
         step: 'propose',
@@ -19,13 +19,13 @@
   }
 }
 
-/** Raised when a command was handed over but its outcome was not seen; it may take effect later. */
+/** Raised when a command was proposed but its outcome is unknown; the command may still take effect. */
 export class OutcomeUnknownError extends ForkstageError {
   constructor(group: string, reason: string) {
     super(
       'FORKSTAGE_OUTCOME_UNKNOWN',
-      `Whether ${group} took the command is not known: ${reason}.`,
-      'Send it again: every command may be sent twice.',
+      `It is unknown whether ${group} applied the command: ${reason}.`,
+      'Send the command again: every command is safe to send twice.',
       {
         step: 'propose',
       },
@@ -33,14 +33,14 @@
   }
 }
 
-/** Raised when no replica of a group could be made to take a command in time. */
+/** Raised when no leader of a group has answered a call in time. */
 export class GroupUnavailableError extends ForkstageError {
   constructor(group: string, lastError: unknown) {
     const reason = lastError instanceof Error ? lastError.message : 'no replica answered'
     super(
       'FORKSTAGE_GROUP_UNAVAILABLE',
       `No leader of ${group} could be reached: ${reason}`,
-      'Check that a majority of the control boxes runs.',
+      'Check that a majority of the control boxes is running.',
       {
         step: 'propose',
         cause: lastError,
--- a/replication/group/src/groupHost.ts
+++ b/replication/group/src/groupHost.ts
@@ -22,14 +22,14 @@
   group: string
   box: BoxId
   address: Address
-  /** What is lost together with this machine; left out where the deployment names no failure domains. */
+  /** The failure domain of this machine; absent if the deployment names none. */
   domain?: FailureDomain
   folder: string
-  /** Where the first replicas are; used only to found the group or to find it. */
+  /** The addresses of the first replicas; used only to found the group or to find it. */
   firstReplicas: { address: Address }[]
-  /** Whether this replica may found the group; otherwise it only joins what others have founded. */
+  /** Whether this replica may found the group; if false, it waits until others have founded the group. */
   mayFound?: boolean
-  /** Opens the disk again this long after it failed; left out, the replica stays out until a restart. */
+  /** Delay before the disk is opened again after a failure; if absent, the replica stays stopped until a restart. */
   reopenAfter?: Millis
   machine: StateMachine<Command, Result>
   peers: PeerCaller
@@ -45,13 +45,13 @@
 const IDENTITY_RETRY_MS = 150
 const IDENTITY_DEADLINE_MS = 1_000
 
-/** Raised where this box has no working replica of the group. */
+/** Raised when this box has no running replica of the group. */
 export class ReplicaNotRunningError extends ForkstageError {
   constructor(group: string) {
     super(
       'FORKSTAGE_REPLICA_NOT_RUNNING',
       `This box has no running replica of ${group}.`,
-      'See "forkstage status" for its state.',
+      'Run "forkstage status" to see the state of the replica.',
       {
         step: 'find replica',
       },
@@ -59,12 +59,12 @@
   }
 }
 
-/** Brings up this box's replica of a group: opens the disk, founds or joins the group, answers its peers. */
+/** Starts this box's replica of a group: opens the disk, founds or joins the group, and serves the peers' calls. */
 export class GroupHost<Command, Result> {
   private runningReplica: GroupReplica<Command, Result> | undefined
   private opened: { storage: ReplicaStorage; stored: StoredReplica } | undefined
   private stopped = false
-  /** Why the replica takes no part, once it has failed. */
+  /** The error that stopped the replica; undefined unless the replica has failed. */
   failure: unknown
 
   constructor(private readonly options: GroupHostOptions<Command, Result>) {}
@@ -73,25 +73,25 @@
     return this.runningReplica
   }
 
-  /** Who this replica is; known once its disk is open. */
+  /** This replica as a member of the group; undefined until its disk is open. */
   get member(): Member | undefined {
     return this.opened === undefined ? undefined : this.self()
   }
 
-  /** The running replica. @throws ReplicaNotRunningError where there is none. */
+  /** Returns the running replica. @throws ReplicaNotRunningError if there is none. */
   require(): GroupReplica<Command, Result> {
     if (this.runningReplica === undefined) throw new ReplicaNotRunningError(this.options.group)
     return this.runningReplica
   }
 
-  /** The running replica, if it leads. @throws NotLeaderError naming who does, where that is known. */
+  /** Returns the running replica if it is the leader. @throws NotLeaderError that names the leader, if known. */
   private requireLeader(): GroupReplica<Command, Result> {
     const replica = this.require()
     if (!replica.leads) throw new NotLeaderError(this.options.group, replica.leaderAddress)
     return replica
   }
 
-  /** The methods that other boxes call, all under the group's name. */
+  /** The methods that other boxes call, each prefixed with the group's name. */
   methods(): Record<string, PeerMethod> {
     const { group } = this.options
     return {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Opens the disk and starts the replica in the background; failures are logged and kept in `failure`. */
+  /** Opens the disk, founds or joins the group, and starts the replica. Errors are logged and kept in `failure`. */
   async start(): Promise<void> {
     const { group, folder, fileSystem, logger } = this.options
     try {
@@ -120,7 +120,7 @@
     }
   }
 
-  /** After a failure of the disk, takes up again what the disk holds once it works. */
+  /** After a disk failure, starts the replica again from the disk, unless the error is permanent. */
   private async reopen(error: unknown): Promise<void> {
     const { reopenAfter, clock } = this.options
     if (reopenAfter === undefined || isPermanent(error)) return
@@ -147,7 +147,7 @@
     return { replica: this.opened!.stored.identity.replica, box, address, domain }
   }
 
-  /** Waits until the group is founded with this replica, or exists without it. */
+  /** Waits until the group has been founded with this replica, or exists without it, and saves the start state. */
   private async foundOrJoin(stored: StoredReplica): Promise<void> {
     while (!this.stopped) {
       const decision = this.decide(await this.fetchIdentities())
@@ -212,7 +212,7 @@
   }
 }
 
-/** Whether opening the disk again cannot help. */
+/** Whether the error would persist if the disk were opened again. */
 function isPermanent(error: unknown): boolean {
   return error instanceof InvariantError || error instanceof DamagedLogError
 }
--- a/replication/group/src/groupReplica.ts
+++ b/replication/group/src/groupReplica.ts
@@ -35,10 +35,10 @@
   logger: Logger
   electionTimeout: Millis
   heartbeat: Millis
-  /** Take a snapshot after this many applied entries. */
+  /** Number of applied entries after which a snapshot is taken. */
   snapshotEvery: number
   send: (to: Member, message: Message) => void
-  /** Called when the replica can take no further part; it has stopped. */
+  /** Called once an error has stopped the replica. */
   onFailure: (error: unknown) => void
 }
 
@@ -48,7 +48,7 @@
   reject: (error: unknown) => void
 }
 
-/** What a replica knows about its place in the group, for status pages. */
+/** The state of a replica and its group, for status pages. */
 export interface ReplicaStatus {
   group: string
   replica: ReplicaId
@@ -58,14 +58,14 @@
   commitIndex: number
   lastIndex: number
   config: GroupConfig
-  /** The followers' last synced index, where this replica leads. */
+  /** The last synced index of each other replica; empty unless this replica is the leader. */
   matches: Record<ReplicaId, number>
 }
 
 const MAX_ENTRIES_PER_MESSAGE = 512
 const MAX_IN_FLIGHT = 8
 
-/** One replica of one group: raft with its disk, its timers, its messages and its state machine. */
+/** One replica of one group: connects Raft to the disk, the timers, the messages and the state machine. */
 export class GroupReplica<Command, Result> {
   private readonly state: RaftState
   private readonly queue: PersistQueue
@@ -103,7 +103,7 @@
     this.cancelTicks = every(clock, heartbeat / 2, () => this.step({ type: 'tick' }))
   }
 
-  /** The newest configuration this replica has. */
+  /** The newest configuration that this replica has, committed or not. */
   get config(): GroupConfig {
     return this.state.log.config
   }
@@ -128,32 +128,35 @@
     return this.state.leaderSince
   }
 
-  /** Whether no other replica can have become leader by now, so that what is committed here is the newest. */
+  /** Whether no other replica can have become leader, so that the state committed here is the newest. */
   get holdsLease(): boolean {
     const { clock } = this.options
     const committedInTerm = this.state.log.termAt(this.state.commitIndex) === this.state.term
-    // A lease from before a suspension may have run out unseen: only what was sent since then renews it.
+    // A lease may expire unnoticed while the machine is suspended: only messages sent since then renew it.
     const isSeen = leaseSince(this.state) >= clock.suspendedAt()
     return this.leads && committedInTerm && isSeen && leaseUntil(this.state) > clock.now()
   }
 
-  /** Whether all that was committed in earlier terms is known to be committed here, once a leader was heard. */
+  /**
+   * Whether this replica knows of all commits of earlier terms: it has had contact with a leader since it started,
+   * and knows of a commit in the current term.
+   */
   get knowsCommitted(): boolean {
     const isHeard = this.leads || this.state.leaderContactAt > this.startedAt
     return isHeard && this.state.log.termAt(this.state.commitIndex) === this.state.term
   }
 
-  /** Entries that are in the log and not known to be committed. */
+  /** The entries of the log that are not known to be committed. */
   get uncommitted(): LogEntry[] {
     return this.state.log.slice(this.state.commitIndex + 1, this.state.log.lastIndex)
   }
 
-  /** When a leader was last heard. */
+  /** When a leader last made contact with this replica. */
   get leaderContactAt(): Millis {
     return this.state.leaderContactAt
   }
 
-  /** Sending time of the newest message that each other replica has answered, where this replica leads. */
+  /** For each other replica, the sending time of the newest message it replied to; empty unless this one leads. */
   ackedSentAt(): Record<ReplicaId, Millis> {
     const ackedSentAt = [...this.state.progress].map(
       ([replica, progress]) => [replica, progress.ackedSentAt] as const,
@@ -183,20 +186,20 @@
   }
 
   /**
-   * Proposes a command and returns what applying it gave, once it is synced on a majority.
-   * @throws NotLeaderError where nothing was proposed; OutcomeUnknownError where it may still take effect.
+   * Proposes a command and returns the result of applying it, once a majority has synced it.
+   * @throws NotLeaderError if nothing was proposed; OutcomeUnknownError if the command may still take effect.
    */
   propose(command: Command): Promise<Result> {
     if (!this.leads || this.stopped)
       return Promise.reject(new NotLeaderError(this.options.group, this.leaderAddress))
     return new Promise((resolve, reject) => {
       this.proposals.push({ command, waiter: { resolve, reject } })
-      // All commands of one turn of the event loop go out, and are synced, together.
+      // All commands of one turn of the event loop are sent and synced together.
       if (this.proposals.length === 1) setImmediate(() => this.flushProposals())
     })
   }
 
-  /** Changes the group by one replica. Returns once the change is proposed. */
+  /** Proposes a change of the group by one replica and returns without waiting until it is committed. */
   reconfigure(change: ConfigChange): void {
     this.step({ type: 'reconfigure', change })
   }
@@ -205,7 +208,7 @@
     this.step({ type: 'message', from, message })
   }
 
-  /** Hands leadership over where this replica has it; part of a planned stop. */
+  /** Transfers leadership to another replica if this one is the leader; part of a planned stop. */
   transferLeadership(): void {
     this.step({ type: 'transfer' })
   }
@@ -276,8 +279,8 @@
         logger.info('replica.role', { group, replica: self.replica, role: effect.role, term: effect.term })
         return
       case 'staleDisk':
-        logger.error('replica.refused', { group, reason: 'this disk is older than what it acknowledged' })
-        return this.fail(new InvariantError('a disk keeps what it acknowledged', group))
+        logger.error('replica.refused', { group, reason: 'this disk has lost acknowledged entries' })
+        return this.fail(new InvariantError('a disk keeps the entries that it acknowledged', group))
       case 'memberLostData':
         logger.error('replica.refused', {
           group,
--- a/replication/group/src/index.ts
+++ b/replication/group/src/index.ts
@@ -1,4 +1,4 @@
-/** One process's replica of a group, and the way to a group's leader. */
+/** A process's replica of a group, and the client of a group's leader. */
 export { GroupHost, ReplicaNotRunningError } from './groupHost'
 export type { GroupHostOptions } from './groupHost'
 export { GroupReplica } from './groupReplica'
--- a/replication/group/src/messageCodec.ts
+++ b/replication/group/src/messageCodec.ts
@@ -5,7 +5,7 @@
   data: string
 }
 
-/** A message in a form that JSON carries: the bytes of a snapshot become base64. */
+/** Converts a message to a form that JSON can represent: the data of a snapshot becomes base64. */
 export function encodeMessage(message: Message): unknown {
   if (message.type !== 'snapshot') return message
   return { ...message, snapshot: encodeSnapshot(message.snapshot) }
--- a/replication/group/src/persistQueue.ts
+++ b/replication/group/src/persistQueue.ts
@@ -1,7 +1,7 @@
 import type { Effect, HardState, LogEntry, Snapshot } from '@forkstage/raft'
 import type { LogRecord, ReplicaStorage } from '@forkstage/storage'
 
-/** One piece of work for the disk, or something to do once all before it is synced. */
+/** A write to the disk, or a callback to run once all earlier writes are synced. */
 type Job =
   | { type: 'records'; records: LogRecord[]; last?: LogEntry }
   | { type: 'snapshot'; snapshot: Snapshot; hardState: HardState; rest: LogEntry[] }
@@ -10,14 +10,14 @@
 /** Options of {@link PersistQueue}. */
 export interface PersistQueueOptions {
   storage: ReplicaStorage
-  /** Entries up to this one are synced. */
+  /** Called when the entries up to `last` are synced. */
   onPersisted: (last: { index: number; term: number }) => void
   onSnapshot: (snapshot: Snapshot, bytes: number) => void
-  /** The disk failed; nothing more is written. */
+  /** Called when a write has failed; nothing more is written. */
   onFailure: (error: unknown) => void
 }
 
-/** Writes in order, many waiting records a sync (group commit), and runs what waited for the sync. */
+/** Writes records and snapshots in order, syncs queued records together (group commit) and then runs callbacks. */
 export class PersistQueue {
   private jobs: Job[] = []
   private running = false
@@ -37,7 +37,7 @@
     this.enqueue({ type: 'snapshot', snapshot, hardState, rest })
   }
 
-  /** Runs once everything queued so far is synced; at once where nothing waits. */
+  /** Runs a callback once everything queued so far is synced; at once if nothing is queued. */
   afterSync(run: () => void): void {
     if (this.jobs.length === 0 && !this.running && !this.failed) return run()
     this.enqueue({ type: 'then', run })
--- a/replication/group/src/stateMachine.ts
+++ b/replication/group/src/stateMachine.ts
@@ -1,9 +1,9 @@
-/** What a group replicates. Must be deterministic: the same commands give the same state everywhere. */
+/** The state that a group replicates. Must be deterministic: the same commands give the same state on every replica. */
 export interface StateMachine<Command, Result> {
-  /** Applies a committed command. */
+  /** Applies a committed command and returns its result. */
   apply(command: Command, index: number): Result
-  /** The whole state as bytes. */
+  /** Serializes the whole state. */
   snapshot(): Uint8Array
-  /** Replaces the state by one that {@link StateMachine.snapshot} gave. */
+  /** Replaces the state with one that {@link StateMachine.snapshot} returned. */
   restore(data: Uint8Array): void
 }
