--- a/replication/keeper/src/domainSpread.ts
+++ b/replication/keeper/src/domainSpread.ts
@@ -1,19 +1,19 @@
 import type { Member, ReplicaId } from '@forkstage/raft'
 import type { FailureDomain } from '@forkstage/types'
 
-/** What decides whether a group outlives the loss of failure domains. */
+/** The inputs that decide whether a group tolerates the loss of failure domains. */
 export interface SpreadRules {
-  /** Failure domains that may be lost at once; 0 where that need not be borne. */
+  /** Number of failure domains whose simultaneous loss is to be tolerated; 0 if none. */
   domainLosses: number
-  /** Whether a voter counts: one that is silent helps no majority. */
+  /** Whether a voter is live; a silent voter contributes to no majority. */
   isLive: (replica: ReplicaId) => boolean
-  /** The failure domain of a member; undefined where nobody has said it. */
+  /** The failure domain of a member; undefined if unknown. */
   domainOf: (member: Member) => FailureDomain | undefined
 }
 
 /**
- * Voters that are missing for a majority after the loss of the failure domains with the most live voters; 0 or less
- * where their loss is borne. A voter whose domain is unknown may lie in any of those that are lost.
+ * Returns the number of voters missing for a majority after the loss of the failure domains with the most live voters;
+ * 0 or less if that loss is tolerated. A voter of unknown domain counts as lost, since it may be in a lost domain.
  */
 export function missingAfterLoss(
   voters: readonly Member[],
@@ -27,7 +27,7 @@
   return Math.floor(voters.length / 2) + 1 - surviving
 }
 
-/** How many members each known failure domain has. */
+/** Returns the number of members in each known failure domain. */
 export function countByDomain(
   members: readonly Member[],
   domainOf: SpreadRules['domainOf'],
--- a/replication/keeper/src/index.ts
+++ b/replication/keeper/src/index.ts
@@ -1,4 +1,4 @@
-/** Keeps a group's membership without an operator. */
+/** Maintains a group's membership without an operator. */
 export { MembershipReconciler } from './membershipReconciler'
 export type { MembershipReconcilerOptions } from './membershipReconciler'
 export { countByDomain, missingAfterLoss } from './domainSpread'
--- a/replication/keeper/src/membershipReconciler.ts
+++ b/replication/keeper/src/membershipReconciler.ts
@@ -11,25 +11,25 @@
 export interface MembershipReconcilerOptions<Command, Result> {
   group: string
   host: GroupHost<Command, Result>
-  /** Where other control machines may be found. */
+  /** The addresses at which other control machines may run. */
   addresses: () => Address[]
   selfAddress: Address
   peers: PeerCaller
   clock: Clock
   logger: Logger
   rules: MembershipRules
-  /** How long without a leader before this replica asks to belong again. */
+  /** Time without contact to a leader after which this replica asks to join again. */
   rejoinAfterMs: Millis
 }
 
 const PLAN_INTERVAL_MS = 100
 const JOIN_INTERVAL_MS = 250
 
-/** Asks to belong while this replica is alone, and keeps the membership while it leads. */
+/** Sends join requests while this replica has no leader or no vote, and plans membership changes while it leads. */
 export class MembershipReconciler<Command, Result> {
   private readonly joinRequests = new Map<ReplicaId, { member: Member; at: Millis }>()
   private timers: CancelTimer[] = []
-  /** What was last said of the loss of failure domains; it is said once, not at each look. */
+  /** Whether the loss of failure domains was tolerated at the last log line, since only changes are logged. */
   private toleratesDomainLoss: boolean | undefined
 
   constructor(private readonly options: MembershipReconcilerOptions<Command, Result>) {}
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Tells every known control machine that this replica wants to belong, unless it hears a leader as a voter. One whose
-   * failure domain the log does not tell goes on, so that its leader hears of it.
+   * Sends a join request to every known control machine, unless this replica is a voter in contact with a leader.
+   * A voter whose failure domain is missing from the log also sends it, so that the leader learns the domain.
    */
   private sendJoinRequests(): void {
     const { host, peers, group, addresses, selfAddress, clock, rejoinAfterMs, rules } = this.options
@@ -96,7 +96,7 @@
     this.logDomainTolerance(view)
   }
 
-  /** Says where the loss of failure domains is not borne, and when it is again. */
+  /** Logs when the loss of failure domains is no longer tolerated, and when it is tolerated again. */
   private logDomainTolerance(view: MembershipView): void {
     const { group, logger, rules } = this.options
     const tolerance = domainTolerance(view, rules)
--- a/replication/keeper/src/planMembership.ts
+++ b/replication/keeper/src/planMembership.ts
@@ -2,54 +2,55 @@
 import type { FailureDomain, Millis } from '@forkstage/types'
 import { countByDomain, missingAfterLoss, type SpreadRules } from './domainSpread'
 
-/** What the leader knows when it looks at its group. */
+/** What the leader knows of its group when it plans a membership change. */
 export interface MembershipView {
   config: GroupConfig
   self: ReplicaId
   lastIndex: number
-  /** Replicas that have asked to belong, with the time of their last question. */
+  /** Replicas that have asked to join, with the time of their last request. */
   joinRequests: { member: Member; at: Millis }[]
   /** The last synced index of each replica. */
   matches: Record<ReplicaId, number>
-  /** When each replica was last heard; absent for one never heard in this term. */
+  /** Sending time of the newest message that each replica replied to; absent or -Infinity if none in this term. */
   ackedSentAt: Record<ReplicaId, Millis>
-  /** Since when this replica leads. */
+  /** When this replica became the leader. */
   leaderSince: Millis
   now: Millis
 }
 
-/** What the group should bear. */
+/** The losses that the group should tolerate, and when a replica counts as lost. */
 export interface MembershipRules {
-  /** Voters that are enough to bear the losses that the deployment allows at once. */
+  /** Number of voters required to tolerate the losses that the deployment allows at once. */
   requiredVoters: number
-  /** Failure domains whose loss at once should leave a majority; 0 where left out. */
+  /** Number of failure domains whose simultaneous loss should leave a majority; 0 if absent. */
   domainLosses?: number
-  /** A voter that was silent this long may make room, where there are enough without it. */
+  /** A voter that was silent for longer is removed if there are enough voters without it. */
   silentMs: Millis
-  /** A question to belong is believed this long. */
+  /** How long a join request is valid. */
   joinRequestTtlMs: Millis
 }
 
-/** How the group's voters lie over failure domains. */
+/** How well the group tolerates the loss of failure domains. */
 export interface DomainTolerance {
-  /** Live voters that are missing for a majority after the loss that should be borne; 0 or less where it is borne. */
+  /** Number of live voters missing for a majority after the loss to tolerate; 0 or less if it is tolerated. */
   missing: number
-  /** Live voters by failure domain; those whose domain is unknown are left out. */
+  /** Number of live voters by failure domain, without those whose domain is unknown. */
   voters: Record<FailureDomain, number>
 }
 
-/** Entries that a learner may be behind and still become a voter. */
+/** A learner that lags further behind the leader is not promoted yet. */
 const MAX_PROMOTION_LAG_ENTRIES = 16
 
 /**
- * Decides the next change of a group's membership, one replica at a time, or none.
- * Whoever asks becomes a voter; then whoever it replaced leaves. In this order every step keeps a majority
- * of replicas that hold what was acknowledged. Where the loss of failure domains should be borne, a learner that would
- * crowd one of them waits while there are enough voters, and a voter too many of a crowded one leaves.
+ * Decides the next change of a group's membership, by one replica; undefined if none is needed.
+ * A replica that asks to join becomes a voter, then the replica that it replaces is removed. In this order every step
+ * keeps a majority of replicas that hold the acknowledged entries. If the loss of failure domains should be tolerated,
+ * a learner whose domain would be overrepresented waits while there are enough voters, and a surplus voter of an
+ * overrepresented domain is removed.
  */
 export function planMembership(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
   return (
-    // First, so that a group is not filled with others of the same domain, from which one by one leads out no more.
+    // First, since a group filled with further voters of the same domain cannot be rebalanced one replica at a time.
     removeOverrepresented(view, rules) ??
     promoteLearner(view, rules) ??
     removeReplaced(view) ??
@@ -58,7 +59,7 @@
   )
 }
 
-/** Whether the group outlives the loss of failure domains; undefined where that need not be borne. */
+/** How well the group tolerates the loss of failure domains; undefined if no loss is to be tolerated. */
 export function domainTolerance(view: MembershipView, rules: MembershipRules): DomainTolerance | undefined {
   const spread = spreadRules(view, rules)
   if (spread.domainLosses === 0) return undefined
@@ -76,7 +77,7 @@
   }
 }
 
-/** A member of an older log may have said its domain since. */
+/** The domain in the log or, if the log has none, in the member's join request; undefined if unknown. */
 function domainOf(view: MembershipView, member: Member): FailureDomain | undefined {
   if (member.domain !== undefined) return member.domain
   return view.joinRequests.find((one) => one.member.replica === member.replica)?.member.domain
@@ -105,7 +106,7 @@
   return best === undefined ? undefined : { type: 'promote', replica: best.replica }
 }
 
-/** The member whose failure domain has the fewest voters; the first among equals. */
+/** The member whose failure domain has the fewest voters, the first of equals; undefined if there are no members. */
 function pickLeastRepresented(view: MembershipView, members: Member[]): Member | undefined {
   const counts = countByDomain(view.config.voters, (voter) => domainOf(view, voter))
   const votersInDomainOf = (member: Member) => {
@@ -119,8 +120,8 @@
 }
 
 /**
- * Whether a learner would only bring the loss of its failure domain closer. Never where there are fewer live voters
- * than enough, and never for one that takes the place of a voter whose disk is gone.
+ * Whether promoting a learner would reduce the tolerance of domain losses. False if there are fewer live voters than
+ * required, and for a learner that replaces a voter whose disk is lost.
  */
 function shouldDeferPromotion(view: MembershipView, rules: MembershipRules, learner: Member): boolean {
   const spread = spreadRules(view, rules)
@@ -131,7 +132,7 @@
   return missingAfterLoss([...voters, learner], spread) > missingAfterLoss(voters, spread)
 }
 
-/** A voter whose address another voter has now: its disk is gone, and with it the identity. */
+/** Removes a member whose address belongs to a voter that replied later: its disk is lost, and so is its identity. */
 function removeReplaced(view: MembershipView): ConfigChange | undefined {
   const { voters, learners } = view.config
   const lastAckedAt = (replica: ReplicaId) =>
@@ -167,8 +168,8 @@
 }
 
 /**
- * A voter more than enough whose leaving brings the loss of failure domains closer to being borne. Only while all voters
- * are heard: a sound one must not leave for one that may just have been lost.
+ * Removes a surplus voter without which the group tolerates domain losses better. Only while all voters respond, so that
+ * no healthy voter is removed while another one may just have been lost.
  */
 function removeOverrepresented(view: MembershipView, rules: MembershipRules): ConfigChange | undefined {
   const spread = spreadRules(view, rules)
--- a/replication/keeper/test/domainLoss.test.ts
+++ b/replication/keeper/test/domainLoss.test.ts
@@ -7,7 +7,7 @@
 const SEED = Number(process.env.SEED ?? 20261202)
 const MAX_WAIT_ROUNDS = 160
 
-/** Three founders in three failure domains; others join. The last layout has a machine more than it needs. */
+/** Three founders in three failure domains; the others join. The last layout has one machine more than required. */
 const LAYOUTS: { machines: Machines; founders: string[] }[] = [
   { machines: { a: 'north', b: 'north', c: 'south', d: 'south', e: 'west' }, founders: ['a', 'c', 'e'] },
   {
@@ -25,7 +25,7 @@
   return false
 }
 
-/** Some steps of an unreliable day, in which the group's membership is kept. */
+/** Runs some steps with message loss and irregular syncs, without membership changes. */
 function runUnreliably(simulation: RepairSimulation, steps: number): void {
   for (let step = 0; step < steps; step += 1) {
     simulation.now += 6
@@ -49,8 +49,8 @@
   })
 }
 
-describe('a group that outlives the loss of a failure domain', () => {
-  it('goes on with one whole domain gone, disks included, and has everything acknowledged', () => {
+describe('a group that tolerates the loss of a failure domain', () => {
+  it('continues after the loss of a whole domain with its disks, and keeps every acknowledged command', () => {
     const losses = fc.array(
       fc.record({
         domain: fc.constantFrom('north', 'south', 'west'),
@@ -83,7 +83,7 @@
     )
   })
 
-  it('stands as fast with five voters in three domains as where domains do not matter', () => {
+  it('reaches five voters in three domains as fast as if domains did not matter', () => {
     const { machines, founders } = LAYOUTS[0]!
     const roundsUntilWhole = (domainLosses: number) => {
       const simulation = new RepairSimulation(7, { machines, founders, domainLosses })
--- a/replication/keeper/test/membershipReconciler.test.ts
+++ b/replication/keeper/test/membershipReconciler.test.ts
@@ -12,7 +12,7 @@
   return { replica, box: `box-${replica}`, address: `10.0.0.${replica}:7000`, domain }
 }
 
-/** A leader of some voters that are all heard, and what its keeper says. */
+/** A leader whose voters all respond, with the log lines and peer calls of its reconciler. */
 function createLeader(voters: Member[], self: Member) {
   const clock = new ManualClock()
   const lines: { event: string; fields: Record<string, unknown> }[] = []
@@ -49,7 +49,7 @@
 }
 
 describe('MembershipReconciler', () => {
-  it('says once that the loss of a domain is not borne, and once that it is again', () => {
+  it('logs once that the loss of a domain is not tolerated, and once that it is tolerated again', () => {
     const crowded = [member('1', 'north'), member('2', 'north'), member('3', 'south')]
     const { clock, config, domainLines } = createLeader(crowded, crowded[0]!)
     clock.advance(SEVERAL_PLANS_MS)
@@ -59,7 +59,7 @@
     expect(domainLines().map(({ missing }) => missing)).toEqual([1, 0])
   })
 
-  it('goes on telling its domain where the log does not have it', () => {
+  it('keeps sending join requests while its domain is missing from the log', () => {
     const old = [member('1'), member('2'), member('3')]
     const unknownDomain = createLeader(old, member('1', 'north'))
     unknownDomain.clock.advance(SEVERAL_PLANS_MS)
--- a/replication/keeper/test/planDomains.test.ts
+++ b/replication/keeper/test/planDomains.test.ts
@@ -37,7 +37,7 @@
 const SPREAD = members({ 1: 'north', 2: 'north', 3: 'south', 4: 'south', 5: 'west' })
 
 describe('planMembership with failure domains', () => {
-  it('keeps a learner waiting that would take the majority into one domain', () => {
+  it('does not promote a learner if the loss of its domain would then cost the majority', () => {
     expect(planMembership(view(SPREAD, {}, [member('6', 'north')]), RULES)).toBeUndefined()
     expect(planMembership(view(SPREAD, {}, [member('6', 'west')]), RULES)).toEqual({
       type: 'promote',
@@ -45,7 +45,7 @@
     })
   })
 
-  it('lets it in at once where voters are missing, and where it takes the place of one whose disk is gone', () => {
+  it('promotes such a learner if voters are missing, or if it replaces a voter whose disk is lost', () => {
     const silent = { 1: NOW, 2: NOW, 3: NOW, 4: NOW - 9_000, 5: NOW, 6: NOW }
     const learner = member('6', 'north')
     const promoted = { type: 'promote', replica: '6' }
@@ -54,7 +54,7 @@
     expect(planMembership(view(SPREAD, {}, [fresh]), RULES)).toEqual(promoted)
   })
 
-  it('prefers the one whose domain has the fewest voters', () => {
+  it('prefers the replica whose domain has the fewest voters', () => {
     const three = members({ 1: 'north', 3: 'south', 5: 'west' }).slice(0, 2)
     const learners = members({ 6: 'north', 7: 'south', 8: 'west' })
     expect(planMembership(view(three, {}, learners), RULES)).toEqual({ type: 'promote', replica: '8' })
@@ -65,7 +65,7 @@
     })
   })
 
-  it('lets one of a crowded domain go once a better placed machine votes', () => {
+  it('removes a voter of an overrepresented domain once a machine in another domain votes', () => {
     const crowded = members({ 1: 'north', 2: 'north', 3: 'north', 4: 'south', 5: 'south' })
     const west = member('6', 'west')
     expect(planMembership(view(crowded, {}, [west]), RULES)).toEqual({ type: 'promote', replica: '6' })
@@ -76,7 +76,7 @@
     expect(domainTolerance(view(swapped), RULES)?.missing).toBe(0)
   })
 
-  it('lets no sound voter go while another may have been lost', () => {
+  it('removes no healthy voter while another may have been lost', () => {
     const six = [...SPREAD, member('6', 'north')]
     const ackedSentAt = { 1: NOW, 2: NOW - 1_500, 3: NOW, 4: NOW, 5: NOW, 6: NOW }
     expect(planMembership(view(six, { ackedSentAt }), RULES)).toBeUndefined()
@@ -88,7 +88,7 @@
     })
   })
 
-  it('takes a voter whose domain is unknown for one that may lie anywhere, until it has said it', () => {
+  it('assumes that a voter of unknown domain may be in any domain, until it has reported its domain', () => {
     const old = members({ 1: 'north', 2: 'north', 3: 'south', 4: undefined, 5: undefined })
     expect(domainTolerance(view(old), RULES)?.missing).toBeGreaterThan(0)
     const announced = members({ 4: 'south', 5: 'west' }).map((one) => ({ member: one, at: NOW - 90_000 }))
@@ -96,13 +96,13 @@
     expect(planMembership(view(old, { joinRequests: announced }), RULES)).toBeUndefined()
   })
 
-  it('says nothing of domains where none need be lost, and plans as without them', () => {
+  it('reports no tolerance and ignores domains in its plan if no loss of domains is to be tolerated', () => {
     const none = { ...RULES, domainLosses: 0 }
     expect(domainTolerance(view(SPREAD), none)).toBeUndefined()
     expect(planMembership(view(SPREAD, {}, [member('6', 'north')]), none)?.type).toBe('promote')
   })
 
-  it('ends with a group that bears the loss wherever the machines allow it, and never with fewer than enough', () => {
+  it('ends with a group that tolerates the loss if the machines allow it, never with fewer voters than required', () => {
     const domains = fc.array(fc.constantFrom('north', 'south', 'west'), { minLength: 5, maxLength: 8 })
     fc.assert(
       fc.property(domains, fc.integer({ min: 1, max: 3 }), (all, founders) => {
--- a/replication/keeper/test/planMembership.test.ts
+++ b/replication/keeper/test/planMembership.test.ts
@@ -29,11 +29,11 @@
 const joinRequest = (joining: Member, at = NOW - 100) => ({ member: joining, at })
 
 describe('planMembership', () => {
-  it('changes nothing in a whole group', () => {
+  it('changes nothing in a complete group', () => {
     expect(planMembership(view({}), RULES)).toBeUndefined()
   })
 
-  it('takes whoever asks as a learner first, and as a voter once it has caught up', () => {
+  it('adds a replica that asks to join as a learner, and promotes it once it has caught up', () => {
     const six = member('6')
     const added = planMembership(view({ joinRequests: [joinRequest(six)] }), RULES)
     expect(added).toEqual({ type: 'addLearner', member: six })
@@ -43,13 +43,13 @@
     expect(planMembership(caughtUp, RULES)).toEqual({ type: 'promote', replica: '6' })
   })
 
-  it('does not take one whose question is old', () => {
+  it('does not add a replica whose join request has expired', () => {
     expect(
       planMembership(view({ joinRequests: [joinRequest(member('6'), NOW - 1_500)] }), RULES),
     ).toBeUndefined()
   })
 
-  it('replaces a lost disk: the new replica votes before the old identity at its address leaves', () => {
+  it('replaces a lost disk: the new replica votes before the old identity at its address is removed', () => {
     const fresh = member('9', '10.0.0.2')
     const lost = { 1: NOW, 2: NOW - 500, 3: NOW, 4: NOW, 5: NOW, 9: NOW - 20 }
     const joinRequests = [joinRequest(fresh)]
@@ -60,20 +60,20 @@
     expect(planMembership(both, RULES)).toEqual({ type: 'remove', replica: '2' })
   })
 
-  it('removes a silent voter only where enough others are heard', () => {
+  it('removes a silent voter only if enough others respond', () => {
     const silent = { 1: NOW, 2: NOW - 9_000, 3: NOW, 4: NOW, 5: NOW, 6: NOW }
     expect(planMembership(view({ ackedSentAt: silent }), RULES)).toBeUndefined()
     const six = view({ voters: [...view({}).config.voters, member('6')], ackedSentAt: silent })
     expect(planMembership(six, RULES)).toEqual({ type: 'remove', replica: '2' })
   })
 
-  it('gives a new leader time to hear the others', () => {
+  it('gives the other voters time to respond to a new leader', () => {
     const voters = [...view({}).config.voters, member('6')]
     const justElected = view({ voters, ackedSentAt: {}, leaderSince: NOW - 500 })
     expect(planMembership(justElected, RULES)).toBeUndefined()
   })
 
-  it('changes one replica at a time and never removes itself or a heard voter that nobody replaced', () => {
+  it('changes one replica at a time and never removes the leader or a responsive voter without a replacement', () => {
     const ages = fc.array(fc.integer({ min: 0, max: 6_000 }), { minLength: 7, maxLength: 7 })
     fc.assert(
       fc.property(ages, fc.integer({ min: 1, max: 7 }), (silentFor, voterCount) => {
--- a/replication/keeper/test/repair.test.ts
+++ b/replication/keeper/test/repair.test.ts
@@ -7,7 +7,7 @@
 const SEED = Number(process.env.SEED ?? 20261202)
 const MAX_REPAIR_ROUNDS = 120
 
-/** Some steps of an ordinary, unreliable day. */
+/** Runs some steps with message loss, irregular syncs, log compaction and membership changes. */
 function runUnreliably(simulation: RepairSimulation, steps: number): void {
   for (let step = 0; step < steps; step += 1) {
     simulation.now += 6
@@ -23,7 +23,7 @@
   }
 }
 
-/** Disks are lost, at times while every other machine loses power; then all machines start again. */
+/** Loses the disks of some machines, optionally while all others lose power; then starts all machines again. */
 function loseDisks(simulation: RepairSimulation, losses: number, othersLosePower: boolean): void {
   const order = simulation.replicas().sort(() => simulation.random() - 0.5)
   const lost = order.slice(0, losses)
@@ -33,7 +33,7 @@
   for (const name of powerless) simulation.start(name)
 }
 
-/** Lets the group mend itself, with one more machine restarted on the way. */
+/** Returns whether the group repairs itself within the maximum rounds, with another machine restarted meanwhile. */
 function awaitRepair(simulation: RepairSimulation): boolean {
   for (let round = 0; round < MAX_REPAIR_ROUNDS; round += 1) {
     if (round === 10) {
@@ -48,8 +48,8 @@
   return false
 }
 
-describe('a group that keeps its own membership', () => {
-  it('mends itself after the loss of two disks at any moment, and loses nothing acknowledged', () => {
+describe('a group that maintains its own membership', () => {
+  it('repairs itself after the loss of up to two disks at any time, and keeps every acknowledged command', () => {
     const disasters = fc.array(
       fc.record({
         losses: fc.integer({ min: 1, max: 2 }),
--- a/replication/keeper/test/repairSimulation.ts
+++ b/replication/keeper/test/repairSimulation.ts
@@ -4,22 +4,22 @@
 
 const RULES = { requiredVoters: 5, silentMs: 4 * ELECTION_TIMEOUT, joinRequestTtlMs: ELECTION_TIMEOUT }
 
-/** The machines of a world: failure domain by name; an empty text where nobody knows it. */
+/** The failure domain of each machine by name; an empty string if unknown. */
 export type Machines = Record<string, string>
 
 const FIVE_MACHINES: Machines = { a: '', b: '', c: '', d: '', e: '' }
 
-/** What a world may have that differs. */
+/** Options of {@link RepairSimulation}. */
 export interface RepairSimulationOptions {
   machines?: Machines
-  /** Machines that found the group; all where left out. */
+  /** Machines that found the group; all if absent. */
   founders?: string[]
   domainLosses?: number
 }
 
 /**
- * A group, of five machines where nothing else is said, on an unreliable network whose leader keeps the membership. A replica is called by the machine it
- * is on and the number of disks that were lost there, as `a.0`.
+ * Simulates a group, of five machines by default, on an unreliable network whose leader maintains the membership.
+ * A replica is named after its machine and the number of disks lost there, for example `a.0`.
  */
 export class RepairSimulation extends Cluster {
   private readonly lostDisks: Map<string, number>
@@ -45,17 +45,17 @@
     return { replica: name, box: name, address, domain: this.machines[address] || undefined }
   }
 
-  /** The replicas on machines of a failure domain. */
+  /** The current replicas on the machines of a failure domain. */
   replicasIn(domain: string): string[] {
     return this.replicas().filter((name) => this.member(name).domain === domain)
   }
 
-  /** The replicas whose disks are there. */
+  /** The current replica of every machine, whether running or not. */
   replicas(): string[] {
     return [...this.lostDisks.keys()].map((machine) => `${machine}.${this.lostDisks.get(machine)}`)
   }
 
-  /** The machine of a replica loses its disk and comes back with an empty one, under a new identity. */
+  /** Stops a replica and restarts its machine with an empty disk, under a new identity. */
   wipe(name: string): void {
     const machine = name.split('.')[0]!
     this.crash(name)
@@ -63,7 +63,7 @@
     this.add(this.member(`${machine}.${this.lostDisks.get(machine)}`), [])
   }
 
-  /** What the leader's keeper sees; nothing where none leads with its lease. */
+  /** The leader's view of the group; undefined if no leader holds its lease. */
   private view(): MembershipView | undefined {
     const name = this.leader()
     const state = name === undefined ? undefined : this.nodes.get(name)?.state
@@ -84,7 +84,7 @@
     }
   }
 
-  /** What the leader's keeper does when it looks at its group. */
+  /** Plans a membership change and proposes it, as the leader's reconciler does. */
   reconcile(): void {
     const view = this.view()
     const change = view && planMembership(view, this.rules)
@@ -96,7 +96,7 @@
     }
   }
 
-  /** Whether the group has enough voters, changes no more and outlives the loss of a failure domain. */
+  /** Whether the group has the required voters, needs no change and tolerates the loss of a failure domain. */
   toleratesDomainLoss(): boolean {
     const view = this.view()
     const state = view && this.nodes.get(view.self)!.state
@@ -109,7 +109,7 @@
     )
   }
 
-  /** Whether exactly the replicas whose disks are there vote, as far as the leader has committed. */
+  /** Whether the voters are exactly the current replicas, by a configuration that the leader has committed. */
   isRepaired(): boolean {
     const name = this.leader()
     const state = name === undefined ? undefined : this.nodes.get(name)!.state
@@ -119,7 +119,7 @@
     return learners.length === 0 && names.join() === this.replicas().sort().join()
   }
 
-  /** Commands that were acknowledged: applied somewhere. */
+  /** The acknowledged commands: those that any replica has applied. */
   acknowledged(): unknown[] {
     return this.committed
       .filter((entry) => entry !== undefined)
