--- a/replication/storage/src/fileSystem.ts
+++ b/replication/storage/src/fileSystem.ts
@@ -1,27 +1,27 @@
 import { constants } from 'node:fs'
 import { mkdir, open, readdir, readFile, rename, truncate, unlink } from 'node:fs/promises'
 
-/** An open file that is only ever appended to. */
+/** An open append-only file. */
 export interface AppendFile {
   append(bytes: Uint8Array): Promise<void>
-  /** Returns once everything appended so far is on the disk. */
+  /** Resolves once everything appended so far is on the disk. */
   sync(): Promise<void>
   close(): Promise<void>
 }
 
-/** The few file operations that storage needs; tests put failing ones in their place. */
+/** The file operations that storage needs; tests replace them with failing ones. */
 export interface FileSystem {
   makeFolder(path: string): Promise<void>
   list(folder: string): Promise<string[]>
   read(path: string): Promise<Buffer>
   openAppend(path: string): Promise<AppendFile>
-  /** Writes a whole file so that after a crash either the old or the new one is there. */
+  /** Replaces a file atomically: after a crash it has either the old or the new content. */
   replace(path: string, bytes: Uint8Array): Promise<void>
   truncate(path: string, length: number): Promise<void>
   remove(path: string): Promise<void>
 }
 
-/** The operating system's file system with real syncs of files and folders. */
+/** Returns the operating system's file system, with syncs of files and folders. */
 export function createFileSystem(): FileSystem {
   return {
     makeFolder: async (path) => void (await mkdir(path, { recursive: true })),
--- a/replication/storage/src/index.ts
+++ b/replication/storage/src/index.ts
@@ -1,4 +1,4 @@
-/** The folder of one replica: log, snapshot, identity. */
+/** Stores the log, snapshot and identity of one replica in a folder. */
 export { openReplicaStorage, ReplicaStorage } from './replicaStorage'
 export type { OpenReplicaStorageOptions, ReplicaIdentity, StoredReplica } from './replicaStorage'
 export { createFileSystem } from './fileSystem'
--- a/replication/storage/src/records.ts
+++ b/replication/storage/src/records.ts
@@ -3,27 +3,27 @@
 import type { HardState, LogEntry } from '@forkstage/raft'
 import { DamagedLogError } from './storageErrors'
 
-/** What one record of the log file holds. */
+/** The content of one record of the log file. */
 export type LogRecord =
   | { type: 'hardState'; hardState: HardState }
   | { type: 'entry'; entry: LogEntry }
   | { type: 'truncate'; from: number }
 
-/** The records of a file, and where a torn tail begins (the file's length where there is none). */
+/** The records of a file, and the offset of a torn tail in bytes (the file's length if there is none). */
 export interface DecodedRecords {
   records: LogRecord[]
   validLength: number
 }
 
-/** Length, checksum of the payload and checksum of these two, four bytes each, ahead of every payload. */
+/** Length of the payload, checksum of the payload and checksum of these two; four bytes each, before every payload. */
 const HEADER_BYTES = 12
-/** Ends every record, so that a record written whole never ends in a zero. */
+/** The last byte of every record, so that a completely written record never ends in a zero byte. */
 const END_MARK = 0xa5
 const END_BYTES = 1
-/** Shared structures would make a record unreadable without its predecessors. */
+/** Writes no shared structures: with them, a record would be unreadable without the earlier ones. */
 const packr = new Packr({ useRecords: false })
 
-/** Encodes one value with length, checksums and end mark. */
+/** Encodes a value as a record with length, checksums and end mark. */
 export function encodeRecord(value: unknown): Buffer {
   const payload = packr.pack(value)
   const record = Buffer.allocUnsafe(recordBytes(payload.length))
@@ -36,8 +36,8 @@
 }
 
 /**
- * Decodes the records of a log file. A tail that a crash cut short is left out.
- * @throws DamagedLogError where bytes that had been written whole do not match their checksum.
+ * Decodes the records of a log file, except a tail that a crash left incomplete.
+ * @throws DamagedLogError if a completely written record does not match its checksums.
  */
 export function decodeRecords(bytes: Buffer, path: string): DecodedRecords {
   const records: LogRecord[] = []
@@ -54,7 +54,7 @@
   return { records, validLength: offset }
 }
 
-/** Decodes a file that holds a single record, as snapshots do. */
+/** Decodes a file with a single record, such as a snapshot. @throws DamagedLogError if the record is not intact. */
 export function decodeSingleRecord<T>(bytes: Buffer, path: string): T {
   const payload = readPayload(bytes, 0)
   if (payload === undefined) throw new DamagedLogError(path, 0)
@@ -65,7 +65,7 @@
   return HEADER_BYTES + payloadLength + END_BYTES
 }
 
-/** The payload's length as its header says it, or undefined where the header is short or wrong. */
+/** The payload's length in bytes, from the header; undefined if the header is incomplete or damaged. */
 function readLength(bytes: Buffer, offset: number): number | undefined {
   if (bytes.length < offset + HEADER_BYTES) return undefined
   const header = bytes.subarray(offset, offset + 8)
@@ -82,9 +82,9 @@
 }
 
 /**
- * Tells a tail that a crash left unfinished from damage to what was once whole.
- * A torn write ends short or in zeros, and nothing valid follows it; anything else is damage, and
- * dropping it could lose acknowledged entries.
+ * Throws unless the rest of the file is a torn write.
+ * A torn write ends early or in zeros, and no valid record follows it. Anything else is damage to completely written
+ * records, and truncating it could lose acknowledged entries.
  */
 function assertTornTail(bytes: Buffer, offset: number, path: string): void {
   const rest = bytes.subarray(offset)
--- a/replication/storage/src/replicaStorage.ts
+++ b/replication/storage/src/replicaStorage.ts
@@ -4,18 +4,18 @@
 import { decodeRecords, decodeSingleRecord, encodeRecord, type LogRecord } from './records'
 import { DiskError } from './storageErrors'
 
-/** Who this disk is. Made once, at random, and lost with the disk. */
+/** The identity of a replica: generated once, at random, and lost with the disk. */
 export interface ReplicaIdentity {
   replica: ReplicaId
-  /** How often the replica has been opened. */
+  /** Number of times that the folder has been opened. */
   boots: number
 }
 
-/** What the disk held when it was opened. */
+/** The contents of the disk when it was opened. */
 export interface StoredReplica {
   identity: ReplicaIdentity
   hardState: HardState
-  /** Absent until the replica has been founded or has joined. */
+  /** Absent until the replica has founded or joined its group. */
   snapshot?: Snapshot
   entries: LogEntry[]
 }
@@ -23,7 +23,7 @@
 /** Options of {@link openReplicaStorage}. */
 export interface OpenReplicaStorageOptions {
   fileSystem?: FileSystem
-  /** Makes the identity of a new disk. */
+  /** Generates the identity of a new disk. */
   createId?: () => ReplicaId
 }
 
@@ -31,7 +31,7 @@
 const LOG_FILE = 'log'
 const SNAPSHOT_FILE = 'snapshot'
 
-/** Opens, or makes, the folder of one replica of one group. */
+/** Opens the folder of one replica of one group, or creates it. @throws DamagedLogError if a file is damaged. */
 export async function openReplicaStorage(
   folder: string,
   options: OpenReplicaStorageOptions = {},
@@ -91,12 +91,12 @@
   if (snapshot === undefined) return { hardState, entries }
   const { index, term } = snapshot.meta
   const covered = entries.find((entry) => entry.index === index)
-  // Entries after a snapshot that contradicts the log belong to a history that the snapshot replaced.
+  // If the log conflicts with the snapshot, its later entries belong to a history that the snapshot replaced.
   const contradicts = covered !== undefined && covered.term !== term
   return { hardState, entries: contradicts ? [] : entries.filter((entry) => entry.index > index) }
 }
 
-/** The open folder of one replica. Calls must not overlap; the group's shell sees to that. */
+/** The open folder of one replica. Calls must not overlap; the callers in the group package ensure that. */
 export class ReplicaStorage {
   constructor(
     private readonly files: FileSystem,
@@ -104,7 +104,7 @@
     private log: AppendFile,
   ) {}
 
-  /** Appends records and returns once they are synced. */
+  /** Appends records and returns once they are synced. @throws DiskError if the write or the sync fails. */
   async append(records: LogRecord[]): Promise<void> {
     try {
       await this.log.append(Buffer.concat(records.map(encodeRecord)))
@@ -115,8 +115,9 @@
   }
 
   /**
-   * Saves a snapshot and trims the log to what follows it.
+   * Saves a snapshot and replaces the log with the hard state and the entries that follow the snapshot.
    * @returns the size of the snapshot file in bytes.
+   * @throws DiskError if a write or a sync fails.
    */
   async saveSnapshot(snapshot: Snapshot, hardState: HardState, rest: LogEntry[]): Promise<number> {
     const records: LogRecord[] = [
--- a/replication/storage/src/storageErrors.ts
+++ b/replication/storage/src/storageErrors.ts
@@ -1,25 +1,25 @@
 import { ForkstageError } from '@forkstage/error'
 
-/** Raised when a file of the replica does not match its checksums. */
+/** Raised when a file of a replica does not match its checksums. */
 export class DamagedLogError extends ForkstageError {
   constructor(path: string, offset: number) {
     super(
       'FORKSTAGE_DISK_DAMAGED',
-      `${path} is damaged at byte ${offset}: what follows was once whole, so it is not cut.`,
+      `${path} is damaged at byte ${offset}: the data there was written completely, so it is not truncated.`,
       'Replace this replica: move its folder away and run "forkstage control replace".',
       { step: 'open replica folder' },
     )
   }
 }
 
-/** Raised when a write or a sync failed; nothing written since may be relied on. */
+/** Raised when a write or a sync failed; data written since the last successful sync must not be relied on. */
 export class DiskError extends ForkstageError {
   constructor(step: string, cause: unknown) {
     const reason = cause instanceof Error ? cause.message : String(cause)
     super(
       'FORKSTAGE_DISK_FAILED',
       `The data folder cannot be written: ${reason}`,
-      'Mend the disk or its space, then start the box again; the replica takes part in nothing until then.',
+      'Repair the disk or free space on it, then restart the box. The replica does not run until then.',
       { step, cause },
     )
   }
--- a/replication/storage/test/replicaStorage.test.ts
+++ b/replication/storage/test/replicaStorage.test.ts
@@ -43,7 +43,7 @@
 }
 
 describe('replicaStorage', () => {
-  it('gives back what was synced, under the same identity', async () => {
+  it('restores synced records under the same identity', async () => {
     await write([{ type: 'hardState', hardState: { term: 3, votedFor: 'r1' } }], records(entry(1), entry(2)))
     const first = await reopen()
     expect(first.entries.map((each) => each.index)).toEqual([1, 2])
@@ -54,7 +54,7 @@
     })
   })
 
-  it('cuts a tail that a crash left short, at every length', async () => {
+  it('truncates a tail that a crash left incomplete, at every length', async () => {
     await write(records(entry(1)))
     const kept = statSync(join(folder, 'log')).size
     await write(records(entry(2)))
@@ -66,14 +66,14 @@
     }
   })
 
-  it('cuts a tail whose blocks were never written', async () => {
+  it('truncates a tail whose blocks were never written', async () => {
     await write(records(entry(1)))
     const size = statSync(join(folder, 'log')).size
     truncateSync(join(folder, 'log'), size + 4096)
     expect((await reopen()).entries).toHaveLength(1)
   })
 
-  it('never loses a synced entry silently when a bit flips', async () => {
+  it('detects a flipped bit and never loses a synced entry silently', async () => {
     await write(records(entry(1)), records(entry(2)), records(entry(3)))
     const whole = readFileSync(join(folder, 'log'))
     await fc.assert(
@@ -87,7 +87,7 @@
     )
   })
 
-  it('refuses a damaged snapshot', async () => {
+  it('rejects a damaged snapshot', async () => {
     const { storage } = await openReplicaStorage(folder)
     await storage.saveSnapshot(snapshot(2), { term: 1, votedFor: null }, [entry(3)])
     await storage.close()
@@ -98,7 +98,7 @@
     await expect(reopen()).rejects.toThrow(DamagedLogError)
   })
 
-  it('drops the old history when a snapshot that contradicts it was saved before a crash', async () => {
+  it('drops the entries of a log that conflicts with a snapshot saved before a crash', async () => {
     await write(records(entry(1), entry(2), entry(3)))
     const other = await openReplicaStorage(`${folder}/other`)
     await other.storage.saveSnapshot(snapshot(2, 5), { term: 5, votedFor: null }, [])
@@ -107,7 +107,7 @@
     expect((await reopen()).entries).toEqual([])
   })
 
-  it.each(['append', 'sync'] as const)('says so when the disk fails at %s', async (step) => {
+  it.each(['append', 'sync'] as const)('throws a DiskError if the disk fails at %s', async (step) => {
     const { storage } = await openReplicaStorage(folder, { fileSystem: failing(step) })
     await expect(storage.append(records(entry(1)))).rejects.toThrow(DiskError)
   })
