--- a/claims/claims/src/claimTypes.ts
+++ b/claims/claims/src/claimTypes.ts
@@ -1,37 +1,38 @@
 import type { Address, BoxId, EndpointName, Execution, Millis, RequestId } from '@forkstage/types'
 
-/** The box that runs a request: a restarted process is another owner. */
+/** The process that runs a request. A box whose process restarted is a different owner. */
 export interface ClaimOwner {
   box: BoxId
   incarnation: string
   address: Address
 }
 
-/** What became of a request, as it is handed back for a resend. */
+/** The outcome of a request, returned when the request is sent again. */
 export interface Outcome {
   execution: Execution
   status: number
   headers: Record<string, string>
-  /** The answer's bytes as base64; absent where it was too large to keep. */
+  /** The response body as base64; absent if it was too large to keep. */
   body?: string
-  /** SHA-256 of the answer's bytes, in hex. */
+  /** SHA-256 of the response body, in hex. */
   digest: string
+  /** Length of the response body in bytes. */
   bytes: number
 }
 
-/** One request key. */
+/** The claim of one request key. */
 export interface Claim {
   key: string
-  /** SHA-256 of the request, so that a key is not used for another one. */
+  /** SHA-256 of the request, so that its key is not used for another request. */
   bodyDigest: string
   request: RequestId
   epoch: number
   owner: ClaimOwner
   repeatable: boolean
-  /** Journal time of the claim, and of its outcome. */
+  /** Journal time of the claim, and of its outcome, in milliseconds. */
   claimedAt: Millis
   settledAt?: Millis
-  /** Where the stream of the running attempt is, once decoding has begun. */
+  /** Where the running attempt decodes; absent until decoding has begun. */
   decode?: { endpoint: EndpointName; epoch: number }
   outcome?: Outcome
 }
@@ -45,13 +46,16 @@
       owner: ClaimOwner
       repeatable: boolean
     }
-  /** Takes a repeatable request over from an owner that is gone. */
+  /** Takes over a repeatable request from an owner that has ended. */
   | { type: 'takeover'; key: string; epoch: number; owner: ClaimOwner }
   | { type: 'decoding'; key: string; epoch: number; endpoint: EndpointName; attempt: number }
   | { type: 'settle'; key: string; epoch: number; outcome: Outcome }
-  /** Gives the key up without an outcome: a repeatable request that was cancelled or proved not run. */
+  /**
+   * Removes the claim of a request that was cancelled or failed without an outcome, and that may run again:
+   * it is repeatable or provably did not run.
+   */
   | { type: 'forget'; key: string; epoch: number }
-  /** Journal time passes by what the leader's monotonic clock measured. */
+  /** Advances journal time by what the leader's monotonic clock measured. */
   | { type: 'tick'; elapsed: Millis }
 
 export type JournalResult =
@@ -65,12 +69,13 @@
   | { type: 'unknown' }
   | { type: 'ok' }
 
-/** Bounds of a journal group. */
+/** Limits of a journal group. */
 export interface JournalLimits {
+  /** How long a settled claim is kept after its outcome. */
   retainMs: Millis
-  /** Open claims are kept at least this long after they were made. */
+  /** Open claims are kept for `retainMs` and this long after they were made. */
   openMs: Millis
   maxClaims: number
-  /** Outcomes kept whole may add up to this. */
+  /** Limit of the total length of the kept response bodies, as base64. */
   maxOutcomeBytes: number
 }
--- a/claims/claims/src/journalClient.ts
+++ b/claims/claims/src/journalClient.ts
@@ -10,7 +10,7 @@
   deadline: Millis
 }
 
-/** Which of so many groups keeps a key. */
+/** The index of the group that keeps a key, out of `groups` groups. */
 export function groupOfKey(key: string, groups: number): number {
   return createHash('sha1').update(key).digest().readUInt32BE(0) % groups
 }
@@ -37,7 +37,7 @@
     endpoint: EndpointName,
     attempt: number,
   ): Promise<JournalResult> {
-    return this.propose(key, { type: 'decoding', key, epoch, endpoint, attempt }, 'note decoding')
+    return this.propose(key, { type: 'decoding', key, epoch, endpoint, attempt }, 'record decoding')
   }
 
   settle(key: string, epoch: number, outcome: Outcome): Promise<JournalResult> {
@@ -48,7 +48,7 @@
     return this.propose(key, { type: 'forget', key, epoch }, 'forget claim')
   }
 
-  /** The claim of a key as the journal has it, changing nothing; undefined where there is none. */
+  /** Returns the claim of a key without changing it; undefined if there is none. */
   async find(key: string): Promise<Claim | undefined> {
     const { groups, deadline } = this.options
     const group = groups[groupOfKey(key, groups.length)]!
@@ -56,7 +56,7 @@
     return claim ?? undefined
   }
 
-  /** The claim of a request id, asked of every group; for `explain`. */
+  /** Asks every group for the claim of a request id, for `explain`; undefined if no group that answers has one. */
   async findRequest(request: RequestId): Promise<Claim | undefined> {
     const { groups, deadline } = this.options
     const asked = groups.map((group) =>
--- a/claims/claims/src/journalMachine.ts
+++ b/claims/claims/src/journalMachine.ts
@@ -6,12 +6,12 @@
 interface StoredJournal {
   time: number
   open: Claim[]
-  /** Settled claims, packed one after the other, oldest outcome first; and the length of each. */
+  /** Settled claims, packed and concatenated, oldest outcome first; and the length of each in bytes. */
   settled: Uint8Array
   lengths: number[]
 }
 
-/** A settled claim: packed once, since it does not change any more and most claims are settled ones. */
+/** A settled claim, packed once, because it no longer changes and most claims are settled. */
 interface SettledClaim {
   packed: Uint8Array
   settledAt: number
@@ -21,12 +21,12 @@
 type ClaimCommand = Extract<JournalCommand, { type: 'claim' }>
 type TakeoverCommand = Extract<JournalCommand, { type: 'takeover' }>
 
-/** The claims and outcomes of one journal group. */
+/** The replicated state of one journal group: its claims and outcomes. */
 export class JournalMachine implements StateMachine<JournalCommand, JournalResult> {
   private open = new Map<string, Claim>()
-  /** By key, in the order of their outcomes: the oldest expire first. */
+  /** By key, in the order of the outcomes: the oldest expires first. */
   private settled = new Map<string, SettledClaim>()
-  /** Journal time: the sum of what the leaders measured, so that a stepped wall clock forgets nothing early. */
+  /** Journal time: the sum of the leaders' ticks in milliseconds, so that no wall clock step expires a claim early. */
   private time = 0
   private outcomeBytes = 0
 
@@ -45,7 +45,7 @@
     return settled === undefined ? this.open.get(key) : (unpack(settled.packed) as Claim)
   }
 
-  /** Looks through all claims; for `explain` only. */
+  /** Scans all claims, and so is for `explain` only. */
   findRequest(request: string): Claim | undefined {
     for (const claim of this.open.values()) if (claim.request === request) return claim
     for (const key of this.settled.keys()) {
@@ -78,7 +78,7 @@
   snapshot(): Uint8Array {
     const settled = [...this.settled.values()].map((claim) => claim.packed)
     const lengths = settled.map((packed) => packed.length)
-    // One run of bytes: packing each claim as a value of its own took longer than an election waits.
+    // One byte array: packing each claim as a separate value can take longer than an election timeout.
     const stored: StoredJournal = {
       time: this.time,
       open: [...this.open.values()],
@@ -114,7 +114,7 @@
   private resultForKnown(known: Claim, command: ClaimCommand): JournalResult {
     if (known.bodyDigest !== command.bodyDigest) return { type: 'mismatch' }
     if (known.outcome !== undefined) return { type: 'done', claim: known }
-    // The same claim sent twice, because its answer was lost.
+    // The same claim, sent again because the answer was lost.
     if (known.request === command.request) return { type: 'new', epoch: known.epoch, request: known.request }
     return { type: 'running', claim: known }
   }
@@ -131,7 +131,7 @@
     return { type: 'new', epoch: claim.epoch, request: claim.request }
   }
 
-  /** Changes an open claim on behalf of its newest owner. */
+  /** Changes an open claim for its newest owner, which has the newest epoch. */
   private updateClaim(key: string, epoch: number, apply: (claim: Claim) => void): JournalResult {
     const claim = this.find(key)
     if (claim === undefined) return { type: 'unknown' }
@@ -147,7 +147,7 @@
     claim.outcome = exceedsLimit ? { ...outcome, body: undefined } : outcome
     claim.settledAt = this.time
     this.open.delete(claim.key)
-    // A copy of its own: the packer's buffer is shared and much larger.
+    // Copies the bytes, since the packer's buffer is shared and much larger.
     this.storeSettled(claim, Uint8Array.from(pack(claim)))
   }
 
@@ -158,7 +158,7 @@
   }
 
   private advanceTime(elapsed: number): void {
-    assertInvariant(elapsed >= 0, 'journal time never goes back', () => `${elapsed}`)
+    assertInvariant(elapsed >= 0, 'journal time never decreases', () => `${elapsed}`)
     this.time += elapsed
     const { retainMs, openMs } = this.limits
     for (const [key, claim] of this.settled) {
--- a/claims/claims/src/journalTicker.ts
+++ b/claims/claims/src/journalTicker.ts
@@ -6,10 +6,10 @@
 import type { JournalMachine } from './journalMachine'
 
 const TICK_MS = 2_000
-/** A frozen leader may count at most this much at once: time may only be lost, never invented. */
+/** Limit of one tick, for a leader that was suspended: journal time may run slow but never fast. */
 const MAX_TICK_MS = 10_000
 
-/** Lets journal time pass while this box leads the group. */
+/** Advances journal time while this box is the leader of the group. */
 export function startJournalTicker(
   host: GroupHost<JournalCommand, JournalResult>,
   clock: Clock,
@@ -25,7 +25,7 @@
   })
 }
 
-/** The questions that the leader of a journal group answers, besides its group's own methods. */
+/** The methods that the leader of a journal group serves in addition to those of {@link GroupHost}. */
 export function createJournalMethods(
   group: string,
   host: GroupHost<JournalCommand, JournalResult>,
--- a/claims/claims/test/journalMachine.test.ts
+++ b/claims/claims/test/journalMachine.test.ts
@@ -29,7 +29,7 @@
 })
 
 describe('journalMachine', () => {
-  it('gives a key to one owner and the stored outcome to every resend', () => {
+  it('grants a key to one owner and returns the stored outcome to every resend', () => {
     const machine = new JournalMachine(limits)
     expect(machine.apply(claim('k', 'r1'))).toMatchObject({ type: 'new', epoch: 1 })
     expect(machine.apply(claim('k', 'r1'))).toMatchObject({ type: 'new', epoch: 1 })
@@ -42,7 +42,7 @@
     expect(machine.apply(claim('k', 'r4', 'c', { bodyDigest: 'other' }))).toEqual({ type: 'mismatch' })
   })
 
-  it('fences the earlier owner after a takeover, and never lets non-repeatable work be taken over', () => {
+  it('fences the earlier owner after a takeover, and rejects the takeover of a non-repeatable request', () => {
     const machine = new JournalMachine(limits)
     machine.apply(claim('k', 'r1'))
     const takeover: JournalCommand = { type: 'takeover', key: 'k', epoch: 1, owner: owner('b') }
@@ -55,7 +55,7 @@
     expect(machine.apply({ ...takeover, key: 'save' } as JournalCommand)).toMatchObject({ type: 'running' })
   })
 
-  it('refuses when full, forgets by age only, and keeps large outcomes by digest', () => {
+  it('rejects claims when full, expires them by age only, and keeps large outcomes as a digest', () => {
     const machine = new JournalMachine(limits)
     for (const key of ['a', 'b', 'c']) machine.apply(claim(key, key))
     expect(machine.apply(claim('d', 'd'))).toEqual({ type: 'full' })
@@ -70,7 +70,7 @@
     expect(machine.size).toBe(0)
   })
 
-  it('goes on from a snapshot exactly as without one', () => {
+  it('behaves the same after a restore from a snapshot as without one', () => {
     const keys = fc.constantFrom('a', 'b', 'c', 'd')
     const boxes = fc.constantFrom('x', 'y')
     const epochs = fc.integer({ min: 1, max: 3 })
