--- a/engine/client/src/engineClient.ts
+++ b/engine/client/src/engineClient.ts
@@ -17,7 +17,7 @@
 import { neverConnected } from './neverConnected'
 import { readLines } from './readLines'
 
-/** An engine to talk to. */
+/** Name and network address of an engine. */
 export interface EngineAddress {
   endpoint: EndpointName
   address: string
@@ -26,24 +26,24 @@
 /** Options of {@link EngineClient}. */
 export interface EngineClientOptions {
   clock: Clock
-  /** How long a call that does no model work may take. */
+  /** Timeout of calls that run no model work, such as reports, reservations and releases. */
   callTimeoutMs: Millis
 }
 
 /** An open decode stream. */
 export interface DecodeStream {
-  /** Ends the connection; the engine keeps the stream for a while. */
+  /** Closes the connection; the engine keeps the stream for a short time so that it can be resumed. */
   close(): void
 }
 
-/** Receives a decode stream. */
+/** Receives the lines of a decode stream. */
 export interface DecodeListener {
   onLine(line: EngineLine): void
-  /** The connection has ended, for whatever reason; says nothing about whether the answer is whole. */
+  /** Called when the connection has closed, for any reason; does not tell whether the answer is complete. */
   onClose(error?: EndpointError): void
 }
 
-/** The published protocol of the engines (docs/endpoints.md); another protocol is another class. */
+/** Client of the engines' published protocol (docs/endpoints.md); another protocol needs another class. */
 export class EngineClient {
   private readonly agent = new Agent({
     connections: 256,
@@ -74,7 +74,7 @@
     )
   }
 
-  /** Reserves decode memory; runs nothing. */
+  /** Reserves decode memory for `leaseMs`; runs no model work. */
   async reserve(engine: EngineAddress, attempt: AttemptId, tokens: number, leaseMs: Millis): Promise<void> {
     await this.requestJson(
       engine,
@@ -95,7 +95,7 @@
     return this.requestJson(engine, 'POST', '/v1/prefills', { ...attempt, prompt }, 'prefill', timeoutMs)
   }
 
-  /** Starts decoding; the lines come to the listener. */
+  /** Starts decoding in the reserved slot; the listener receives the lines. */
   decode(
     engine: EngineAddress,
     attempt: AttemptId,
@@ -105,13 +105,13 @@
     return this.openStream(engine, 'POST', '/v1/streams', { ...attempt, ...params }, 'decode', listener)
   }
 
-  /** Goes on with a stream from a token's number, under this epoch. */
+  /** Resumes a stream at token `from`, under the epoch of the attempt. */
   resume(engine: EngineAddress, attempt: AttemptId, from: number, listener: DecodeListener): DecodeStream {
     const path = `/v1/streams/${encodeURIComponent(attempt.request)}?epoch=${attempt.epoch}&from=${from}`
     return this.openStream(engine, 'GET', path, undefined, 'resume', listener)
   }
 
-  /** Releases everything held for a request up to this epoch; returns once the engine confirms. */
+  /** Releases everything held for a request up to the attempt's epoch; resolves once the engine confirms. */
   async release(engine: EngineAddress, attempt: AttemptId): Promise<void> {
     const path = `/v1/requests/${encodeURIComponent(attempt.request)}?epoch=${attempt.epoch}`
     await this.requestJson(engine, 'DELETE', path, undefined, 'release', this.options.callTimeoutMs)
--- a/engine/client/src/engineErrors.ts
+++ b/engine/client/src/engineErrors.ts
@@ -1,18 +1,18 @@
 import { ForkstageError } from '@forkstage/error'
 import type { RetryAfter } from '@forkstage/statements'
 
-/** The header by which an endpoint proves that it did not run a request it refuses. */
+/** Header with which an endpoint proves that it did not run a refused request. */
 export const NOT_RUN_HEADER = 'x-endpoint-ran'
-/** The header's value that is the proof. */
+/** Value of {@link NOT_RUN_HEADER} that counts as proof. */
 export const NOT_RUN_VALUE = 'no'
 
-/** Raised when an endpoint did not do what it was asked. */
+/** Raised when a step at an endpoint fails. */
 export class EndpointError extends ForkstageError {
-  /** Whether it is proved that the endpoint ran nothing of it. */
+  /** Whether it is proven that the endpoint ran no part of the step. */
   readonly notRun: boolean
-  /** The endpoint's own code, where it answered. */
+  /** Error code of the endpoint's answer; without one, the HTTP status or the message of the failure. */
   readonly reason: string
-  /** When it wants to be asked again, where it answered so. */
+  /** Delay that the endpoint asked for before the next call; type `none` when it asked for none. */
   readonly retryAfter: RetryAfter
 
   constructor(
@@ -25,7 +25,7 @@
     super(
       'FORKSTAGE_ENDPOINT',
       `${peer} failed at ${step}: ${reason}`,
-      'See the endpoint itself; forkstage tries another where it may.',
+      'Check the logs of that endpoint; forkstage retries on another one where that is safe.',
       {
         step,
         peer,
--- a/engine/client/src/engineTypes.ts
+++ b/engine/client/src/engineTypes.ts
@@ -6,26 +6,26 @@
   epoch: number
 }
 
-/** A prompt as an engine takes it. */
+/** A prompt in the form that engines accept. */
 export interface EnginePrompt {
   model: string
-  /** The request body of the caller, as parsed. */
+  /** The caller's request body, parsed. */
   body: unknown
   tokens: number
-  /** Hashes of the prompt's prefixes, one a block, each covering all text before it. */
+  /** Hashes of the prompt's prefixes, one per block; each covers its block and all text before it. */
   blocks: string[]
   priority: number
 }
 
-/** A prefill result that is kept for a short while. */
+/** A prefill result, which the engine keeps for a limited time. */
 export interface PrefillResult {
-  /** Tokens that came from the prefix cache. */
+  /** Prompt tokens found in the prefix cache. */
   cachedTokens: number
   /** How long the engine keeps the result. */
   keepMs: Millis
 }
 
-/** Where a decode engine fetches the prompt's KV cache. */
+/** The prefill engine from which a decode engine fetches the prompt's KV cache. */
 export interface KvSource {
   endpoint: EndpointName
   address: string
@@ -33,16 +33,16 @@
   link: string
 }
 
-/** Starts decoding in a slot that was reserved before. */
+/** Parameters of decoding in a slot that was reserved before. */
 export interface DecodeParams {
   prompt: EnginePrompt
   maxTokens: number
-  /** Same seed, same answer: lets a lost stream be made again. */
+  /** The same seed gives the same answer, so that a lost stream can be generated again. */
   seed: number
-  /** Absent where the engine made the prefill itself. */
+  /** Undefined when the decode engine ran the prefill itself. */
   source?: KvSource
   kvBytes: number
-  /** The rate of the link between the two, in bytes a millisecond. */
+  /** Rate of the link from the source to the decode engine, in bytes per millisecond. */
   linkBytesPerMs: number
 }
 
@@ -50,26 +50,26 @@
 export type EngineLine =
   | { type: 'transfer'; moved: number; total: number }
   | { type: 'token'; request: RequestId; epoch: number; seq: number; text: string }
-  /** `seq` is the number of tokens before it: the answer is whole once all of them are there. */
+  /** `seq` is the number of tokens in the answer, which is complete once all of them have arrived. */
   | { type: 'end'; request: RequestId; epoch: number; seq: number; finish: string }
 
-/** What an engine says of its load; late by its own account of `at`. */
+/** An engine's report of its own load; the figures are already `ageMs` old when it is sent. */
 export interface EngineReport {
-  /** When the figures were taken, in milliseconds before the answer. */
+  /** Age of the figures when the engine answered. */
   ageMs: Millis
   queuedPrefillTokens: number
   prefillTokensPerSecond: number
   runningStreams: number
   kvTokensUsed: number
   kvTokensTotal: number
-  /** The duration of the last decode steps on average. */
+  /** Mean duration of recent decode steps. */
   stepMs: Millis
   leaving: boolean
-  /** Whether an answer can be made again from its seed. */
+  /** Whether the same seed reproduces an answer. */
   deterministic: boolean
 }
 
-/** What an engine holds for one request. */
+/** A resource that an engine holds for a request. */
 export interface EngineHold {
   request: RequestId
   epoch: number
@@ -85,7 +85,7 @@
   block: string
 }
 
-/** An order to an engine, fenced: a lower fence than the last one taken is refused. */
+/** A fenced order to an engine, which refuses a fence lower than the highest one accepted so far. */
 export interface EngineOrder {
   fence: number
   action: 'loadModel' | 'loadAdapter' | 'setVersion' | 'setRole'
--- a/engine/client/src/index.ts
+++ b/engine/client/src/index.ts
@@ -1,4 +1,4 @@
-/** The engines' protocol. */
+/** Client of the engines' protocol. */
 export { EngineClient } from './engineClient'
 export type { DecodeListener, DecodeStream, EngineAddress, EngineClientOptions } from './engineClient'
 export { EndpointError, NOT_RUN_HEADER, NOT_RUN_VALUE } from './engineErrors'
--- a/engine/client/src/neverConnected.ts
+++ b/engine/client/src/neverConnected.ts
@@ -1,4 +1,4 @@
-/** Error codes of a connection that never came about: nothing can have reached the endpoint. */
+/** Codes of errors that precede a connection, so that no request can have reached the endpoint. */
 const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -6,7 +6,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ])
 
-/** Whether an error proves that nothing was sent. */
+/** Whether an error proves that no request was sent. */
 export function neverConnected(error: unknown): boolean {
   return CONNECT_ERROR_CODES.has((error as { code?: string }).code ?? '')
 }
--- a/engine/client/src/readLines.ts
+++ b/engine/client/src/readLines.ts
@@ -1,7 +1,7 @@
 import { StringDecoder } from 'node:string_decoder'
 import type { Readable } from 'node:stream'
 
-/** Calls back for every line of a body as soon as it is whole. Resolves when the body ends. */
+/** Calls `onLine` for each complete, non-empty line of a body. Resolves when the body ends, rejects when it is cut. */
 export function readLines(body: Readable, onLine: (line: string) => void): Promise<void> {
   const decoder = new StringDecoder('utf8')
   let rest = ''
@@ -13,6 +13,6 @@
     })
     body.on('error', reject)
     body.on('end', resolve)
-    body.on('close', () => reject(new Error('the connection was cut')))
+    body.on('close', () => reject(new Error('connection closed before the body ended')))
   })
 }
--- a/engine/fakes/src/engineProfile.ts
+++ b/engine/fakes/src/engineProfile.ts
@@ -1,4 +1,4 @@
-/** The speed and size of a stand-in engine. */
+/** Speed and memory of a fake engine. */
 export interface EngineProfile {
   prefillTokensPerSecond: number
   /** Fixed cost of one prefill. */
@@ -7,13 +7,13 @@
   stepBaseMs: number
   stepPerStreamMs: number
   stepPer10kTokensMs: number
-  /** How many times longer a decode step takes while the same engine prefills. */
+  /** Factor by which a decode step takes longer while the engine also runs a prefill. */
   stepFactorInPrefill: number
   kvTokens: number
-  /** Of the KV memory, how much the prefix cache may fill. */
+  /** Tokens of the KV memory that the prefix cache may fill. */
   cacheTokens: number
   blockTokens: number
-  /** How long results and finished streams are kept. */
+  /** How long prefill results and finished streams are kept. */
   keepMs: number
   checksFences: boolean
   deterministic: boolean
--- a/engine/fakes/src/engineScheduler.ts
+++ b/engine/fakes/src/engineScheduler.ts
@@ -2,7 +2,7 @@
 import { answerTokenCount } from './answerText'
 import { EngineRefusal, type DecodeRun, type EngineState, type PrefillJob } from './engineState'
 
-/** Takes prefills one after the other, runs decode steps over all streams together, and keeps results for a while. */
+/** Runs prefills one at a time and decode steps over all streams at once, and drops expired results. */
 export class EngineScheduler {
   private isPrefilling = false
   private isStepping = false
@@ -45,7 +45,7 @@
     state.slots.set(attempt.request, { ...attempt, tokens, since: now(), leaseUntil: now() + leaseMs })
   }
 
-  /** Starts a stream in the reserved slot; the KV cache is fetched first where a source is named. */
+  /** Adds a stream in the reserved slot. With a source it starts only after its KV cache has been fetched. */
   decode(attempt: AttemptId, params: DecodeParams, listener: DecodeRun['listener']): DecodeRun {
     const { state } = this
     this.admitAttempt(attempt)
@@ -79,7 +79,7 @@
     void this.runSteps()
   }
 
-  /** Releases whatever a request holds up to an epoch; later arrivals of those epochs are refused. */
+  /** Releases everything held for a request up to an epoch; later calls of those epochs are refused. */
   release(attempt: AttemptId): void {
     const { state } = this
     if (state.faults.failReleases) throw new EngineRefusal(500, 'release-failed', true)
@@ -99,7 +99,7 @@
     state.record.released += 1
   }
 
-  /** The decode side has fetched a result: it is no longer needed here. */
+  /** Drops the result of a prefill after the decode engine has fetched it. */
   dropExportedPrefill(attempt: AttemptId): void {
     const job = this.state.prefills.get(attempt.request)
     if (job !== undefined && job.epoch <= attempt.epoch) this.state.prefills.delete(attempt.request)
--- a/engine/fakes/src/engineState.ts
+++ b/engine/fakes/src/engineState.ts
@@ -3,7 +3,7 @@
 import { NO_FAULTS, type EngineFaults } from './faults'
 import { PrefixCache } from './prefixCache'
 
-/** A prefill that waits, runs, or is kept. */
+/** A prefill that is queued or running, or whose result is kept. */
 export interface PrefillJob extends AttemptId {
   prompt: EnginePrompt
   since: number
@@ -12,14 +12,14 @@
   finish: (error?: EngineRefusal) => void
 }
 
-/** Decode memory reserved ahead of its use. */
+/** Decode memory reserved for a request until the lease ends. */
 export interface Slot extends AttemptId {
   tokens: number
   since: number
   leaseUntil: number
 }
 
-/** A stream being decoded, or finished and kept for resuming. */
+/** A stream that is being decoded, or is finished and kept so that it can be resumed. */
 export interface DecodeRun extends AttemptId {
   params: DecodeParams
   answerTokens: number
@@ -31,7 +31,7 @@
   listener?: (event: 'transfer' | 'token' | 'end' | 'fenced') => void
 }
 
-/** An answer that refuses; `ran` says whether anything of the request was run. */
+/** A refused request; `ran` is false when the engine ran no part of it. */
 export class EngineRefusal extends Error {
   constructor(
     readonly status: number,
@@ -42,30 +42,30 @@
   }
 }
 
-/** What the engine did, for tests to compare with what the system says. */
+/** Counts of an engine's work, which tests compare with what the router reports. */
 export interface EngineRecord {
   prefills: number
   prefillTokens: number
-  /** Prefill tokens whose result was thrown away before decoding. */
+  /** Prompt tokens of prefills whose result was discarded before decoding. */
   wastedTokens: number
   decodes: number
   completed: number
   released: number
   orders: { fence: number; action: string; argument: string }[]
-  /** Requests whose decode ran to its end, each with how often. */
+  /** Number of completed decodes, by request. */
   answered: Record<string, number>
-  /** Requests of which a prefill was begun, each with how often. */
+  /** Number of started prefills, by request. */
   begun: Record<string, number>
 }
 
-/** All that a stand-in engine holds. */
+/** State of a fake engine. */
 export class EngineState {
   faults: EngineFaults = { ...NO_FAULTS }
   readonly cache: PrefixCache
   readonly prefills = new Map<string, PrefillJob>()
   readonly slots = new Map<string, Slot>()
   readonly runs = new Map<string, DecodeRun>()
-  /** The highest epoch seen of each request, and what has been released; kept for a minute. */
+  /** The highest epoch seen and the highest one released, by request; kept for a minute. */
   readonly epochs = new Map<string, { epoch: number; released: number; at: number }>()
   fence = 0
   stepMs = 0
@@ -125,7 +125,7 @@
     ]
   }
 
-  /** Refuses attempts that a higher epoch or a release has fenced. */
+  /** Records the epoch of an attempt; throws an {@link EngineRefusal} when a higher epoch or a release fenced it. */
   admit(attempt: AttemptId, now: number): void {
     const known = this.epochs.get(attempt.request)
     const fenced = known !== undefined && (attempt.epoch < known.epoch || attempt.epoch <= known.released)
--- a/engine/fakes/src/faults.ts
+++ b/engine/fakes/src/faults.ts
@@ -1,28 +1,28 @@
-/** What can go wrong with a stand-in engine; switched on by `POST /faults`. */
+/** Faults of a fake engine, set with `POST /faults`. */
 export interface EngineFaults {
-  /** Transfers into this engine stop half-way until this is switched off. */
+  /** Transfers into this engine make no progress until the fault is cleared. */
   stallTransfers: boolean
   /** New work is refused with proof that it did not run. */
   refuse: boolean
-  /** Everything takes this many times as long. */
+  /** Prefills, decode steps and transfers take this many times as long. */
   slowFactor: number
-  /** The share of reports that fail. */
+  /** Share of reports that fail, from 0 to 1. */
   dropReports: number
-  /** How old the figures of a report are. */
+  /** Age of the figures in a report. */
   reportLagMs: number
-  /** The share of cache events that are left out. */
+  /** Share of cache events that are omitted, from 0 to 1. */
   dropCacheEvents: number
   /** Token lines are sent twice. */
   doubleFrames: boolean
   /** Every second token line is sent after its successor. */
   swapFrames: boolean
-  /** Stream connections are cut after this many tokens; 0 never. */
+  /** Stream connections are cut after this many tokens; 0 cuts none. */
   cutStreamsAfter: number
-  /** Prefills are taken and never answered. */
+  /** Prefills run, but their requests are never answered. */
   hangPrefills: boolean
   /** Releases fail. */
   failReleases: boolean
-  /** The engine says of itself that it is leaving. */
+  /** The engine reports that it is leaving. */
   leaving: boolean
 }
 
--- a/engine/fakes/src/index.ts
+++ b/engine/fakes/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what the system meets. */
+/** Fakes of the servers that the router calls: model engines, plain services, the platform's list of boxes. */
 export { startEngine } from './startEngine'
 export type { RunningEngine, StartEngineOptions } from './startEngine'
 export { startPlainService } from './startPlainService'
--- a/engine/fakes/src/kvTransfer.ts
+++ b/engine/fakes/src/kvTransfer.ts
@@ -2,15 +2,15 @@
 import { now, wait, type EngineScheduler } from './engineScheduler'
 import type { DecodeRun, EngineState } from './engineState'
 
-/** Progress is told at least this often. */
+/** Longest interval between two progress events of a transfer. */
 const PROGRESS_INTERVAL_MS = 20
 
-/** Links of limited rate, shared by all transfers of this process: when each is free again. */
+/** When each link is free again, by link; all transfers of this process share the links. */
 const linkFreeAt = new Map<string, number>()
 
 /**
- * Moves a prompt's KV cache from the prefill engine: asks for it there, then takes the time that the
- * link's rate demands, queued behind what is on the link already. Bytes are counted, not carried.
+ * Simulates the fetch of a prompt's KV cache: requests the export from the prefill engine, then waits for as long
+ * as the link's rate requires, behind the transfers already queued on that link. No KV bytes are sent.
  */
 export async function fetchKv(state: EngineState, scheduler: EngineScheduler, run: DecodeRun): Promise<void> {
   const { source, kvBytes, linkBytesPerMs } = run.params
--- a/engine/fakes/src/main.ts
+++ b/engine/fakes/src/main.ts
@@ -4,7 +4,7 @@
 import { startPlainService } from './startPlainService'
 import { startPlatformList } from './startPlatformList'
 
-/** The stand-ins as a program: `fakes engine --port 9001`, several ports in one process with a comma. */
+/** Command line of the fakes, such as `fakes engine --port 9001,9002`: one fake per port, all in this process. */
 async function main(): Promise<void> {
   const ports = { type: 'string', demandOption: true, describe: 'ports, separated by commas' } as const
   const profile = { type: 'string', default: '{}', describe: 'engine profile as JSON' } as const
@@ -20,7 +20,7 @@
     })
     .command(
       'platform',
-      'the list of boxes',
+      'list of live and leaving boxes',
       { port: ports, lag: { type: 'number', default: 500 } },
       async (args) => {
         await startPlatformList({ port: Number(args.port), lagMs: args.lag })
--- a/engine/fakes/src/prefixCache.ts
+++ b/engine/fakes/src/prefixCache.ts
@@ -2,16 +2,16 @@
 
 const MAX_EVENTS = 4_096
 
-/** A prompt-prefix cache in limited memory, least recently used block out first, with its events. */
+/** A prefix cache of limited size that evicts the least recently used block and records its changes as events. */
 export class PrefixCache {
-  /** Blocks in order of use, oldest first. */
+  /** Blocks ordered by last use, least recent first. */
   private readonly blocks = new Map<string, true>()
   private events: CacheEvent[] = []
   private seq = 0
 
   constructor(private readonly capacityBlocks: number) {}
 
-  /** How many of the leading blocks are cached. */
+  /** Returns how many leading blocks are cached. */
   match(blocks: string[]): number {
     const firstMissing = blocks.findIndex((block) => !this.blocks.has(block))
     return firstMissing < 0 ? blocks.length : firstMissing
--- a/engine/fakes/src/startEngine.ts
+++ b/engine/fakes/src/startEngine.ts
@@ -15,12 +15,12 @@
   profile?: Partial<EngineProfile>
 }
 
-/** A stand-in model engine. */
+/** A running fake engine and its state. */
 export interface RunningEngine extends RunningFake {
   state: EngineState
 }
 
-/** Starts a model engine that takes its time but computes nothing; its protocol is in docs/endpoints.md. */
+/** Starts a fake model engine, which takes time but computes nothing; docs/endpoints.md describes its protocol. */
 export async function startEngine(options: StartEngineOptions): Promise<RunningEngine> {
   const state = new EngineState({ ...DEFAULT_PROFILE, ...options.profile })
   const scheduler = new EngineScheduler(state)
@@ -117,7 +117,7 @@
   app.get('/record', (_request, response) => void response.json(state.record))
 }
 
-/** Takes figures every few milliseconds so that a report can be as old as the faults say. */
+/** Samples the load at intervals, so that a report can be as old as the faults require. */
 function startReportSampling(state: EngineState) {
   const intervalMs = 50
   const samples: { at: number; report: Omit<EngineReport, 'ageMs'> }[] = []
--- a/engine/fakes/src/startPlainService.ts
+++ b/engine/fakes/src/startPlainService.ts
@@ -9,11 +9,11 @@
   bytes: number
 }
 
-/** What can go wrong with a plain service. */
+/** Faults of a fake plain service, set with `POST /faults`. */
 export interface PlainFaults {
-  /** Calls are run and the connection is cut before the answer. */
+  /** Calls run, but the connection is cut before the answer. */
   cutAfterRun: boolean
-  /** Answers take this long. */
+  /** Delay of each answer. */
   delayMs: number
   /** Calls are refused with proof that they did not run. */
   refuse: boolean
@@ -21,7 +21,7 @@
 
 const NO_PLAIN_FAULTS: PlainFaults = { cutAfterRun: false, delayMs: 0, refuse: false }
 
-/** Starts a plain service that counts what it ran and answers with what it got. */
+/** Starts a fake plain service that records its calls and echoes their bodies. */
 export async function startPlainService(options: { port: number }): Promise<RunningFake> {
   const calls: PlainCall[] = []
   let faults = NO_PLAIN_FAULTS
--- a/engine/fakes/src/startPlatformList.ts
+++ b/engine/fakes/src/startPlatformList.ts
@@ -1,13 +1,13 @@
 import express from 'express'
 import { listenOn, type RunningFake } from './listenOn'
 
-/** The platform's word on boxes and endpoints. */
+/** Names of live and of leaving boxes, as the platform lists them. */
 export interface PlatformMembers {
   live: string[]
   leaving: string[]
 }
 
-/** Starts the platform's list of live and leaving boxes; what `POST /members` sets shows after the lag. */
+/** Starts a fake of the platform's list of boxes; a list set with `POST /members` is served after `lagMs`. */
 export async function startPlatformList(options: { port: number; lagMs: number }): Promise<RunningFake> {
   let shown: PlatformMembers = { live: [], leaving: [] }
   const app = express()
--- a/engine/fakes/src/writeStream.ts
+++ b/engine/fakes/src/writeStream.ts
@@ -3,7 +3,7 @@
 import { answerToken } from './answerText'
 import type { DecodeRun, EngineState } from './engineState'
 
-/** Writes a run's lines from a token on, one JSON text a line, and follows it until it ends. */
+/** Writes a run's lines as NDJSON from token `from` on, and those that follow until the run ends. */
 export function writeStream(response: Response, run: DecodeRun, state: EngineState, from: number): void {
   response.setHeader('content-type', 'application/x-ndjson')
   response.flushHeaders()
