--- a/tools/bench/src/benchDeployment.ts
+++ b/tools/bench/src/benchDeployment.ts
@@ -5,7 +5,7 @@
 import { Deployment, type DeploymentOptions } from '@forkstage/deployment'
 import type { EngineRecord } from '@forkstage/fakes'
 
-/** Runs something on a fresh deployment that has its first table in force; removes everything after. */
+/** Runs a function on a fresh deployment whose first table is in force; stops it and removes its files afterwards. */
 export async function withDeployment<Result>(
   options: Omit<DeploymentOptions, 'folder'>,
   run: (deployment: Deployment) => Promise<Result>,
@@ -29,14 +29,14 @@
   ...deployment.ports.decode,
 ]
 
-/** What the engines say they did. */
+/** Reads the work records of all engines, prefill engines first. */
 export function readRecords(deployment: Deployment): Promise<EngineRecord[]> {
   return Promise.all(
     enginePorts(deployment).map((port) => got(`http://127.0.0.1:${port}/record`).json<EngineRecord>()),
   )
 }
 
-/** Switches faults on at one engine. */
+/** Sets the faults of the fake engine on a port; faults that are not given are cleared. */
 export async function setFaults(port: number, faults: object): Promise<void> {
   await got.post(`http://127.0.0.1:${port}/faults`, { json: faults })
 }
--- a/tools/bench/src/crashExperiment.ts
+++ b/tools/bench/src/crashExperiment.ts
@@ -4,25 +4,25 @@
 import { writeJson } from './report'
 import { round } from './summarise'
 
-/** Requests that an engine runs when it ends. */
+/** Requests that run on an engine when it crashes. */
 const RUNNING_REQUESTS = 64
-/** Ends that are in the book: at the target 200 boxes fail in a day, those of an hour are kept. */
+/** Crashes held by the tracker: at the target 200 boxes fail per day, and crashes are kept for an hour. */
 const CRASH_COUNTS = [3, 10, 30]
 const LOOKUPS = 200_000
 const DIGESTS = 20_000
 const BODY_BYTES = [800, 8_000, 32_000]
 const HOUR_MS = 3_600_000
 
-/** Times what each request and each end of an endpoint costs the book of contents, and what passes between machines. */
+/** Measures what a request and a crash cost the crash tracker, and the size of a crash record between machines. */
 export function runCrashExperiment(): void {
   const rows = CRASH_COUNTS.map(measureCrashes)
   printTable(
-    ['ends in the book', 'contents', 'µs to take one end', 'bytes of one end', 'ns a lookup'],
+    ['crashes held', 'contents', 'µs per merged crash', 'bytes per crash record', 'ns per lookup'],
     rows.map((row) => [row.ends, row.contents, row.takeUs, row.endBytes, row.lookupNs]),
   )
   const digests = BODY_BYTES.map(measureDigest)
   printTable(
-    ['bytes of a body', 'µs a digest'],
+    ['bytes per body', 'µs per digest'],
     digests.map((row) => [row.bytes, row.digestUs]),
   )
   writeJson('crashes', { ends: rows, digests })
--- a/tools/bench/src/engineModel.ts
+++ b/tools/bench/src/engineModel.ts
@@ -1,42 +1,42 @@
-/** What one engine of the experiment is like. */
+/** Memory and speed of a simulated engine. */
 export interface EngineModelOptions {
   kvTokens: number
-  /** Time of a step with one answer running, and what each further one adds, in milliseconds. */
+  /** Duration of a step without its answers, and what each running answer adds. */
   stepMs: number
   stepMsPerAnswer: number
-  /** Prompt tokens that an engine reads in a millisecond; a decode engine reads at half the pace. */
+  /** Prompt tokens that a prefill engine reads per millisecond; a decode engine reads at half that rate. */
   prefillTokensPerMs: number
   /** Tokens in one event of an answer. */
   tokensPerEvent: number
 }
 
-/** An answer that an engine makes. */
+/** An answer that an engine decodes. */
 export interface RunningAnswer {
   request: string
   promptTokens: number
   outputTokens: number
   producedTokens: number
   startedAt: number
-  /** Put back for want of memory; what it held has to be read again. */
+  /** When the answer was last preempted for lack of memory; its tokens must then be read again. */
   preemptedAt: number
   longestPauseMs: number
-  /** When its last event came. */
+  /** When the caller received the last event. */
   lastEventAt: number
   onEnd: () => void
 }
 
 /**
- * A decode engine with scarce memory: all answers grow alike, the newest is put back where memory runs out
- * and is read again at half the pace, which holds up the others.
+ * A decode engine with scarce memory. All answers grow at the same rate. When memory runs out, the newest is preempted
+ * and later read again at half the prefill rate, during which the other answers stop.
  */
 export class EngineModel {
   private running: RunningAnswer[] = []
   private preempted: RunningAnswer[] = []
   private prefillUntil = 0
   recomputedTokens = 0
-  /** How many times longer than it should everything takes here now. */
+  /** Factor by which prefill and decode are slower than specified. */
   slowness = 1
-  /** Memory in use over time, for its mean. */
+  /** Integral of the memory in use, in tokens times milliseconds, from which its mean is computed. */
   heldTokenMs = 0
 
   constructor(private readonly options: EngineModelOptions) {}
@@ -45,21 +45,21 @@
     this.running.push(answer)
   }
 
-  /** Lets an answer go on elsewhere; undefined where it does not run here. */
+  /** Removes an answer that migrates to another engine and returns it; undefined when it is not running here. */
   remove(request: string): RunningAnswer | undefined {
     const answer = this.running.find((one) => one.request === request)
     this.running = this.running.filter((one) => one !== answer)
     return answer
   }
 
-  /** Reads a prompt here, between the tokens of others, which it holds up. */
+  /** Prefills a prompt, which stops the decoding of other answers; returns when the prefill ends. */
   prefill(tokens: number, now: number): number {
     this.prefillUntil =
       Math.max(now, this.prefillUntil) + (tokens * 2 * this.slowness) / this.options.prefillTokensPerMs
     return this.prefillUntil
   }
 
-  /** Lets time pass. */
+  /** Advances the engine by `stepMs`. */
   advance(now: number, stepMs: number): void {
     this.heldTokenMs += this.heldTokens() * stepMs
     this.resumePreempted(now)
--- a/tools/bench/src/fleetSlopes.ts
+++ b/tools/bench/src/fleetSlopes.ts
@@ -17,7 +17,7 @@
 const CHANGES = 20
 const REQUEST_RATES = [5, 15, 30]
 
-/** What an idle box spends, on average over the entries that are not control replicas and for the leader. */
+/** Load of idle boxes: the mean of the entries that are not control replicas, and that of the leader. */
 interface IdleFigures {
   entryCpu: number
   entryBytes: number
@@ -26,7 +26,7 @@
   entryMegabytes: number
 }
 
-/** What an idle box and the control leader spend as boxes are added. */
+/** Measures the load of idle entries and of the control leader as boxes are added. */
 export async function boxSlopes(): Promise<Slope[]> {
   const points: [number, IdleFigures][] = []
   for (const count of BOX_COUNTS) {
@@ -48,7 +48,7 @@
   ]
 }
 
-/** What an entry spends on the endpoints it follows. */
+/** Measures the load of an entry as the number of endpoints that it follows grows. */
 export async function endpointSlopes(): Promise<Slope[]> {
   const points: [number, IdleFigures][] = []
   for (const engines of ENGINE_COUNTS) {
@@ -74,7 +74,7 @@
   ]
 }
 
-/** What one changed row costs an entry as the table grows. */
+/** Measures the cost of one changed row at an entry as the table grows. */
 export async function changeSlopes(): Promise<Slope[]> {
   const points: { rows: number; bytes: number; cpu: number; megabytes: number }[] = []
   for (const rows of ROW_COUNTS) {
@@ -93,7 +93,7 @@
   ]
 }
 
-/** What requests cost the entry that runs them and the journal's leader. */
+/** Measures the cost of requests at the entry that runs them and at the journal's leader. */
 export async function requestSlopes(): Promise<Slope[]> {
   const mix = MIXES.addis
   const points = await withDeployment(
@@ -145,7 +145,7 @@
     (each) => each.residentBytes / 1e6,
   )
   const entries = deployment.boxes.flatMap((box, index) => (box.control ? [] : [index]))
-  // With control boxes only, they stand for the entries too.
+  // In a deployment of control boxes only, these are measured as entries too.
   const counted = entries.length > 0 ? entries : deployment.boxes.map((_, index) => index)
   const mean = (values: number[]) => sum(counted.map((index) => values[index]!)) / counted.length
   const controls = deployment.boxes.flatMap((box, index) => (box.control ? [index] : []))
@@ -206,7 +206,7 @@
 
 const bytesOfAll = (deployment: Deployment) => deployment.boxes.map((box) => bytesOf(deployment, box))
 
-/** All peer traffic of a box: what it asked of others, and what others asked of it. */
+/** Returns the bytes of all peer traffic of a box, over connections that it opened and that others opened to it. */
 function bytesOf(deployment: Deployment, box: BoxHandle): number {
   let bytes = 0
   for (const other of deployment.boxes) {
--- a/tools/bench/src/journalExperiment.ts
+++ b/tools/bench/src/journalExperiment.ts
@@ -18,7 +18,7 @@
   seconds: number
 }
 
-/** Claims a second and their latency, through the peers' protocol, with real syncs on three disks. */
+/** Measures claims per second and their latency through the peer protocol, with real syncs on three replicas. */
 export async function runJournalExperiment({ seconds }: JournalExperimentOptions): Promise<void> {
   const settings = { log: { level: 'warn' }, journal: { max_claims: 2_000_000 } }
   const rows = await withDeployment(
@@ -31,7 +31,7 @@
     },
   )
   printTable(
-    ['in flight', 'claims/s', 'p50 ms', 'p99 ms', 'leader CPU share', 'CPU µs a claim'],
+    ['in flight', 'claims/s', 'p50 ms', 'p99 ms', 'leader CPU share', 'CPU µs per claim'],
     rows.map((row) => [row.concurrency, row.claimsASecond, row.p50, row.p99, row.leaderCpu, row.cpuUsAClaim]),
   )
   writeJson('journal', rows)
@@ -65,7 +65,7 @@
   await Promise.all(Array.from({ length: concurrency }, (_, index) => worker(index)))
   const after = await cpuSecondsOfAll(deployment)
   peers.close()
-  // The leader is the replica that spent most.
+  // The leader is the replica that used the most processor time.
   const leaderSeconds = Math.max(...after.map((each, index) => each - before[index]!))
   const { p50, p99 } = percentiles(times)
   return {
--- a/tools/bench/src/limitExperiment.ts
+++ b/tools/bench/src/limitExperiment.ts
@@ -5,19 +5,19 @@
 import { writeJson } from './report'
 import { round } from './summarise'
 
-/** Endpoints that name a rate at one time: a few, a service, a tenth of 11,000. */
+/** Endpoints that advertise a rate at one time: a few, a service, a tenth of 11,000. */
 const LIMITED_COUNTS = [3, 30, 300, 1_100]
 const ENTRIES = 420
 const REPORTS = 2_000
-/** Each 500 ms, and each 250 ms for as long as the leader has fewer permits than are wanted. */
+/** An entry reports every 500 ms, and every 250 ms while the leader has fewer permits than are wanted. */
 const REPORTS_PER_SECOND = 4
 const MS_PER_SECOND = 1_000
 
-/** Times the leader's work for one report of named rates, checked and answered, and what passes between the machines. */
+/** Measures the leader's time to check and answer one report of advertised rates, and the size of both messages. */
 export function runLimitExperiment(): void {
   const rows = LIMITED_COUNTS.map(measure)
   printTable(
-    ['endpoints', 'µs a report', 'leader, ms a second', 'bytes of a report', 'bytes of its answer'],
+    ['endpoints', 'µs per report', 'leader, ms per second', 'bytes per report', 'bytes per answer'],
     rows.map((row) => [row.endpoints, row.reportUs, row.leaderMs, row.reportBytes, row.answerBytes]),
   )
   writeJson('limits', { rows })
--- a/tools/bench/src/loadGenerator.ts
+++ b/tools/bench/src/loadGenerator.ts
@@ -1,7 +1,7 @@
 import { sendChat, type BoxHandle, type ChatAnswer } from '@forkstage/deployment'
 import type { PlannedRequest } from './mixes'
 
-/** What became of one planned request. */
+/** Outcome of one planned request. */
 export interface Sample extends PlannedRequest {
   status: number
   whole: boolean
@@ -14,14 +14,14 @@
 /** Options of {@link sendPlanned}. */
 export interface SendPlannedOptions {
   model: string
-  /** The boxes the balancer would choose from, asked for each request. */
+  /** Returns the boxes among which a load balancer would choose; called for each request. */
   boxes: () => Pick<BoxHandle, 'callers'>[]
   ttftTarget?: number
 }
 
 const CLIENT_TIMEOUT_MS = 20_000
 
-/** Sends requests at their times, whether or not earlier ones have been answered (open loop). */
+/** Sends requests at their planned times, whether or not earlier ones have been answered (open loop). */
 export async function sendPlanned(plan: PlannedRequest[], options: SendPlannedOptions): Promise<Sample[]> {
   const started = performance.now()
   const sending = plan.map(async (planned, index) => {
--- a/tools/bench/src/main.ts
+++ b/tools/bench/src/main.ts
@@ -21,7 +21,7 @@
     .scriptName('npm run bench --')
     .command(
       'policy',
-      'goodput and wasted prefill against the baselines',
+      'goodput and wasted prefill compared with the baselines',
       (argv) =>
         argv
           .option('mix', { choices: ['addis', 'colombo'] as const, default: 'addis' as const })
@@ -76,20 +76,20 @@
         }),
     )
     .command('place', 'the placement decision alone', {}, () => runPlaceExperiment())
-    .command('place-calls', "the leader's checks of what entries report of their places", {}, () =>
+    .command('place-calls', "the leader's checks of the placements that entries report", {}, () =>
       runPlaceCallExperiment(),
     )
-    .command('crashes', 'what the book of contents that end endpoints costs', {}, () => runCrashExperiment())
-    .command('limits', "the leader's work for rates that endpoints name", {}, () => runLimitExperiment())
+    .command('crashes', 'cost of the crash tracker', {}, () => runCrashExperiment())
+    .command('limits', "the leader's work for rates that endpoints advertise", {}, () => runLimitExperiment())
     .command('quota', "the leader's work for quotas, by entries and workspaces", {}, () =>
       runQuotaExperiment(),
     )
-    .command('relay', "the relay's cost a token, direct against through a box", {}, () =>
+    .command('relay', "the relay's cost per token, directly and through a box", {}, () =>
       runRelayExperiment(),
     )
     .command(
       'journal',
-      'claims a second with real syncs',
+      'claims per second with real syncs',
       { seconds: { type: 'number', default: 5 } },
       (args) => runJournalExperiment({ seconds: args.seconds }),
     )
@@ -99,10 +99,12 @@
       { runs: { type: 'number', default: 11, describe: 'starts of each program' } },
       ({ runs }) => runStartExperiment({ runs }),
     )
-    .command('table', 'accepted to in force, change of leader, restart', {}, () => runTableExperiment())
+    .command('table', 'time from accepted to in force, change of leader, restart', {}, () =>
+      runTableExperiment(),
+    )
     .command(
       'slopes',
-      'what docs/CAPACITY.md is worked out from',
+      'slopes from which docs/CAPACITY.md is calculated',
       { parts: { type: 'string', default: SLOPE_PARTS.join(','), describe: 'parts to measure' } },
       (args) => runSlopesExperiment(list(args.parts)),
     )
--- a/tools/bench/src/memoryCalls.ts
+++ b/tools/bench/src/memoryCalls.ts
@@ -10,7 +10,7 @@
 export const MAX_EVENTS = 170
 export const TARGET_MS = 900
 
-/** What callers ask, and of which engines. */
+/** Size of the callers' requests, and the engines that serve them. */
 export interface WorkloadShape {
   meanPromptTokens: number
   maxPromptTokens: number
@@ -58,7 +58,7 @@
   },
 }
 
-/** One caller's request, with its second try. */
+/** One caller's request, including its second try. */
 export interface Call {
   id: number
   promptTokens: number
@@ -70,11 +70,11 @@
   wasRefusedPromptly: boolean
   worth: number
   metTarget: boolean
-  /** What it counts, by its size. */
+  /** Weight of the request in all figures, which grows with its size. */
   weight: number
 }
 
-/** Draws a caller's request: a long prompt, a long answer, and a guess of it that is often far off. */
+/** Draws a request with a long prompt, a long answer, and a hint of its length that is often far off. */
 export function drawCall(random: Random, shape: WorkloadShape, id: number, now: number): Call {
   const outputTokens = logNormal(random, MEAN_EVENTS, 0.7, MAX_EVENTS) * shape.tokensPerEvent
   const promptTokens = 200 + logNormal(random, shape.meanPromptTokens, 0.5, shape.maxPromptTokens)
@@ -94,7 +94,7 @@
   }
 }
 
-/** What a request earned, as a share of what it counts. */
+/** Returns the worth of an answer, as a share of the request's weight. */
 export function worthOf(call: Call, firstEventAt: number, longestPauseMs: number): number {
   if (longestPauseMs > MAX_PAUSE_MS) return LATE_ANSWER_WORTH
   if (firstEventAt - call.firstAt <= TARGET_MS) return 1
@@ -103,7 +103,7 @@
     : LATE_ANSWER_WORTH
 }
 
-/** A draw around a mean, bounded above. */
+/** Draws from a log-normal distribution with the given mean; draws above `max` become `max`. */
 function logNormal(random: Random, mean: number, spread: number, max: number): number {
   return Math.min(max, randomLogNormal.source(random)(Math.log(mean) - spread ** 2 / 2, spread)())
 }
--- a/tools/bench/src/memoryExperiment.ts
+++ b/tools/bench/src/memoryExperiment.ts
@@ -8,7 +8,7 @@
 import { writeJson } from './report'
 import { round } from './summarise'
 
-/** What is compared: the allocator's defaults, and one thing changed. */
+/** The variants compared: the allocator's defaults, and changes of one setting each. */
 const VARIANTS: Record<string, Variant> = {
   defaults: {},
   'returns-first': { tuning: { order: 'returns-first' } },
@@ -28,8 +28,8 @@
 }
 
 /**
- * Long answers on engines with scarce memory, with peaks of callers that come back once: what the worth of the
- * allocator's rules is without any network. Compares variants of its tuning on the same callers.
+ * Simulates long answers on engines with scarce memory, without a network. Callers arrive in peaks and retry once after
+ * a refusal. Compares variants of the allocator's tuning on the same requests.
  */
 export function runMemoryExperiment(options: MemoryExperimentOptions): void {
   const rows = options.rates.flatMap((rate) =>
@@ -38,7 +38,7 @@
       .map(([name, variant]) => runVariant(options, rate, name, variant)),
   )
   printTable(
-    ['rate', 'variant', 'worth', 'worst windows', 'in aim', 'largest', 'refused', '1,000 wasted', 'fill'],
+    ['rate', 'variant', 'worth', 'worst windows', 'on target', 'largest', 'refused', '1,000 wasted', 'fill'],
     rows.map((row) => Object.values(row)),
   )
   writeJson(options.slow.share > 0 ? 'memory-slow' : 'memory', { options, rows })
--- a/tools/bench/src/memorySimulation.ts
+++ b/tools/bench/src/memorySimulation.ts
@@ -14,38 +14,38 @@
 
 /** Options of the memory experiment. */
 export interface MemoryExperimentOptions {
-  /** How many of the engines read prompts, and how many decode. */
+  /** Number of prefill engines and of decode engines. */
   prefill: number
   decode: number
-  /** Requests a second outside the peaks, one series each. */
+  /** Requests per second outside the peaks; each rate is a run of its own. */
   rates: number[]
   seeds: number
-  /** The name of the callers' and engines' shape. */
+  /** Name of the workload shape. */
   shape: string
-  /** Names of the variants to compare; all where empty. */
+  /** Names of the variants to compare; all when empty. */
   variants: string[]
-  /** The share of the engines that turn slow for a while, and how many times. */
+  /** Share of the engines that become slow for a while, and by which factor. */
   slow: { share: number; times: number }
 }
 
-/** One thing changed. */
+/** A change from the defaults. */
 export interface Variant {
   tuning?: Partial<AllocatorTuning>
-  /** The share of the target within which a request without hope is refused. */
+  /** Share of the target within which a request without a placement in sight is refused. */
   promptRefusalShare?: number
-  /** Whether nothing is told of answers until they end. */
+  /** Whether entries send no reports on running answers. */
   withoutReports?: boolean
-  /** Whether answers stay where they run. */
+  /** Whether answers never migrate. */
   withoutMigrations?: boolean
 }
 
 const RUN_SECONDS = 60
-/** In each ten seconds, requests come at this multiple for the last four. */
+/** Factor on the request rate during the last four of every ten seconds. */
 const PEAK_FACTOR = 1.9
 const PEAK_EVERY_MS = 10_000
 const PEAK_FROM_MS = 6_000
 const STEP_MS = 5
-/** Engines are slow for ten seconds of each twenty, in turn. */
+/** The affected engines are slow for the last ten of every twenty seconds. */
 const SLOW_EVERY_MS = 20_000
 const SLOW_FROM_MS = 10_000
 const REPORT_EVERY_MS = 400
@@ -59,23 +59,23 @@
 const TRANSIT_MS = 12
 const SECOND_REFUSAL_COST = 0.3
 const LATE_REFUSAL_COST = 0.1
-/** What a thousand tokens read for nothing cost, in requests. */
+/** Cost of a thousand wasted tokens, in units of request weight. */
 const WASTE_COST_PER_1000_TOKENS = 0.16
 const WINDOW_MS = 2_000
 
-/** What one run of one variant gave. */
+/** Results of one run. */
 export interface RunFigures {
   worth: number
   worstWindows: number
   inAim: number
-  /** How often the largest tenth is served, as a share of all. */
+  /** Served share of the largest tenth of the requests, relative to that of all requests. */
   largest: number
   refusedShare: number
   wastedTokens: number
   fill: number
 }
 
-/** An answer that runs, as its entry knows it. */
+/** A running answer, as its entry knows it. */
 interface PlacedRun {
   ask: PlaceAsk
   decode: string
@@ -84,13 +84,13 @@
   answer: RunningAnswer
 }
 
-/** One run of one variant: callers, engines and the allocator between them, without any network. */
+/** Simulates one run of one variant: callers, engines and the allocator, without a network. */
 export class MemorySimulation {
   private readonly random: Random
   private readonly allocator: Allocator
   private readonly decodeEngines = new Map<string, EngineModel>()
   private readonly prefillEngines = new Map<string, { busyUntil: number; slowness: number }>()
-  /** Answers that run, as their entry knows them. */
+  /** Running answers by request, as their entry knows them. */
   private readonly running = new Map<string, PlacedRun>()
   private readonly scheduled: { at: number; run: () => void }[] = []
   private readonly calls: Call[] = []
@@ -143,7 +143,7 @@
     return this.figures(lengthMs)
   }
 
-  /** The first engines of each half turn slow, and well again. */
+  /** Slows down the first engines of each stage, or restores their speed. */
   private updateSlowness(): void {
     const { share, times } = this.options.slow
     const slowness = this.now % SLOW_EVERY_MS >= SLOW_FROM_MS ? times : 1
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Tells how answers go on, and lets them go on elsewhere as the allocator wants. */
+  /** Reports the progress of running answers, then carries out the migrations that the allocator plans. */
   private report(): void {
     if (this.variant.withoutReports === true) return
     const holds = [...this.running.values()].map(({ ask, decode, placedAt, decodingAt, answer }) => ({
@@ -318,7 +318,7 @@
     id,
     stage,
     service: SERVICE,
-    // Of instances at one address only the newest counts.
+    // Only the newest instance at an address counts, so each has its own.
     address: `${id}:1`,
     zone: 'z',
     slots: 64,
--- a/tools/bench/src/mixes.ts
+++ b/tools/bench/src/mixes.ts
@@ -13,17 +13,17 @@
   answerTokens: number
 }
 
-/** A workload in the shape that one of the first users describes. */
+/** A workload as one of the first users describes it. */
 export interface Mix {
   site: Site
-  /** Requests a second at load 1: about what the stand-in engines carry within both targets. */
+  /** Requests per second at load 1, which the fake engines serve roughly within both targets. */
   baseRate: number
   plan: (options: PlanOptions) => PlannedRequest[]
 }
 
 /** Options of a plan. */
 export interface PlanOptions {
-  /** Requests a second on average. */
+  /** Mean requests per second. */
   rate: number
   durationMs: number
   random: Random
@@ -33,10 +33,10 @@
 const HANDBOOKS = 6
 const WORKSPACES = 12
 const BURST_PERIOD_MS = 4_000
-/** Between rounds the rate is this much higher, and lower for the rest of the period. */
+/** Factor on the rate between rounds, the first half of each period; in the second half it is lower by as much. */
 const BURST_FACTOR = 1.5
 
-/** Text of so many tokens that is the same for the same name. */
+/** Returns a text of `tokens` tokens; the same name gives the same text. */
 function textOf(name: string, tokens: number): string {
   const unit = `${name} `
   return unit.repeat(Math.ceil((tokens * CHARS_PER_TOKEN) / unit.length)).slice(0, tokens * CHARS_PER_TOKEN)
@@ -61,7 +61,7 @@
   }
 }
 
-/** Arrival times of a Poisson process whose rate goes up and down in bursts. */
+/** Returns the arrival times of a Poisson process, whose rate alternates between two levels when `bursty`. */
 function arrivals({ rate, durationMs, random }: PlanOptions, bursty: boolean): number[] {
   const times: number[] = []
   const gap = randomExponential.source(random)
@@ -76,7 +76,7 @@
 
 const randomInteger = (random: Random, min: number, max: number) => Math.round(min + random() * (max - min))
 
-/** Addis: a long handbook excerpt that many share, short answers, bursts between rounds. */
+/** Addis: long handbook excerpts shared by many requests, short answers, bursts between rounds. */
 const addis: Mix = {
   site: ADDIS,
   baseRate: 70,
--- a/tools/bench/src/placeCallExperiment.ts
+++ b/tools/bench/src/placeCallExperiment.ts
@@ -3,12 +3,12 @@
 import { writeJson } from './report'
 import { round } from './summarise'
 
-/** Places that one report names: today's entries have some, those of the target some 130. */
+/** Placements in one report; an entry at the target has about 130. */
 const REPORT_SIZES = [4, 16, 64, 128]
 const READS = 2_000
 const US_PER_MS = 1_000
 
-/** Measures what the leader spends on checking the reports of places, beside what parsing them costs. */
+/** Measures the leader's time to check reports of placements, next to the time to parse them. */
 export function runPlaceCallExperiment(): void {
   const rows = REPORT_SIZES.map((places) => {
     const text = JSON.stringify({ entry: 'e1', holds: Array.from({ length: places }, (_, n) => hold(n)) })
@@ -18,7 +18,7 @@
     return { places, parseUs: round(parseUs, 2), checkUs: round(checkUs, 2) }
   })
   printTable(
-    ['places in a report', 'parsing, µs a place', 'checking, µs a place'],
+    ['placements per report', 'parsing, µs per placement', 'checking, µs per placement'],
     rows.map(({ places, parseUs, checkUs }) => [places, parseUs, checkUs]),
   )
   writeJson('place-calls', { rows })
--- a/tools/bench/src/placeExperiment.ts
+++ b/tools/bench/src/placeExperiment.ts
@@ -35,7 +35,7 @@
   avoid: [],
 }
 
-/** Times the placement decision alone, for more and more engines a pool. */
+/** Measures the time of a placement decision alone, for growing pools of engines. */
 export function runPlaceExperiment(): void {
   const rows = COUNTS.map((count) => {
     const random = createSeededRandom(7)
@@ -58,7 +58,7 @@
     }
   })
   printTable(
-    ['engines a pool', 'p50 µs', 'p99 µs', 'decisions/s'],
+    ['engines per pool', 'p50 µs', 'p99 µs', 'decisions/s'],
     rows.map((row) => [row.enginesAPool, row.p50us, row.p99us, row.decisionsASecond]),
   )
   writeJson('place', rows)
--- a/tools/bench/src/policyExperiment.ts
+++ b/tools/bench/src/policyExperiment.ts
@@ -7,7 +7,7 @@
 import { writeChart, writeJson } from './report'
 import { summarise, type Summary } from './summarise'
 
-/** What goes wrong during a run. */
+/** Fault injected during a run. */
 export type FaultName =
   'none' | 'engine-killed' | 'engine-limping' | 'link-slow' | 'reports-lost' | 'entry-killed'
 
@@ -17,14 +17,14 @@
   policies: string[]
   loads: number[]
   faults: FaultName[]
-  /** Parts of the policy that are switched off, one run each. */
+  /** Parts of the policy to switch off, each in a run of its own. */
   withoutParts: string[]
   seconds: number
   seed: number
   name: string
 }
 
-/** One run's circumstances and figures. */
+/** Conditions and results of one run. */
 export interface PolicyRun {
   mix: string
   policy: string
@@ -37,7 +37,7 @@
 const PORT_BASE = 25_000
 const WARM_UP_SECONDS = 3
 
-/** Runs every combination, each on a fresh deployment; prints a table, writes JSON and a chart. */
+/** Runs every combination of options on a fresh deployment; prints a table and writes JSON and a chart. */
 export async function runPolicyExperiment(options: PolicyExperimentOptions): Promise<PolicyRun[]> {
   const runs: PolicyRun[] = []
   for (const fault of options.faults) {
@@ -104,7 +104,7 @@
   return { mix: options.mix, policy, without, load, fault, summary }
 }
 
-/** Brings a fault about in the running deployment; it stays to the end of the run. */
+/** Injects a fault into the running deployment, where it lasts until the end of the run. */
 async function injectFault(deployment: Deployment, fault: FaultName): Promise<void> {
   const { prefill, decode } = deployment.ports
   if (fault === 'engine-killed')
--- a/tools/bench/src/processFigures.ts
+++ b/tools/bench/src/processFigures.ts
@@ -1,14 +1,14 @@
 import got from 'got'
 import type { BoxHandle } from '@forkstage/deployment'
 
-/** What a box's own metrics say of its process. */
+/** Processor time and memory of a box's process, from its own metrics. */
 export interface ProcessFigures {
   cpuSeconds: number
   residentBytes: number
   heapBytes: number
 }
 
-/** Reads a box's figures from its `/metrics`. */
+/** Reads the figures of a box's process from its `/metrics`; a missing metric reads as 0. */
 export async function readProcess(box: BoxHandle): Promise<ProcessFigures> {
   const text = await got(`http://${box.operators}/metrics`).text()
   const value = (name: string) => Number(new RegExp(`^${name} ([0-9.e+-]+)$`, 'm').exec(text)?.[1] ?? 0)
--- a/tools/bench/src/quotaExperiment.ts
+++ b/tools/bench/src/quotaExperiment.ts
@@ -5,19 +5,19 @@
 import { round } from './summarise'
 
 const ENTRY_COUNTS = [60, 200, 420]
-/** Workspaces that one entry serves within two windows, and names in each report. */
+/** Workspaces that one entry serves within two windows and names in each report. */
 const NAMED_COUNTS = [4, 16, 64]
-/** Workspaces in use over all entries, by the target's share of 23,000 for 420 entries. */
+/** Workspaces in use per entry; the target has 23,000 on 420 entries. */
 const WORKSPACES_PER_ENTRY = 55
 const REPORTS = 20_000
 const WINDOW_MS = 8_000
 const REPORTS_PER_SECOND = 2
 
-/** Times the leader's work for one report, for more and more entries and workspaces named. */
+/** Measures the leader's time for one report, for growing numbers of entries and of workspaces named. */
 export function runQuotaExperiment(): void {
   const rows = ENTRY_COUNTS.flatMap((entries) => NAMED_COUNTS.map((named) => measure(entries, named)))
   printTable(
-    ['entries', 'workspaces named', 'µs a report', 'leader, ms a second', 'bytes a report'],
+    ['entries', 'workspaces named', 'µs per report', 'leader, ms per second', 'bytes per report'],
     rows.map((row) => [row.entries, row.named, row.reportUs, row.leaderMs, row.reportBytes]),
   )
   writeJson('quota', rows)
--- a/tools/bench/src/relayExperiment.ts
+++ b/tools/bench/src/relayExperiment.ts
@@ -10,7 +10,7 @@
 const PORT_BASE = 26_200
 const STREAMS = 96
 const TOKENS = 600
-/** A fast engine: the relay shall be what is measured. */
+/** A fast engine, so that the relay dominates what is measured. */
 const PROFILE = {
   stepBaseMs: 12,
   stepPerStreamMs: 0,
@@ -19,7 +19,7 @@
   prefillTokensPerSecond: 1_000_000,
 }
 
-/** The relay's processor time a token and the time it adds between tokens: direct against through one box. */
+/** Measures the relay's processor time per token and the time it adds between tokens: directly and through one box. */
 export async function runRelayExperiment(): Promise<void> {
   const settings = { log: { level: 'warn' }, policy: { tbt_target_ms: 1_000, ttft_target_ms: 10_000 } }
   const row = await withDeployment(
@@ -80,7 +80,7 @@
       maxTokens: TOKENS,
       onToken,
     })
-    if (!answer.whole) throw new Error(`not whole: ${JSON.stringify(answer)}`)
+    if (!answer.whole) throw new Error(`incomplete answer: ${JSON.stringify(answer)}`)
   }
   await Promise.all(Array.from({ length: streams }, (_, index) => runStream(index)))
   return percentiles(gaps)
--- a/tools/bench/src/report.ts
+++ b/tools/bench/src/report.ts
@@ -3,16 +3,16 @@
 import { compile, type TopLevelSpec } from 'vega-lite'
 import { parse, View } from 'vega'
 
-/** Where measurements go. */
+/** Folder of the measurements, relative to the working directory. */
 export const MEASUREMENTS_FOLDER = 'docs/measurements'
 
-/** Writes a measurement as JSON. */
+/** Writes a measurement as `NAME.json`. */
 export function writeJson(name: string, value: unknown): void {
   mkdirSync(MEASUREMENTS_FOLDER, { recursive: true })
   writeFileSync(join(MEASUREMENTS_FOLDER, `${name}.json`), `${JSON.stringify(value, null, 1)}\n`)
 }
 
-/** One line chart: a value of each series over x. */
+/** A line chart with one line per series. */
 export interface Chart {
   title: string
   x: string
@@ -20,7 +20,7 @@
   rows: { x: number; y: number; series: string }[]
 }
 
-/** Draws a chart as SVG. */
+/** Draws a chart as `NAME.svg`. */
 export async function writeChart(name: string, chart: Chart): Promise<void> {
   const spec: TopLevelSpec = {
     $schema: 'https://vega.github.io/schema/vega-lite/v5.json',
--- a/tools/bench/src/slopeFit.ts
+++ b/tools/bench/src/slopeFit.ts
@@ -1,15 +1,15 @@
 import { linearRegression, linearRegressionLine, rSquared } from 'simple-statistics'
 import { round } from './summarise'
 
-/** A straight line through measured points, with the range over which it was seen. */
+/** A straight line fitted to measured points, with the range of x that they cover. */
 export interface Slope {
   what: string
-  /** What x counts. */
+  /** What x counts, such as boxes. */
   per: string
   unit: string
   slope: number
   intercept: number
-  /** 1 is a perfect line. */
+  /** Coefficient of determination; 1 is a perfect fit. */
   rSquared: number
   from: number
   to: number
@@ -33,7 +33,7 @@
   }
 }
 
-/** Four digits that count. */
+/** Rounds to four significant digits. */
 function roundToFourDigits(value: number): number {
   return Number(value.toPrecision(4))
 }
--- a/tools/bench/src/slopesExperiment.ts
+++ b/tools/bench/src/slopesExperiment.ts
@@ -12,10 +12,10 @@
   requests: requestSlopes,
 }
 
-/** The names of the parts that can be measured one by one. */
+/** Names of the parts that can be measured separately. */
 export const SLOPE_PARTS = Object.keys(PARTS)
 
-/** Measures the slopes that docs/CAPACITY.md works with; each part is printed and written as soon as it is there. */
+/** Measures the slopes that docs/CAPACITY.md uses; each part is printed and written as soon as it is done. */
 export async function runSlopesExperiment(parts: string[]): Promise<void> {
   for (const part of parts) {
     const slopes = await PARTS[part]!()
--- a/tools/bench/src/startExperiment.ts
+++ b/tools/bench/src/startExperiment.ts
@@ -10,15 +10,15 @@
 
 /** Options of {@link runStartExperiment}. */
 export interface StartExperimentOptions {
-  /** Starts of each program, taken in turn so that a busy moment of the machine meets all of them. */
+  /** Starts of each program; the programs alternate, so that a busy period of the machine affects them all. */
   runs: number
 }
 
-/** The flags of an entry in the deploy file; with others V8 refuses the code cache. */
+/** Flags of an entry in the deploy file; V8 rejects a code cache that was made with others. */
 const FLAGS = ['--max-old-space-size=90', '--max-semi-space-size=2']
 const NS_PER_SECOND = 1e9
 const STARTED_EVENT = '"box.started"'
-/** What is started, by the name in the table. */
+/** Arguments of the programs to start, by their name in the output. */
 const PROGRAMS: Record<string, string[]> = {
   'empty node': ['-e', `console.log('${STARTED_EVENT}'); setInterval(() => {}, 1_000)`],
   'both roles, no code cache': ['dist/serve.cjs'],
@@ -40,7 +40,7 @@
 seeds = ["127.0.0.1:9"]
 `
 
-/** Processor time, user and system, until an entry logs that it has started. */
+/** Measures the processor time, user and system, until an entry logs that it has started. */
 export async function runStartExperiment(options: StartExperimentOptions): Promise<void> {
   const folder = await mkdtemp(join(tmpdir(), 'forkstage-start-'))
   const settingsPath = join(folder, 'settings.toml')
@@ -74,14 +74,14 @@
   try {
     for await (const line of createInterface({ input: child.stdout }))
       if (line.includes(STARTED_EVENT)) return await processorSeconds(child.pid!)
-    throw new Error(`${args.join(' ')} ended before it had started`)
+    throw new Error(`${args.join(' ')} ended before it logged its start`)
   } finally {
     child.kill('SIGKILL')
     await ended
   }
 }
 
-/** What all threads of a process have used so far. */
+/** Returns the processor time that all threads of a process have used so far, in seconds. */
 async function processorSeconds(pid: number): Promise<number> {
   const threads = await readdir(`/proc/${pid}/task`)
   const used = await Promise.all(
--- a/tools/bench/src/stateSlopes.ts
+++ b/tools/bench/src/stateSlopes.ts
@@ -12,12 +12,12 @@
 const BOX_COUNTS = [8, 50, 150, 420]
 const EVENT_COUNTS = [1_000, 10_000, 50_000]
 
-/** Slopes of state and of processor time that need no second process. Run with --expose-gc for memory. */
+/** Measures slopes of state and processor time within this process. Needs node's --expose-gc. */
 export function measureStateSlopes(): Slope[] {
   return [...rowSlopes(), ...changeSlopes(), ...claimSlopes(), ownerSlope(), eventSlope(), promptSlope()]
 }
 
-/** A table of so many rows, all out of service, in the target's proportions. */
+/** Returns `base` with `rows` more rows, all out of service, in the proportions of the target. */
 export function createWideTable(rows: number, base?: Table): Table {
   const created = Array.from({ length: rows }, (_, index): EndpointRow => ({
     endpoint: `worker-${index}`,
@@ -135,7 +135,7 @@
   ]
 }
 
-/** An outcome of about thirty tokens, as an answer check gives it. */
+/** Settles a claim with an outcome of about thirty tokens, as an answer check returns it. */
 function settle(machine: JournalMachine, n: number): void {
   const body = Buffer.from(`${n}`.padStart(240, 'x')).toString('base64')
   const outcome = {
@@ -165,7 +165,7 @@
   }
 }
 
-/** Owners of 11,000 endpoints recomputed when one box comes. */
+/** Measures how long it takes to compute the owners of 11,000 endpoints after a box has joined. */
 function ownerSlope(): Slope {
   const points = BOX_COUNTS.map((count): [number, number] => {
     const owners = new OwnerMap()
@@ -204,7 +204,7 @@
   return fitSlope('hashing a prompt into prefix blocks', 'token', 'ms', points)
 }
 
-/** Milliseconds of a call, the least of several. */
+/** Returns the shortest duration of several calls, in milliseconds. */
 function measureMs(run: () => unknown, repeats = 5): number {
   let least = Infinity
   for (let n = 0; n < repeats; n += 1) {
@@ -215,15 +215,15 @@
   return least
 }
 
-/** Heap bytes that what a function returns takes up. */
+/** Returns the memory that a function's result takes up, in bytes. */
 function measureHeapBytes(create: () => unknown): number {
   const collect = (globalThis as { gc?: () => void }).gc
-  if (collect === undefined) throw new Error('run node with --expose-gc')
+  if (collect === undefined) throw new Error('measuring memory needs node --expose-gc')
   collect()
   const before = process.memoryUsage().heapUsed + process.memoryUsage().arrayBuffers
   const kept = create()
   collect()
   const after = process.memoryUsage().heapUsed + process.memoryUsage().arrayBuffers
-  if (kept === undefined) throw new Error('nothing to measure')
+  if (kept === undefined) throw new Error('function returned nothing to measure')
   return after - before
 }
--- a/tools/bench/src/summarise.ts
+++ b/tools/bench/src/summarise.ts
@@ -2,7 +2,7 @@
 import type { EngineRecord } from '@forkstage/fakes'
 import type { Sample } from './loadGenerator'
 
-/** Both targets, in milliseconds. */
+/** Targets of an answer's time to first token and time between tokens, in milliseconds. */
 export interface Targets {
   ttft: number
   tbt: number
@@ -10,20 +10,20 @@
 
 export const TARGETS: Targets = { ttft: 770, tbt: 61 }
 
-/** The figures of one run. */
+/** Results of one run. */
 export interface Summary {
   requests: number
-  /** Whole answers a second that met both targets. */
+  /** Complete answers per second that met both targets. */
   goodput: number
-  /** Share of all requests that did. */
+  /** Share of requests with a complete answer that met both targets. */
   goodShare: number
   refusedShare: number
   failedShare: number
   ttft: Percentiles
   tbt: Percentiles
-  /** Share of prefilled tokens whose result was thrown away. */
+  /** Share of prefilled tokens whose result was discarded. */
   wastedShare: number
-  /** The worst workspace's share of good answers over the mean share. */
+  /** Lowest share of good answers of any workspace, divided by the mean share. */
   fairness: number
 }
 
@@ -33,7 +33,7 @@
   p99: number
 }
 
-/** Percentiles of a list, rounded to a tenth; zeros where it is empty. */
+/** Returns the percentiles of a list, rounded to a tenth; zeros for an empty list. */
 export function percentiles(values: number[]): Percentiles {
   const sorted = [...values].sort((left, right) => left - right)
   const at = (share: number) => (sorted.length === 0 ? 0 : round(quantileSorted(sorted, share), 1))
@@ -49,7 +49,7 @@
   return sample.whole && (sample.ttftMs ?? Infinity) <= TARGETS.ttft && (sample.tbtMs ?? 0) <= TARGETS.tbt
 }
 
-/** Puts the samples of a run and the engines' own records into figures. */
+/** Computes the results of a run from its samples and the engines' own records. */
 export function summarise(samples: Sample[], durationMs: number, records: EngineRecord[]): Summary {
   const good = samples.filter(isGood)
   const refused = samples.filter((sample) => sample.execution === 'not-run')
--- a/tools/bench/src/tableExperiment.ts
+++ b/tools/bench/src/tableExperiment.ts
@@ -12,7 +12,7 @@
 
 type Row = { what: string; p50: number; p95: number; p99: number; count: number; unit: string }
 
-/** Accepted to in force, confirms a second, change of leader and restart, on the eight boxes of Colombo. */
+/** Measures the time from accepted to in force, confirms per second, change of leader and restart, on eight boxes. */
 export async function runTableExperiment(): Promise<void> {
   const settings = { log: { level: 'info' } }
   const rows = await withDeployment(
@@ -49,7 +49,7 @@
 const tableOn = (deployment: Deployment, box: BoxHandle) =>
   deployment.operator<VersionedTable>(box, 'GET', '/v1/table')
 
-/** Wall-clock time at which a box logged that it installed a version. */
+/** Returns the wall-clock time at which a box logged that it installed a version; undefined when it has not. */
 function installedAt(box: BoxHandle, version: number): number | undefined {
   const line = box.process!.lines.findLast(
     (each) => each.includes('"table.installed"') && each.includes(`"version":${version},`),
@@ -71,7 +71,7 @@
   return { what, ...percentiles(times), unit: 'ms', count: times.length }
 }
 
-/** How long the control leader says that a cut box may still act, at most. */
+/** Reads from the control leader how much longer, at most, a box that is cut off may act on its lease. */
 async function measureCutOffLease(deployment: Deployment, cutOffBox: BoxHandle): Promise<Row> {
   const { boxes } = await deployment.control(deployment.boxes[0])
   const left = boxes.find((box) => box.box === cutOffBox.name)?.leaseLeftMs ?? 0
@@ -87,7 +87,7 @@
   return deployment.boxes.find((box) => box.name === leading?.box)!
 }
 
-/** From the kill of the leader until the next confirm is accepted. */
+/** Measures the time from killing the leader until the next confirm is accepted. */
 async function measureLeaderChange(deployment: Deployment): Promise<Row> {
   const times: number[] = []
   for (let round = 0; round < 5; round += 1) {
