--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles each program into one CommonJS file under dist/, for running and for the single binary. Programs that run
-// one role of the deployment get V8's code cache beside them, and a small loader in front.
+// Bundles each program into one CommonJS file under dist/, to be run directly or embedded in the binary. A program of
+// one role also gets V8's code cache next to its bundle, and a small loader that starts it.
 import { execFileSync } from 'node:child_process'
 import { copyFileSync, readFileSync, rmSync } from 'node:fs'
 import { build } from 'esbuild'
@@ -8,7 +8,7 @@
 
 const DEPLOY_FILE = 'deploy/system.toml'
 
-/** Programs named on the command line, or all. */
+/** Names of the programs to bundle; all when empty. */
 const wanted = process.argv.slice(2)
 const outdir = process.env.FORKSTAGE_DIST ?? 'dist'
 
@@ -18,13 +18,13 @@
   return build({ ...options, entryPoints, outdir }).then(() => Object.keys(entryPoints))
 }
 
-/** The flags of a role's process: V8 takes a code cache only where it was made with the same ones. */
+/** Returns the node flags of a role's process; V8 accepts a code cache only if it was made with the same flags. */
 function flagsOf(role) {
   const { run } = parse(readFileSync(DEPLOY_FILE, 'utf8')).roles[role]
   return run.split(' ').filter((word) => word.startsWith('--'))
 }
 
-/** Without its cache a program starts all the same, only slower, and says so. */
+/** Makes a role's code cache. A failure only prints a message: without the cache the program starts more slowly. */
 function makeCodeCache(role) {
   const base = `${outdir}/${role}`
   rmSync(`${base}.cache`, { force: true })
@@ -33,7 +33,7 @@
   try {
     execFileSync(process.execPath, [...flagsOf(role), ...maker], { stdio: ['ignore', 'ignore', 'inherit'] })
   } catch (error) {
-    console.error(`${role}: no code cache: ${error.message}`)
+    console.error(`${role}: could not make the code cache: ${error.message}`)
   }
 }
 
--- a/scripts/bundleOptions.mjs
+++ b/scripts/bundleOptions.mjs
@@ -1,6 +1,6 @@
-// What the build bundles, and how; also read by the test of what an entry loads at its start.
+// Programs and options of the build; also used by the test of the modules that an entry loads at its start.
 
-/** Programs that load everything they may need. */
+/** Programs whose bundles contain all code that they may need. */
 export const programs = {
   forkstage: 'cli/forkstage/src/main.ts',
   fakes: 'engine/fakes/src/main.ts',
@@ -11,10 +11,10 @@
   days: 'tools/days/src/main.ts',
   serve: 'cli/forkstage/src/serve.ts',
 }
-/** Programs of one role, by the role's name in the deploy file; each bundle holds only what its role needs. */
+/** Programs of one role, by the role's name in the deploy file; each bundle contains only what its role needs. */
 export const rolePrograms = { entry: 'cli/forkstage/src/entry.ts', control: 'cli/forkstage/src/control.ts' }
 
-/** An optional native part of msgpackr: its absence is handled there, and natives cannot be embedded. */
+/** Leaves out msgpackr's optional native module: msgpackr works without it, and native modules cannot be embedded. */
 const withoutNativeParts = {
   name: 'without-native-parts',
   setup({ onResolve, onLoad }) {
@@ -24,8 +24,8 @@
 }
 
 /**
- * Parts of the library of counters that no machine uses, and that would load and set up much at each start: pushing
- * counters elsewhere (HTTPS, compression), counters of the runtime (telemetry, performance hooks), quantiles.
+ * Leaves out unused parts of prom-client that would slow each start: the push gateway (loads HTTPS and compression),
+ * default runtime metrics (load telemetry and performance hooks), summaries and the cluster registry.
  */
 const withoutUnusedCounters = {
   name: 'without-unused-counters',
@@ -41,10 +41,10 @@
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  // Several libraries are ES modules that read import.meta.url, which CommonJS does not have.
+  // Several libraries are ES modules that read import.meta.url, which CommonJS lacks.
   define: { 'import.meta.url': 'importMetaUrl' },
   banner: { js: "const importMetaUrl = require('node:url').pathToFileURL(__filename).href" },
-  // A script started from V8's code cache or embedded in the binary cannot import; it requires instead.
+  // A script that is started from V8's code cache or embedded in the binary cannot import(), only require().
   supported: { 'dynamic-import': false },
   logLevel: 'warning',
 }
@@ -61,7 +61,7 @@
   ...bundleOptions,
   outExtension: { '.js': '.bundle.cjs' },
   plugins: [withoutNativeParts, withoutUnusedCounters],
-  // Names stay as they are, since stack traces and error classes show them.
+  // Identifiers are not minified, since stack traces and error classes show them.
   minifySyntax: true,
   minifyWhitespace: true,
 }
--- a/scripts/makeCodeCache.cjs
+++ b/scripts/makeCodeCache.cjs
@@ -1,5 +1,5 @@
-// Makes the code cache of one bundle: starts its machine on loopback ports of the system's choice, waits until it has
-// started, keeps what V8 has compiled by then, and ends. Run with the very flags of the deployment: V8 refuses others'.
+// Makes the code cache of one bundle: starts the bundle on free loopback ports, waits until it has started, saves the
+// code that V8 has compiled by then, and exits. Needs the flags of the deployment: V8 rejects a cache made with others.
 // Usage: node FLAGS makeCodeCache.cjs NAME.bundle.cjs NAME.cache ROLE
 'use strict'
 const { mkdtempSync, renameSync, rmSync, writeFileSync } = require('node:fs')
@@ -7,9 +7,9 @@
 const { join, resolve } = require('node:path')
 const { compile, digestOf, readSource, run } = require('./startWithCodeCache.cjs')
 
-/** A start takes some hundred milliseconds; a build must not wait for one that never comes. */
+/** Timeout of a start, which takes a few hundred milliseconds. */
 const LONGEST_WAIT_MS = 10_000
-/** What happens right after the start, such as the first question to a control machine, belongs to it. */
+/** Delay after the start that lets the cache include what follows it, such as the first call to a control machine. */
 const AFTER_START_MS = 400
 
 const [bundleFile, cachePath, role] = process.argv.slice(2)
@@ -47,13 +47,15 @@
 const script = compile(bundlePath, source)
 
 function finish(started) {
-  // Other processes may be starting from the folder meanwhile: the cache appears whole or not at all.
+  // Other processes may be starting from this folder, so the cache is put in place atomically.
   const code = script.createCachedData()
   writeFileSync(`${cachePath}.new`, Buffer.concat([digestOf(source, code), code]))
   renameSync(`${cachePath}.new`, cachePath)
   rmSync(folder, { recursive: true, force: true })
   if (!started)
-    process.stderr.write(`${role}: no start within ${LONGEST_WAIT_MS} ms; the code cache is smaller\n`)
+    process.stderr.write(
+      `${role}: did not start within ${LONGEST_WAIT_MS} ms; the code cache is incomplete\n`,
+    )
   process.exit(0)
 }
 
--- a/scripts/startWithCodeCache.cjs
+++ b/scripts/startWithCodeCache.cjs
@@ -1,5 +1,6 @@
-// Starts the bundle beside it with V8's code cache, which spares compiling it anew at each start. A cache that is
-// missing, of another bundle, damaged, or made by another node or with other flags is left aside: it costs time, no more.
+// Starts the bundle next to this file with V8's code cache, which saves compiling it at each start. A cache that is
+// missing, damaged, of another bundle, or made by another node version or with other flags is ignored; the start is
+// then only slower.
 'use strict'
 const { createHash } = require('node:crypto')
 const { readFileSync } = require('node:fs')
@@ -9,7 +10,7 @@
 
 const DIGEST_BYTES = 32
 
-/** The digest binds the cache to the very bytes of the bundle: V8 itself compares only their number. */
+/** Binds the cache to the content of the bundle, of which V8 itself compares only the length. */
 function digestOf(source, code) {
   return createHash('sha256').update(source, 'latin1').update(code).digest()
 }
@@ -27,12 +28,12 @@
   return { state: 'used', code }
 }
 
-/** Compiles the bundle at `path`; `code` is the cache to be used, if any. */
+/** Compiles the bundle at `path`, with `code` as its code cache, if given. */
 function compile(path, source, code) {
   return new Script(wrap(source), { filename: path, cachedData: code })
 }
 
-/** Runs a compiled bundle as the CommonJS module that it is. */
+/** Runs a compiled bundle as a CommonJS module. */
 function run(script, path) {
   const module = { exports: {} }
   script
@@ -40,7 +41,7 @@
     .call(module.exports, module.exports, createRequire(path), module, path, dirname(path))
 }
 
-/** Bundles are written in ASCII, so that the quickest way to read one is also right. */
+/** Reads a bundle. Bundles are ASCII, so latin1, which is the fastest encoding to read, gives the same text. */
 function readSource(path) {
   return readFileSync(path, 'latin1')
 }
@@ -49,7 +50,7 @@
   const source = readSource(path)
   const { state, code } = readCache(cachePath, source)
   const script = compile(path, source, code)
-  // Read by the program, which logs why a cache was not used.
+  // The program reads this state and logs why a cache was not used.
   globalThis.forkstageCodeCache = script.cachedDataRejected ? 'refused by this node or its flags' : state
   run(script, path)
 }
