--- a/core/answers/test/pendingResponses.test.ts
+++ b/core/answers/test/pendingResponses.test.ts
@@ -15,10 +15,10 @@
 async function start() {
   const responses: ServerResponse[] = []
   const server = createServer((_request, response) => void responses.push(response))
-  const answers = new PendingResponses(server)
+  const pending = new PendingResponses(server)
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const { port } = server.address() as { port: number }
-  open.push(() => answers.closeAll())
+  open.push(() => pending.closeAll())
   const caller = async (): Promise<Socket> => {
     const socket = connect({ host: '127.0.0.1', port })
     socket.on('error', () => undefined)
@@ -26,7 +26,7 @@
     open.push(() => socket.destroy())
     return socket
   }
-  return { answers, responses, caller }
+  return { pending, responses, caller }
 }
 
 const REQUEST = 'GET / HTTP/1.1\r\nHost: h\r\n\r\n'
@@ -35,20 +35,20 @@
 
 describe('PendingResponses', () => {
   it('counts an answer from its request until its last bytes have left', async () => {
-    const { answers, responses, caller } = await start()
+    const { pending, responses, caller } = await start()
     const socket = await caller()
     socket.write(REQUEST)
     await waitUntil(() => responses.length === 1)
-    expect(answers.count).toBe(1)
+    expect(pending.count).toBe(1)
     responses[0]!.end(LARGE)
     await new Promise((resolve) => setImmediate(resolve))
-    expect(answers.count).toBe(1)
+    expect(pending.count).toBe(1)
     socket.resume()
-    await waitUntil(() => answers.count === 0)
+    await waitUntil(() => pending.count === 0)
   })
 
   it('leaves a connection whose answer has not left when it closes, and ends one that rests', async () => {
-    const { answers, responses, caller } = await start()
+    const { pending, responses, caller } = await start()
     const [slow, resting] = [await caller(), await caller()]
     resting.write(REQUEST)
     await waitUntil(() => responses.length === 1)
@@ -57,36 +57,36 @@
     slow.write(REQUEST)
     await waitUntil(() => responses.length === 2)
     responses[1]!.end(LARGE)
-    await waitUntil(() => answers.count === 1)
-    answers.close()
+    await waitUntil(() => pending.count === 1)
+    pending.close()
     await once(resting, 'close')
     let bytes = 0
     slow.on('data', (data: Buffer) => (bytes += data.length))
     await waitUntil(() => bytes >= LARGE.length)
-    expect(answers.count).toBe(0)
+    expect(pending.count).toBe(0)
   })
 
   it('no longer counts an answer whose caller has gone, once', async () => {
-    const { answers, responses, caller } = await start()
+    const { pending, responses, caller } = await start()
     const socket = await caller()
     socket.write(REQUEST)
     await waitUntil(() => responses.length === 1)
     socket.destroy()
-    await waitUntil(() => answers.count === 0)
+    await waitUntil(() => pending.count === 0)
     responses[0]!.end('late')
     await new Promise((resolve) => setImmediate(resolve))
-    expect(answers.count).toBe(0)
+    expect(pending.count).toBe(0)
   })
 
   it('keeps count of a connection that carries many requests, and adds nothing to it', async () => {
-    const { answers, responses, caller } = await start()
+    const { pending, responses, caller } = await start()
     const socket = await caller()
     for (let each = 0; each < 20; each += 1) {
       socket.write(REQUEST)
       await waitUntil(() => responses.length === each + 1)
       responses[each]!.end('ok')
       await once(socket, 'data')
-      await waitUntil(() => answers.count === 0)
+      await waitUntil(() => pending.count === 0)
     }
     expect(responses[0]!.req.socket.listenerCount('close')).toBeLessThan(10)
   })
--- a/peer/rpc/test/watchSilence.test.ts
+++ b/peer/rpc/test/watchSilence.test.ts
@@ -4,35 +4,35 @@
 
 function createHarness(silentMs?: number) {
   const clock = new ManualClock()
-  const seen: string[] = []
+  const calls: string[] = []
   const watch = watchSilence({
     clock,
     silentMs,
-    probe: () => seen.push(`probe ${clock.now()}`),
-    onSilent: () => seen.push(`silent ${clock.now()}`),
+    probe: () => calls.push(`probe ${clock.now()}`),
+    onSilent: () => calls.push(`silent ${clock.now()}`),
   })
-  return { clock, seen, watch }
+  return { clock, calls, watch }
 }
 
 describe('watchSilence', () => {
   it('probes half a time-out after the first unanswered sending, and gives up after a whole one', () => {
-    const { clock, seen, watch } = createHarness(1_000)
+    const { clock, calls, watch } = createHarness(1_000)
     watch.recordSent()
     clock.advance(300)
     watch.recordSent()
     clock.advance(700)
-    expect(seen).toEqual(['probe 500', 'silent 1000'])
+    expect(calls).toEqual(['probe 500', 'silent 1000'])
   })
 
   it('is content with anything that comes back, and begins anew with the next sending', () => {
-    const { clock, seen, watch } = createHarness(1_000)
+    const { clock, calls, watch } = createHarness(1_000)
     watch.recordSent()
     clock.advance(600)
     watch.recordReceived()
     clock.advance(5_000)
     watch.recordSent()
     clock.advance(500)
-    expect(seen).toEqual(['probe 500', 'probe 6100'])
+    expect(calls).toEqual(['probe 500', 'probe 6100'])
   })
 
   it('does nothing to a connection that carries nothing, or where it is not asked for', () => {
@@ -41,15 +41,15 @@
     const off = createHarness()
     off.watch.recordSent()
     off.clock.advance(60_000)
-    expect([...idle.seen, ...off.seen]).toEqual([])
+    expect([...idle.calls, ...off.calls]).toEqual([])
   })
 
   it('ends with its connection', () => {
-    const { clock, seen, watch } = createHarness(1_000)
+    const { clock, calls, watch } = createHarness(1_000)
     watch.recordSent()
     watch.stop()
     watch.recordSent()
     clock.advance(5_000)
-    expect(seen).toEqual([])
+    expect(calls).toEqual([])
   })
 })
--- a/table/routes/test/routes.test.ts
+++ b/table/routes/test/routes.test.ts
@@ -94,10 +94,10 @@
 
 describe('RouteStore', () => {
   it('never goes back to an older sheet, nor to other content under the version held', () => {
-    const book = new RouteStore()
-    expect(book.install(sheet([route({ name: 'new' })], 5))).toBe(true)
-    expect(book.install(sheet([route({ name: 'old' })], 4))).toBe(false)
-    expect(book.install(sheet([route({ name: 'same' })], 5))).toBe(false)
-    expect(book.current?.find('shop.example', '/a/')?.name).toBe('new')
+    const store = new RouteStore()
+    expect(store.install(sheet([route({ name: 'new' })], 5))).toBe(true)
+    expect(store.install(sheet([route({ name: 'old' })], 4))).toBe(false)
+    expect(store.install(sheet([route({ name: 'same' })], 5))).toBe(false)
+    expect(store.current?.find('shop.example', '/a/')?.name).toBe('new')
   })
 })
--- a/table/routes/test/workspaces.test.ts
+++ b/table/routes/test/workspaces.test.ts
@@ -79,8 +79,8 @@
   })
 
   it('keeps no key in the clear', () => {
-    const book = new RouteStore()
-    book.install(sheet([workspace()]))
+    const store = new RouteStore()
+    store.install(sheet([workspace()]))
     const seen = new Set<unknown>()
     const texts: string[] = []
     const visit = (value: unknown) => {
@@ -90,7 +90,7 @@
       const entries = value instanceof Map ? [...value].flat() : Object.values(value)
       entries.forEach(visit)
     }
-    visit(book)
+    visit(store)
     expect(texts.join(' ')).toContain('one')
     expect(texts.join(' ')).not.toContain('key-of-one')
   })
@@ -98,19 +98,19 @@
 
 describe('a newer sheet', () => {
   it('adds keys and takes them away, and never goes back', () => {
-    const book = new RouteStore()
-    book.install(sheet([workspace({ keys: ['old', 'stays'] })], 5))
-    book.install(sheet([workspace({ keys: ['stays', 'new'] })], 6))
-    expect(book.install(sheet([workspace({ keys: ['old'] })], 5))).toBe(false)
-    const found = ['old', 'stays', 'new'].map((key) => book.current!.keys!.find(key)?.name)
+    const store = new RouteStore()
+    store.install(sheet([workspace({ keys: ['old', 'stays'] })], 5))
+    store.install(sheet([workspace({ keys: ['stays', 'new'] })], 6))
+    expect(store.install(sheet([workspace({ keys: ['old'] })], 5))).toBe(false)
+    const found = ['old', 'stays', 'new'].map((key) => store.current!.keys!.find(key)?.name)
     expect(found).toEqual([undefined, 'one', 'one'])
   })
 
   it('asks for no keys where it has no list of workspaces, and for keys where the list is empty', () => {
-    const book = new RouteStore()
-    book.install(sheet(undefined, 1))
-    expect(book.current!.keys).toBeUndefined()
-    book.install(sheet([], 2))
-    expect(book.current!.keys!.find('key-of-one')).toBeUndefined()
+    const store = new RouteStore()
+    store.install(sheet(undefined, 1))
+    expect(store.current!.keys).toBeUndefined()
+    store.install(sheet([], 2))
+    expect(store.current!.keys!.find('key-of-one')).toBeUndefined()
   })
 })
