--- a/settings/fleet/src/parseFleetSettings.ts
+++ b/settings/fleet/src/parseFleetSettings.ts
@@ -3,17 +3,17 @@
 
 /** Options of {@link parseFleetSettings}. */
 export interface ParseFleetSettingsOptions {
-  /** Names the file in errors. */
+  /** Name of the file in error messages. */
   source: string
 }
 
 /**
  * Reads the settings of a machine from TOML text.
- * @throws SettingsError naming every fault at once.
+ * @throws SettingsError listing all faults.
  */
 export function parseFleetSettings(text: string, options: ParseFleetSettingsOptions): FleetSettings {
   const raw = readToml(text, options.source)
-  // A check compiled for speed pays only after many files; here one is read, at each start.
+  // Compiling the schema pays off only for many files; a start parses one.
   const result = fleetSchema.safeParse(raw, { jitless: true })
   if (!result.success) throw new SettingsError(options.source, toSettingsFaults(result.error.issues, raw))
   const faults = findMissing(result.data)
@@ -21,7 +21,7 @@
   return result.data
 }
 
-/** What a role needs and no single key shows. */
+/** Returns faults that concern more than one key: values that the role requires, and conflicting timeouts. */
 function findMissing(settings: FleetSettings): SettingsFault[] {
   const { machine, listen, control } = settings
   const needed: [string, unknown][] =
--- a/settings/fleet/src/seedAddresses.ts
+++ b/settings/fleet/src/seedAddresses.ts
@@ -1,6 +1,6 @@
 import type { FleetSettings } from './fleetSchema'
 
-/** Where the seeds listen for other machines: their IP numbers with this machine's own port for peers. */
+/** Returns the peer addresses of the seeds: their IP addresses with this machine's own peer port. */
 export function seedAddresses(settings: FleetSettings): string[] {
   const port = portOf(settings.listen.peers)
   return settings.control.seeds.map((seed) => `${seed.slice(0, seed.lastIndexOf(':'))}:${port}`)
--- a/settings/fleet/test/fleetSettings.test.ts
+++ b/settings/fleet/test/fleetSettings.test.ts
@@ -33,11 +33,11 @@
     expect(parse(ENTRY)).toMatchObject({ control: { found: false, losses: 1 }, stop: { grace_s: 8 } })
   })
 
-  it('reaches seeds at the port for machines', () => {
+  it('uses its own peer port for the addresses of seeds', () => {
     expect(seedAddresses(parse(ENTRY))).toEqual(['10.0.0.8:7000', '10.0.0.9:7000'])
   })
 
-  it('names everything that a role lacks', () => {
+  it('reports every value that a role requires', () => {
     expect(faultsOf(ENTRY.replace('role = "entry"', 'role = "control"'))).toEqual([
       'listen.operators',
       'machine.data_folder',
@@ -48,14 +48,14 @@
     ])
   })
 
-  it('names every fault at once', () => {
+  it('reports all faults at once', () => {
     const bad = ENTRY.replace('"z1"', '""')
       .replace('"10.0.0.1:7000"', '"somewhere"')
       .replace('[peers]', '[peers]\nspeed = 3')
     expect(faultsOf(bad)).toEqual(['machine.zone', 'listen.peers', 'peers.speed'])
   })
 
-  it('wants heartbeats well within the election time-out', () => {
+  it('rejects a heartbeat interval above a third of the election timeout', () => {
     expect(faultsOf(`${ENTRY}heartbeat_ms = 400\n`)).toEqual(['control.heartbeat_ms'])
   })
 })
--- a/settings/settings/src/advertisedAddress.ts
+++ b/settings/settings/src/advertisedAddress.ts
@@ -1,6 +1,6 @@
 import type { Settings } from './schema'
 
-/** The address under which other boxes reach this one. */
+/** Returns the address at which other boxes reach this one. */
 export function advertisedAddress(settings: Settings): string {
   return settings.listen.peers_advertise ?? settings.listen.peers
 }
--- a/settings/settings/src/parseSettings.ts
+++ b/settings/settings/src/parseSettings.ts
@@ -5,13 +5,13 @@
 
 /** Options of {@link parseSettings}. */
 export interface ParseSettingsOptions {
-  /** Names the file in errors. */
+  /** Name of the file in error messages. */
   source: string
 }
 
 /**
  * Reads settings from TOML text.
- * @throws SettingsError naming every fault at once.
+ * @throws SettingsError listing all faults.
  */
 export function parseSettings(text: string, options: ParseSettingsOptions): Settings {
   const raw = readToml(text, options.source)
@@ -21,7 +21,7 @@
   return result.data
 }
 
-/** Faults that no single key shows: settings that contradict each other. */
+/** Returns faults that concern more than one key: settings that contradict each other. */
 function findContradictions(settings: Settings): SettingsFault[] {
   const faults: SettingsFault[] = []
   const fault = (key: string, found: unknown, allowed: string) =>
--- a/settings/settings/src/schema.ts
+++ b/settings/settings/src/schema.ts
@@ -100,7 +100,7 @@
 
 const stopSection = z.strictObject({ unready_ms: duration(1_000), drain_ms: duration(60_000) }).prefault({})
 
-/** The settings of one box, as the TOML file spells them. */
+/** Schema of the settings file of one box. */
 export const settingsSchema = z.strictObject({
   box: boxSection,
   listen: listenSection,
@@ -120,5 +120,5 @@
 
 /** Checked settings with every default filled in. */
 export type Settings = z.infer<typeof settingsSchema>
-/** One model as the settings name it. */
+/** The settings of one model. */
 export type ModelSettings = z.infer<typeof modelSection>
--- a/settings/settings/src/settingsError.ts
+++ b/settings/settings/src/settingsError.ts
@@ -1,6 +1,6 @@
 import { ForkstageError } from '@forkstage/error'
 
-/** One thing that is wrong with a settings file. */
+/** A fault in a settings file. */
 export interface SettingsFault {
   /** The key, dotted, as `lease.table_ms`. */
   key: string
@@ -8,7 +8,7 @@
   allowed: string
 }
 
-/** Raised when settings cannot be used; lists every fault. */
+/** Raised when settings are invalid; lists every fault. */
 export class SettingsError extends ForkstageError {
   readonly faults: SettingsFault[]
 
@@ -17,7 +17,7 @@
     super(
       'FORKSTAGE_SETTINGS',
       [`${source} has ${faults.length} fault(s):`, ...lines].join('\n'),
-      'Mend each key named above, then run "forkstage settings check".',
+      'Fix each key named above, then run "forkstage settings check".',
       { step: 'settings' },
     )
     this.faults = faults
--- a/settings/settings/src/toSettingsFaults.ts
+++ b/settings/settings/src/toSettingsFaults.ts
@@ -1,7 +1,7 @@
 import type { z } from 'zod'
 import type { SettingsFault } from './settingsError'
 
-/** What a schema found wrong, in the words of a settings file. */
+/** Converts the issues of a schema to faults of a settings file, named by dotted key. */
 export function toSettingsFaults(issues: z.core.$ZodIssue[], raw: unknown): SettingsFault[] {
   return issues.flatMap((issue) => toFaults(issue, raw))
 }
@@ -24,7 +24,7 @@
   return path.reduce<unknown>((value, key) => (value as Record<string, unknown> | undefined)?.[key], raw)
 }
 
-/** A found value in words. */
+/** Formats a value for an error message; an absent one is "nothing". */
 export function formatValue(value: unknown): string {
   return value === undefined ? 'nothing' : JSON.stringify(value)
 }
--- a/settings/settings/test/parseSettings.test.ts
+++ b/settings/settings/test/parseSettings.test.ts
@@ -15,24 +15,24 @@
 }
 
 describe('parseSettings', () => {
-  it.each(['addis-box.toml', 'colombo-box.toml'])('takes the example %s', (name) => {
+  it.each(['addis-box.toml', 'colombo-box.toml'])('accepts the example %s', (name) => {
     const settings = parseSettings(example(name), { source: name })
     expect(settings.control.replicas).toHaveLength(3)
   })
 
-  it('names every fault in one go, unknown keys among them', () => {
+  it('reports all faults at once, including unknown keys', () => {
     const text = example('addis-box.toml')
       .replace('domain = "bole-hall"', 'domain = 7\ncolour = "red"')
       .replace('table_ms = 3000', 'table_ms = -1')
     expect(faultsOf(text)).toEqual(expect.arrayContaining(['box.domain', 'box.colour', 'lease.table_ms']))
   })
 
-  it('finds settings that contradict each other', () => {
+  it('reports settings that contradict each other', () => {
     const text = example('addis-box.toml').replace('heartbeat_ms = 100', 'heartbeat_ms = 500')
     expect(faultsOf(text)).toEqual(['control.heartbeat_ms'])
   })
 
-  it('says where broken TOML breaks', () => {
+  it('reports the line of a TOML syntax error', () => {
     expect(faultsOf('[box\nname = 1')).toEqual([expect.stringMatching(/^line 1/)])
   })
 })
