--- a/table/routes/src/checkRouteSheet.ts
+++ b/table/routes/src/checkRouteSheet.ts
@@ -3,13 +3,13 @@
 import { checkWorkspaces } from './checkWorkspaces'
 import type { Route, RouteSheet } from './routeTypes'
 
-/** Raised when a route sheet cannot be in force; names every fault. */
+/** Raised when a route sheet is invalid; lists every fault. */
 export class RouteSheetError extends ForkstageError {
   readonly faults: string[]
 
   constructor(faults: string[]) {
     const text = [`The route sheet has ${faults.length} fault(s):`, ...faults].join('\n  ')
-    super('FORKSTAGE_ROUTE_SHEET', text, 'Mend each line named above and send the sheet again.', {
+    super('FORKSTAGE_ROUTE_SHEET', text, 'Fix each line named above and send the sheet again.', {
       step: 'check route sheet',
     })
     this.faults = faults
@@ -17,8 +17,8 @@
 }
 
 /**
- * Checks what no single row shows and what would leave a route unserved.
- * @returns every fault, in words; nothing where the sheet may be in force.
+ * Checks a route sheet: references between rows, duplicates, and values that would leave a route unserved.
+ * @returns one message per fault; empty if the sheet is valid.
  */
 export function checkRouteSheet(sheet: RouteSheet): string[] {
   const services = new Set(sheet.services.map((service) => service.name))
@@ -28,7 +28,7 @@
     ...(sheet.workspaces === undefined ? [] : checkWorkspaces(sheet.workspaces)),
     ...(Number.isSafeInteger(sheet.version) && sheet.version >= 0
       ? []
-      : ['version: a whole number is needed']),
+      : ['version: a non-negative integer is needed']),
   ]
 }
 
--- a/table/routes/src/checkWorkspaces.ts
+++ b/table/routes/src/checkWorkspaces.ts
@@ -2,20 +2,20 @@
 import { shortKeyDigest } from './keyDigest'
 import type { Workspace, WorkspaceQuota } from './routeTypes'
 
-/** A key or a name stands in a header: visible ASCII without blanks or commas, which separate several values. */
+/** Keys and names are sent in headers: visible ASCII without spaces, and without commas, which separate values. */
 const HEADER_SAFE = /^[!-+\--~]+$/
-/** The longest key that is taken, in characters; longer ones would crowd out the other headers of a request. */
+/** Maximum length of a key; longer keys would leave too little of the header limit for other headers. */
 export const MAX_KEY_CHARS = 1_024
 const UNITS = ['requests', 'tokens']
 
 /**
- * Checks the workspaces of a sheet. Fields are checked as they came, since nobody has looked at their types before.
- * @returns every fault, in words; a key is named by its digest only.
+ * Checks the workspaces of a sheet, including the types of their fields, which have not been validated before.
+ * @returns one message per fault; empty if the workspaces are valid. Keys appear only as digests.
  */
 export function checkWorkspaces(workspaces: Workspace[]): string[] {
   if (!Array.isArray(workspaces)) return ['workspaces: a list is needed']
   const faults = workspaces.flatMap((workspace, index) => checkWorkspace(workspace, index))
-  // Where single rows are wrong already, what they share cannot be told.
+  // Duplicates can be found only if every row is valid.
   return faults.length > 0 ? faults : [...findDuplicateNames(workspaces), ...findDuplicateKeys(workspaces)]
 }
 
@@ -24,12 +24,12 @@
   const isNamed = typeof name === 'string' && HEADER_SAFE.test(name)
   const label = isNamed ? `workspace ${name}` : `workspace number ${index + 1}`
   const faults: string[] = []
-  if (!isNamed) faults.push(`${label}: name: a text without blanks is needed`)
+  if (!isNamed) faults.push(`${label}: name: a string without spaces or commas is needed`)
   if (!Array.isArray(keys)) faults.push(`${label}: keys: a list is needed`)
   else if (!keys.every(isKey))
-    faults.push(`${label}: keys: each is a text of 1 to ${MAX_KEY_CHARS} characters`)
+    faults.push(`${label}: keys: each must be a string of 1 to ${MAX_KEY_CHARS} characters`)
   if (!Number.isSafeInteger(priority) || priority < 0)
-    faults.push(`${label}: priority: a whole number from 0 is needed`)
+    faults.push(`${label}: priority: a non-negative integer is needed`)
   faults.push(...checkRegions(label, workspace.regions))
   return quota === undefined ? faults : [...faults, ...checkQuota(label, quota)]
 }
@@ -43,8 +43,8 @@
   const amounts = { 'rate a second': perSecond, burst, 'tokens of a plain request': plainTokens }
   const faults = Object.entries(amounts)
     .filter(([, amount]) => !Number.isFinite(amount) || amount < 0)
-    .map(([field]) => `${label}: ${field}: a number from 0 is needed`)
-  return UNITS.includes(unit) ? faults : [...faults, `${label}: unit: requests or tokens is needed`]
+    .map(([field]) => `${label}: ${field}: a non-negative number is needed`)
+  return UNITS.includes(unit) ? faults : [...faults, `${label}: unit: must be requests or tokens`]
 }
 
 function findDuplicateNames(workspaces: Workspace[]): string[] {
--- a/table/routes/src/chooseService.ts
+++ b/table/routes/src/chooseService.ts
@@ -1,8 +1,8 @@
 import type { Route } from './routeTypes'
 
 /**
- * Draws one of a route's services by weight.
- * @param draw a number from 0 up to 1.
+ * Returns the name of one of a route's services, chosen by weight.
+ * @param draw a random number in [0, 1).
  */
 export function chooseService(route: Route, draw: number): string {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0)
--- a/table/routes/src/keyIndex.ts
+++ b/table/routes/src/keyIndex.ts
@@ -2,7 +2,7 @@
 import { digestKey } from './keyDigest'
 import type { Workspace } from './routeTypes'
 
-/** A workspace without its keys, as it is known where requests are served. */
+/** A workspace without its keys. */
 export type WorkspaceInfo = Omit<Workspace, 'keys'>
 
 interface KeyEntry {
@@ -10,10 +10,10 @@
   workspace: WorkspaceInfo
 }
 
-/** Digits of a digest by which keys are grouped; within a group they are compared in constant time. */
+/** Leading hexadecimal digits by which digests are grouped; within a group they are compared in constant time. */
 const GROUP_PREFIX_DIGITS = 8
 
-/** The keys of one sheet, kept as digests only, and the workspaces that they belong to. */
+/** Finds the workspace of a key. Holds the keys of one sheet as digests only. */
 export class KeyIndex {
   private readonly groups = new Map<string, KeyEntry[]>()
 
@@ -21,7 +21,7 @@
     for (const { keys, ...workspace } of workspaces) for (const key of keys) this.add(key, workspace)
   }
 
-  /** The workspace that a key belongs to, or undefined where no workspace has it. */
+  /** Returns the workspace that a key belongs to; undefined if no workspace has the key. */
   find(key: string): WorkspaceInfo | undefined {
     const digest = digestKey(key)
     const group = this.groups.get(groupOf(digest)) ?? []
--- a/table/routes/src/routeIndex.ts
+++ b/table/routes/src/routeIndex.ts
@@ -1,15 +1,15 @@
 import { KeyIndex, type WorkspaceInfo } from './keyIndex'
 import type { Route, RoutedService, RouteSheet } from './routeTypes'
 
-/** Finds routes of one sheet by host and longest prefix. */
+/** Finds the routes of one sheet by host and longest path prefix. */
 export class RouteIndex {
   /** Routes by host, longest prefix first. */
   private readonly byHost = new Map<string, Route[]>()
   private readonly services: Map<string, RoutedService>
   private readonly workspaces: Map<string, WorkspaceInfo>
-  /** The keys that callers may show; absent where the sheet asks for none. */
+  /** Keys that callers may present; undefined if the sheet requires none. */
   readonly keys: KeyIndex | undefined
-  /** The sheet without its keys. */
+  /** The sheet without its workspaces, which hold keys in the clear. */
   readonly sheet: Omit<RouteSheet, 'workspaces'>
 
   constructor({ workspaces, ...sheet }: RouteSheet) {
@@ -36,9 +36,9 @@
   }
 
   /**
-   * The route of a request, or undefined where none matches.
-   * @param host as the caller named it, with or without a port.
-   * @param path with or without a query.
+   * Returns the route of a request; undefined if none matches.
+   * @param host host of the request, with or without a port.
+   * @param path path of the request, with or without a query.
    */
   find(host: string, path: string): Route | undefined {
     const name = host.replace(/:\d+$/, '').toLowerCase()
--- a/table/routes/src/routeStore.ts
+++ b/table/routes/src/routeStore.ts
@@ -1,20 +1,21 @@
 import { RouteIndex } from './routeIndex'
 import type { RouteSheet } from './routeTypes'
 
-/** The newest route sheet that this process knows. Never goes back to an older one. */
+/** Holds the newest route sheet that this process has received. */
 export class RouteStore {
   private index: RouteIndex | undefined
 
-  /** The version in force here; -1 without one. */
+  /** Version of the current sheet; -1 if there is none. */
   get version(): number {
     return this.index?.sheet.version ?? -1
   }
 
+  /** Index of the current sheet; undefined if there is none. */
   get current(): RouteIndex | undefined {
     return this.index
   }
 
-  /** Puts a sheet in force if it is newer; says whether it was. */
+  /** Installs a sheet if its version is newer than the current one; returns whether it was installed. */
   install(sheet: RouteSheet): boolean {
     if (sheet.version <= this.version) return false
     this.index = new RouteIndex(sheet)
--- a/table/routes/src/routeTypes.ts
+++ b/table/routes/src/routeTypes.ts
@@ -1,66 +1,66 @@
-/** What may be done twice: `safe` runs any number of times, `unsafe` once, `streaming` once unless resumable. */
+/** How often a request may run: `safe` any number of times, `unsafe` once, `streaming` once unless resumable. */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming'
 
-/** A service that answers a route, with its share of the route's requests. */
+/** A service of a route, with its weight among the route's services. */
 export interface ServiceShare {
   service: string
   weight: number
 }
 
-/** One route: the requests of one host below one path. */
+/** A route: all requests to one host below one path prefix. */
 export interface Route {
   name: string
   host: string
   /** Begins and ends with a slash. */
   prefix: string
   kind: RouteKind
-  /** The longest a request is held, in milliseconds. */
+  /** Maximum duration of a request, in milliseconds. */
   timeoutMs: number
-  /** The time within which an answer counts in full, in milliseconds. */
+  /** Time within which an answer counts in full, in milliseconds. */
   targetMs: number
-  /** Endpoints that one request may be sent to at most. */
+  /** Maximum number of endpoints that one request is sent to. */
   attempts: number
   /** Rank of the route; 0 is the most urgent. */
   priority: number
   shares: ServiceShare[]
-  /** Whether another endpoint may continue a stream that broke off. */
+  /** Whether another endpoint may continue an interrupted stream. */
   resumable: boolean
-  /** The longest pause between events that still counts as in time, in milliseconds. */
+  /** Longest pause between two events of a stream that counts as in time, in milliseconds. */
   pauseMs?: number
-  /** Whether callers need no key, also where the sheet has workspaces. */
+  /** Whether callers need no key even if the sheet has workspaces. */
   isPublic?: boolean
-  /** The regions that its requests may be served and stored in; absent where any will do. */
+  /** Regions in which its requests may be served and stored; absent if any region is allowed. */
   regions?: string[]
 }
 
-/** What the tokens or requests of a workspace are counted in. */
+/** The unit of a workspace's quota. */
 export type QuotaUnit = 'requests' | 'tokens'
 
-/** How much a workspace may ask for, over all entries. */
+/** Rate limit of a workspace, over all entries. */
 export interface WorkspaceQuota {
   unit: QuotaUnit
-  /** Units a second in the long run. */
+  /** Sustained rate, in units per second. */
   perSecond: number
-  /** Units that may come at once above that. */
+  /** Units accepted at once in addition to the sustained rate. */
   burst: number
-  /** Units that a request counts which declares no tokens; of use where the unit is tokens. */
+  /** Units counted for a request that declares no tokens; used if the unit is tokens. */
   plainTokens: number
 }
 
 /** A group of callers with keys and limits of its own. */
 export interface Workspace {
   name: string
-  /** The keys that show that a caller belongs to it, in the clear as the operator sent them. */
+  /** Keys of its callers, in the clear as the operator sent them. */
   keys: string[]
-  /** Rank; 0 is the most urgent. It comes before the rank of a route. */
+  /** Rank; 0 is the most urgent. Takes precedence over the rank of a route. */
   priority: number
-  /** Absent where nothing is limited. */
+  /** Absent if the workspace is not limited. */
   quota?: WorkspaceQuota
-  /** The regions that its requests may be served and stored in, beside what the route says; absent where any will do. */
+  /** Regions in which its requests may be served and stored, within those of the route; absent if any is allowed. */
   regions?: string[]
 }
 
-/** What the engines of a service can hold and how fast they are. */
+/** Capacity and speed of the engines of a service. */
 export interface EnginePool {
   slots: number
   kvTokens: number
@@ -68,36 +68,36 @@
   linkMbps: number
   /** Tokens in one event of a stream. */
   tokensPerEvent: number
-  /** How long an engine keeps what a prefill step left there, in milliseconds. */
+  /** How long an engine keeps the KV cache of a prefill step, in milliseconds. */
   handleMs: number
-  /** How long an engine is away while it changes its part, in milliseconds. */
+  /** How long an engine is unavailable while it changes its stage, in milliseconds. */
   stageChangeMs: number
-  /** Whether a running answer's memory may be copied to another engine, which then goes on with it. */
+  /** Whether the KV cache of a running request may be copied to another engine, which then continues the request. */
   canMove: boolean
 }
 
-/** What the endpoints of a service bear while they are cold. */
+/** Rate limit of the endpoints of a service while they are cold. */
 export interface ColdLimit {
   /** How long an endpoint is cold after a start, in milliseconds. */
   forMs: number
-  /** Requests a second that a cold endpoint bears, over all entries. */
+  /** Requests per second to a cold endpoint, over all entries. */
   perSecond: number
 }
 
-/** A service that routes name. */
+/** A service that routes refer to. */
 export interface RoutedService {
   name: string
-  /** Connections that one endpoint takes from all callers together. */
+  /** Maximum number of connections that one endpoint accepts from all callers together. */
   maxConnections: number
-  /** Where an endpoint says whether it takes work; absent where there is no such question. */
+  /** Path of an endpoint's health check; absent if endpoints have none. */
   healthPath?: string
-  /** Present where the endpoints are engines with prefill and decode apart. */
+  /** Present if the endpoints are engines with separate prefill and decode. */
   engine?: EnginePool
-  /** Present where endpoints are cold for a while after a start. */
+  /** Present if endpoints are cold for a while after a start. */
   cold?: ColdLimit
 }
 
-/** What a caller may send, and how slowly. */
+/** Limits on the size and duration of a caller's request. */
 export interface CallerLimits {
   maxHeaderBytes: number
   maxBodyBytes: number
@@ -105,7 +105,7 @@
   idleTimeoutMs: number
 }
 
-/** What callers may send where a sheet does not say so. */
+/** Caller limits for a sheet that sets none. */
 export const DEFAULT_CALLER_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
@@ -113,12 +113,12 @@
   idleTimeoutMs: 15_000,
 }
 
-/** The whole sheet under one version. */
+/** One version of the route sheet. */
 export interface RouteSheet {
   version: number
   routes: Route[]
   services: RoutedService[]
   limits: CallerLimits
-  /** Present where callers must show a key on routes that are not public; also where the list is empty. */
+  /** If present, even if empty, callers must present a key on routes that are not public. */
   workspaces?: Workspace[]
 }
--- a/table/routes/test/routes.test.ts
+++ b/table/routes/test/routes.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe('checkRouteSheet', () => {
-  it('finds nothing in a sheet that may be in force', () => {
+  it('accepts a valid sheet', () => {
     expect(checkRouteSheet(sheet([route(), route({ name: 'q', prefix: '/a/b/' })]))).toEqual([])
   })
 
@@ -31,32 +31,32 @@
     ['an unknown service', route({ shares: [{ service: 'none', weight: 1 }] }), /no service is called none/],
     ['weights that add up to 0', route({ shares: [{ service: 's', weight: 0 }] }), /weights add up to 0/],
     ['a time-out of 0', route({ timeoutMs: 0 }), /time-out is 0/],
-  ])('finds %s', (_what, bad, expected) => {
+  ])('reports %s', (_what, bad, expected) => {
     expect(checkRouteSheet(sheet([bad]))).toEqual([expect.stringMatching(expected)])
   })
 
   it.each<[string, unknown, RegExp]>([
-    ['a text', 'west', /route r: regions: a list/],
+    ['a string', 'west', /route r: regions: a list/],
     ['null', null, /route r: regions: a list/],
     ['an empty name', ['west', ''], /route r: regions: each/],
     ['a number', [7], /route r: regions: each/],
-  ])('finds regions that are %s', (_what, regions, expected) => {
+  ])('reports regions that are %s', (_what, regions, expected) => {
     expect(checkRouteSheet(sheet([route({ regions: regions as string[] })]))).toEqual([
       expect.stringMatching(expected),
     ])
   })
 
-  it('takes an empty list of regions, and regions that no failure domain bears', () => {
+  it('accepts an empty list of regions, and regions without a failure domain', () => {
     expect(checkRouteSheet(sheet([route({ regions: [] })]))).toEqual([])
     expect(checkRouteSheet(sheet([route({ regions: ['nowhere'] })]))).toEqual([])
   })
 
-  it('finds two routes at one place, whatever the case of the host', () => {
+  it('reports two routes with the same prefix and host, ignoring the case of the host', () => {
     const faults = checkRouteSheet(sheet([route(), route({ name: 'q', host: 'SHOP.example' })]))
     expect(faults).toEqual([expect.stringMatching(/route q: .* has a route already/)])
   })
 
-  it('names every fault at once', () => {
+  it('reports all faults at once', () => {
     const bad = route({ timeoutMs: 0, shares: [{ service: 'none', weight: 0 }] })
     expect(checkRouteSheet(sheet([bad, bad], -1))).toHaveLength(8)
   })
@@ -75,13 +75,13 @@
     ['shop.example', '/a', undefined],
     ['shop.example', '/b?/a/', undefined],
     ['none.example', '/a/', undefined],
-  ])('finds for %s%s the route %s', (host, path, name) => {
+  ])('resolves %s%s to the route %s', (host, path, name) => {
     expect(index.find(host, path)?.name).toBe(name)
   })
 })
 
 describe('chooseService', () => {
-  it('draws by weight and never one of weight 0', () => {
+  it('chooses by weight and never a service of weight 0', () => {
     const shares = [
       { service: 'none', weight: 0 },
       { service: 'most', weight: 9 },
@@ -93,7 +93,7 @@
 })
 
 describe('RouteStore', () => {
-  it('never goes back to an older sheet, nor to other content under the version held', () => {
+  it('ignores an older sheet, and another sheet of the current version', () => {
     const store = new RouteStore()
     expect(store.install(sheet([route({ name: 'new' })], 5))).toBe(true)
     expect(store.install(sheet([route({ name: 'old' })], 4))).toBe(false)
--- a/table/routes/test/workspaces.test.ts
+++ b/table/routes/test/workspaces.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('checkWorkspaces', () => {
-  it('finds nothing in workspaces that may be in force, also with no key left', () => {
+  it('accepts valid workspaces, including one without keys', () => {
     const sound = [
       workspace({ quota: QUOTA }),
       workspace({ name: 'two', keys: [] }),
@@ -31,7 +31,7 @@
     expect(checkWorkspaces(sound)).toEqual([])
   })
 
-  it('refuses a key that two workspaces hold, and names it by its digest only', () => {
+  it('reports a key of two workspaces, by its digest only', () => {
     const faults = checkRouteSheet(sheet([workspace(), workspace({ name: 'two' })]))
     expect(faults).toEqual([expect.stringContaining(shortKeyDigest('key-of-one'))])
     expect(faults.join()).not.toContain('key-of-one')
@@ -40,30 +40,30 @@
 
   it.each<[string, Partial<Record<keyof Workspace, unknown>>, RegExp]>([
     ['no name', { name: '' }, /workspace number 1: name/],
-    ['a name that is no text', { name: 7 }, /workspace number 1: name/],
+    ['a name that is not a string', { name: 7 }, /workspace number 1: name/],
     ['a name that would break a header', { name: 'a\r\nx: y' }, /workspace number 1: name/],
-    ['keys that are no list', { keys: 'key' }, /workspace one: keys: a list/],
+    ['keys that are not a list', { keys: 'key' }, /workspace one: keys: a list/],
     ['an empty key', { keys: [''] }, /workspace one: keys: each/],
-    ['a key that is no text', { keys: [null] }, /workspace one: keys: each/],
-    ['a key with a blank', { keys: ['a b'] }, /workspace one: keys: each/],
+    ['a key that is not a string', { keys: [null] }, /workspace one: keys: each/],
+    ['a key with a space', { keys: ['a b'] }, /workspace one: keys: each/],
     ['a key with a comma', { keys: ['a,b'] }, /workspace one: keys: each/],
     ['a key that is too long', { keys: ['k'.repeat(MAX_KEY_CHARS + 1)] }, /workspace one: keys: each/],
     ['a priority below 0', { priority: -1 }, /workspace one: priority/],
-    ['a broken priority', { priority: 0.5 }, /workspace one: priority/],
-    ['regions that are no list', { regions: 'west' }, /workspace one: regions: a list/],
-    ['a region that is no text', { regions: ['west', 7] }, /workspace one: regions: each/],
+    ['a fractional priority', { priority: 0.5 }, /workspace one: priority/],
+    ['regions that are not a list', { regions: 'west' }, /workspace one: regions: a list/],
+    ['a region that is not a string', { regions: ['west', 7] }, /workspace one: regions: each/],
     ['a rate below 0', { quota: { ...QUOTA, perSecond: -1 } }, /workspace one: rate a second/],
-    ['a rate that is no number', { quota: { ...QUOTA, perSecond: 'x' } }, /workspace one: rate a second/],
+    ['a rate that is not a number', { quota: { ...QUOTA, perSecond: 'x' } }, /workspace one: rate a second/],
     ['a burst below 0', { quota: { ...QUOTA, burst: -1 } }, /workspace one: burst/],
     ['plain tokens below 0', { quota: { ...QUOTA, plainTokens: -1 } }, /tokens of a plain request/],
     ['an unknown unit', { quota: { ...QUOTA, unit: 'words' } }, /workspace one: unit/],
-  ])('finds %s', (_what, fields, expected) => {
+  ])('reports %s', (_what, fields, expected) => {
     expect(checkWorkspaces([workspace(fields as Partial<Workspace>)])).toEqual([
       expect.stringMatching(expected),
     ])
   })
 
-  it('finds two workspaces of one name, and a list that is none', () => {
+  it('reports two workspaces of one name, and workspaces that are not a list', () => {
     const faults = checkWorkspaces([workspace(), workspace({ keys: ['other'] })])
     expect(faults).toEqual([expect.stringMatching(/another one has this name/)])
     expect(checkWorkspaces({} as Workspace[])).toEqual([expect.stringMatching(/a list is needed/)])
@@ -71,7 +71,7 @@
 })
 
 describe('KeyIndex', () => {
-  it('finds whose key it is, and nothing for what no workspace has', () => {
+  it('finds the workspace of a key, and nothing for an unknown key', () => {
     const keys = new KeyIndex([workspace(), workspace({ name: 'two', keys: ['k2', 'k3'], quota: QUOTA })])
     expect(keys.find('key-of-one')?.name).toBe('one')
     expect(keys.find('k3')).toEqual({ name: 'two', priority: 1, quota: QUOTA })
@@ -97,7 +97,7 @@
 })
 
 describe('a newer sheet', () => {
-  it('adds keys and takes them away, and never goes back', () => {
+  it('adds and removes keys, which an older sheet does not undo', () => {
     const store = new RouteStore()
     store.install(sheet([workspace({ keys: ['old', 'stays'] })], 5))
     store.install(sheet([workspace({ keys: ['stays', 'new'] })], 6))
@@ -106,7 +106,7 @@
     expect(found).toEqual([undefined, 'one', 'one'])
   })
 
-  it('asks for no keys where it has no list of workspaces, and for keys where the list is empty', () => {
+  it('requires no key without a list of workspaces, and a key with an empty list', () => {
     const store = new RouteStore()
     store.install(sheet(undefined, 1))
     expect(store.current!.keys).toBeUndefined()
--- a/table/table/src/checkTable.ts
+++ b/table/table/src/checkTable.ts
@@ -1,16 +1,16 @@
 import type { EndpointRow, Table } from '@forkstage/types'
 import { ForkstageError } from '@forkstage/error'
 
-/** One thing wrong with a table, by sheet, row and column. */
+/** A fault in a table, by sheet, row and column. */
 export interface TableFault {
   sheet: 'endpoints' | 'links'
-  /** The endpoint's name or `from>to`; `(sheet)` where no one row is at fault. */
+  /** The endpoint's name or `from>to`; `(sheet)` if the fault concerns no single row. */
   row: string
   column: string
   fault: string
 }
 
-/** Raised when a table cannot be accepted; lists every fault. */
+/** Raised when a table is invalid; lists every fault. */
 export class TableError extends ForkstageError {
   readonly faults: TableFault[]
 
@@ -21,7 +21,7 @@
     super(
       'FORKSTAGE_TABLE_FAULTS',
       [`The table has ${faults.length} fault(s):`, ...lines].join('\n'),
-      'Mend each cell named above and check again with "forkstage table check".',
+      'Fix each cell named above and check again with "forkstage table check".',
       { step: 'table check' },
     )
     this.faults = faults
@@ -30,14 +30,14 @@
 
 /** Options of {@link checkTable}. */
 export interface CheckTableOptions {
-  /** Services a model may belong to, by model; a model not named here is unknown. Empty takes any. */
+  /** The service of each known model; other models are reported. If the map is empty, any model is accepted. */
   services: Map<string, string>
 }
 
 const ADDRESS = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/
 const LIMIT_COLUMNS = ['weight', 'maxInFlight', 'kvTokens', 'promptTokensPerSecond'] as const
 
-/** Finds everything wrong with a table; an empty list means it may be accepted. */
+/** Returns all faults of a table; empty if the table is valid. */
 export function checkTable(table: Table, options: CheckTableOptions): TableFault[] {
   const rowFaults = table.endpoints.flatMap((row) => checkRow(row, options))
   return [...rowFaults, ...checkDuplicates(table), ...checkPools(table), ...checkLinks(table)]
@@ -56,7 +56,7 @@
       fault(column, `${row[column]} is not a number of 0 or more`)
   }
   if (row.maxInFlight === 0 && row.state === 'serve')
-    fault('maxInFlight', '0 lets a serving endpoint take nothing')
+    fault('maxInFlight', 'must be above 0 for an endpoint in state "serve"')
   if (row.pool === 'plain' && row.models.length > 0) fault('models', 'a plain service serves no models')
   if (row.pool !== 'plain' && row.models.length === 0) fault('models', 'an engine serves at least one model')
   if (row.pool !== 'plain' && row.kvTokens === 0) fault('kvTokens', 'an engine needs KV memory')
@@ -75,7 +75,12 @@
     const seen = new Set<string>()
     for (const row of table.endpoints) {
       if (seen.has(row[column])) {
-        faults.push({ sheet: 'endpoints', row: row.endpoint, column, fault: `"${row[column]}" stands twice` })
+        faults.push({
+          sheet: 'endpoints',
+          row: row.endpoint,
+          column,
+          fault: `"${row[column]}" is not unique`,
+        })
       }
       seen.add(row[column])
     }
@@ -83,7 +88,7 @@
   return faults
 }
 
-/** Each model needs both halves, and something with weight in each. */
+/** Each model needs an endpoint with a weight above 0 for prefill and for decode. */
 function checkPools(table: Table): TableFault[] {
   const models = new Set(table.endpoints.flatMap((row) => row.models))
   const faults: TableFault[] = []
@@ -110,7 +115,7 @@
     if (!domains.has(link.from)) fault('from', `no endpoint is in failure domain "${link.from}"`)
     if (!domains.has(link.to)) fault('to', `no endpoint is in failure domain "${link.to}"`)
     if (!(link.megabitsPerSecond > 0)) fault('megabitsPerSecond', `${link.megabitsPerSecond} is not above 0`)
-    if (seen.has(row)) fault('from', 'the link stands twice')
+    if (seen.has(row)) fault('from', 'the link is not unique')
     seen.add(row)
   }
   return faults
--- a/table/table/src/diffTables.ts
+++ b/table/table/src/diffTables.ts
@@ -1,7 +1,7 @@
 import type { EndpointRow, Table, TableDelta } from '@forkstage/types'
 import { canonicalTable, linkName } from './digestTable'
 
-/** The changes that turn one table into another. */
+/** Returns the changes that turn one table into another. */
 export function diffTables(from: Table, to: Table): TableDelta {
   const before = canonicalTable(from)
   const after = canonicalTable(to)
@@ -17,7 +17,7 @@
   }
 }
 
-/** Applies changes to a table; the given table is left as it is. */
+/** Returns a table with changes applied; does not modify the given table. */
 export function applyDelta(table: Table, delta: TableDelta): Table {
   const rows = new Map(table.endpoints.map((row) => [row.endpoint, row]))
   for (const name of delta.removeEndpoints) rows.delete(name)
@@ -28,12 +28,12 @@
   return { endpoints: [...rows.values()], links: [...links.values()] }
 }
 
-/** Whether a delta changes nothing. */
+/** Returns whether a delta contains no change. */
 export function isEmptyDelta(delta: TableDelta): boolean {
   return Object.values(delta).every((list) => list.length === 0)
 }
 
-/** Lines for a terminal: `+` new, `-` gone, `~` changed with old and new cell. */
+/** Formats the difference of two tables for a terminal: `+` added, `-` removed, `~` changed with old and new value. */
 export function formatDiff(from: Table, to: Table): string[] {
   const delta = diffTables(from, to)
   const oldRows = new Map(from.endpoints.map((row) => [row.endpoint, row]))
--- a/table/table/src/digestTable.ts
+++ b/table/table/src/digestTable.ts
@@ -1,12 +1,12 @@
 import { createHash } from 'node:crypto'
 import type { EndpointRow, LinkRow, Table } from '@forkstage/types'
 
-/** The name of a link: `from>to`. */
+/** Returns the name of a link: `from>to`. */
 export function linkName(link: Pick<LinkRow, 'from' | 'to'>): string {
   return `${link.from}>${link.to}`
 }
 
-/** The table with rows and models in a fixed order, so that equal tables look equal. */
+/** Returns the table with rows, models and fields in a fixed order, so that equal tables serialize equally. */
 export function canonicalTable(table: Table): Table {
   const endpoints = table.endpoints.map(canonicalRow).sort((a, b) => compare(a.endpoint, b.endpoint))
   const links = [...table.links].sort((a, b) => compare(linkName(a), linkName(b)))
@@ -16,7 +16,7 @@
   }
 }
 
-/** SHA-256 over the canonical form, in hex. */
+/** Returns the SHA-256 digest of the table's canonical form, in hex. */
 export function digestTable(table: Table): string {
   return createHash('sha256')
     .update(JSON.stringify(canonicalTable(table)))
--- a/table/table/test/checkTable.test.ts
+++ b/table/table/test/checkTable.test.ts
@@ -41,9 +41,9 @@
   checkTable(broken, { services }).map((fault) => `${fault.row}/${fault.column}`)
 
 describe('checkTable', () => {
-  it('takes a good table', () => expect(faultCells(table)).toEqual([]))
+  it('accepts a valid table', () => expect(faultCells(table)).toEqual([]))
 
-  it('names every fault by row and column', () => {
+  it('reports all faults by row and column', () => {
     const broken = applyDelta(table, {
       upsertEndpoints: [
         row('p-1', { weight: -1, address: 'nowhere' }),
@@ -65,7 +65,7 @@
     )
   })
 
-  it('finds a pool without its partner and endpoints that stand twice', () => {
+  it('reports a model without a decode endpoint, and duplicate endpoints', () => {
     const halves = { ...table, endpoints: [row('p-1'), row('p-1')] }
     expect(faultCells(halves)).toEqual(
       expect.arrayContaining(['(sheet)/pool', 'p-1/endpoint', 'p-1/address']),
@@ -74,11 +74,11 @@
 })
 
 describe('CSV and diff', () => {
-  it('reads back what it wrote', () => {
+  it('parses the CSV that it has written', () => {
     expect(digestTable(parseTableCsv(formatTableCsv(table)))).toBe(digestTable(table))
   })
 
-  it('names each cell that cannot be read', () => {
+  it('rejects cells that cannot be parsed', () => {
     const sheets = formatTableCsv(table)
     const broken = {
       ...sheets,
@@ -87,7 +87,7 @@
     expect(() => parseTableCsv(broken)).toThrow(TableError)
   })
 
-  it('turns one table into the other', () => {
+  it('turns one table into another, and formats the difference', () => {
     const next = {
       ...table,
       endpoints: [row('p-1', { weight: 3 }), ...table.endpoints.slice(2), row('dec-22', { pool: 'decode' })],
