--- a/peer/rpc/src/lineChannel.ts
+++ b/peer/rpc/src/lineChannel.ts
@@ -1,8 +1,8 @@
 import type { Socket } from 'node:net'
 
-/** The longest line taken from a peer; a snapshot travels as one line. */
+/** Maximum length of a line from a peer; a snapshot is sent as one line. */
 const MAX_LINE_BYTES = 256 * 1024 * 1024
-/** How much may wait to be sent before the peer is taken for stuck. */
+/** Maximum size of unsent data; above it the connection is closed because the peer does not read. */
 const MAX_QUEUED_BYTES = 64 * 1024 * 1024
 
 /** Options of {@link openLineChannel}. */
@@ -11,13 +11,13 @@
   onClose: (reason: string) => void
 }
 
-/** A connection that carries one JSON text a line. */
+/** A connection that carries one JSON text per line. */
 export interface LineChannel {
   send(line: string): void
   close(reason: string): void
 }
 
-/** Frames a socket into lines, bounded in both directions. */
+/** Splits the data of a socket into lines; limits the size of received lines and of unsent data. */
 export function openLineChannel(socket: Socket, options: LineChannelOptions): LineChannel {
   let parts: string[] = []
   let pendingChars = 0
--- a/peer/rpc/src/openSocket.ts
+++ b/peer/rpc/src/openSocket.ts
@@ -4,24 +4,24 @@
 
 /** Options of {@link openSocket}. */
 export interface OpenSocketOptions {
-  /** Begins one try; `onOpen` is called once its connection can be used. */
+  /** Starts one connection attempt; `onOpen` is called once the connection is usable. */
   connect: (onOpen: () => void) => Socket
-  /** How long to try altogether. */
+  /** Limit for all attempts together, in milliseconds. */
   timeoutMs: Millis
   clock: Clock
 }
 
 /**
- * After this long without a word another try begins beside those that run. A machine without power lets the opening
- * packet vanish, and the system sends it again only after 1 s: without a further try, one that comes back meanwhile
- * would be found only when the whole limit has passed. Above a round trip
- * between far regions, some 100 ms, so that a machine that answers is asked once.
+ * Delay after which another attempt starts beside the pending ones. A machine without power drops the SYN packet, and
+ * the operating system retransmits it only after 1 s: without another attempt, a machine that comes back in the
+ * meantime would not be reached before the timeout. Longer than a round trip between distant regions, about 100 ms, so
+ * that a machine that responds receives one attempt.
  */
 export const NEXT_ATTEMPT_DELAY_MS = 200
 
 /**
- * Opens a connection; the first try that succeeds is taken and the others are dropped.
- * @throws the error of the first try that is answered with a refusal, or one that says the time was up.
+ * Opens a connection; returns the socket of the first attempt that succeeds and destroys the others.
+ * @throws the error of the first attempt that fails, or a timeout error.
  */
 export function openSocket(options: OpenSocketOptions): Promise<Socket> {
   const { connect, timeoutMs, clock } = options
--- a/peer/rpc/src/peerClient.ts
+++ b/peer/rpc/src/peerClient.ts
@@ -13,16 +13,16 @@
 
 /** Options of one call. */
 export interface PeerCallOptions {
-  /** How long to wait for the answer. */
+  /** How long to wait for the answer, in milliseconds. */
   deadline: Millis
-  /** The step of the work, for errors. */
+  /** The step of the request, for errors. */
   step: string
 }
 
-/** Calls other boxes. What needs peers takes this, so that tests can put a fake in its place. */
+/** Calls other boxes. An interface, so that tests can use a fake. */
 export interface PeerCaller {
   call<Result>(address: Address, method: string, params: unknown, options: PeerCallOptions): Promise<Result>
-  /** Sends without waiting for an answer; lost when there is no connection. */
+  /** Sends a message without waiting for an answer; the message is lost if no connection can be opened. */
   notify(address: Address, method: string, params: unknown): void
 }
 
@@ -36,7 +36,7 @@
 const INITIAL_RETRY_DELAY_MS = 50
 const MAX_RETRY_DELAY_MS = 500
 
-/** Long-lived connections to other boxes, opened when first needed and again after a loss. */
+/** Keeps long-lived connections to other boxes, opened on first use and reopened on the next use after a loss. */
 export class PeerClient implements PeerCaller {
   private readonly links = new Map<Address, PeerLink>()
   private closed = false
@@ -56,7 +56,7 @@
   notify(address: Address, method: string, params: unknown): void {
     const { connection } = this.linkTo(address)
     if (connection !== undefined) return connection.notify(method, params)
-    // Opens the connection for the next message; the protocols above repeat what matters.
+    // A failure to connect is ignored: callers repeat the messages that must arrive.
     this.connect(address, method).then(
       (opened) => opened.notify(method, params),
       () => undefined,
@@ -83,7 +83,7 @@
     if (link.opening !== undefined) return link.opening
     if (this.options.clock.now() < link.retryAt) {
       return Promise.reject(
-        new PeerUnreachableError(address, step, 'the last try to connect has just failed'),
+        new PeerUnreachableError(address, step, 'the last connection attempt has just failed'),
       )
     }
     link.opening = this.open(address, link)
--- a/peer/rpc/src/peerConnection.ts
+++ b/peer/rpc/src/peerConnection.ts
@@ -11,18 +11,18 @@
 import { PROBE, watchSilence } from './watchSilence'
 import { readTlsFiles, type TlsFiles } from './tlsFiles'
 
-/** How a box presents itself to others. */
+/** Identity of a box and options for its connections to other boxes. */
 export interface PeerCredentials {
   box: BoxId
   sharedKey: string
   tls?: TlsFiles
-  /** The IP number that connections come from: this box's own. */
+  /** Local IP address to connect from; chosen by the operating system if absent. */
   localAddress?: string
-  /** How long to wait for a connection and its handshake; 2,000 ms where not given. */
+  /** Timeout of the connection and of each step of its handshake, in milliseconds; 2,000 if absent. */
   connectMs?: Millis
   /**
-   * Closes a connection that has carried something and brought nothing back for this long. A machine that
-   * is cut off says nothing, and TCP would go on sending for many seconds after the cut has healed.
+   * Time without a response after which a connection is closed, in milliseconds; unlimited if absent. A partitioned
+   * machine sends no reset, and TCP would keep retransmitting for many seconds after the partition ends.
    */
   silentMs?: Millis
 }
@@ -43,7 +43,7 @@
 
 const DEFAULT_CONNECT_MS = 2_000
 
-/** Connects to a box; both sides prove that they know the shared key. */
+/** Connects to a box and authenticates both sides by the shared key. */
 export async function openPeerConnection(
   address: Address,
   options: OpenPeerConnectionOptions,
@@ -91,7 +91,7 @@
 async function connectSocket(address: Address, credentials: PeerCredentials, clock: Clock): Promise<Socket> {
   const { host, port } = parseAddress(address)
   const target = { host, port, localAddress: credentials.localAddress }
-  // Loaded only where it is used: it costs each start about 3 ms of processor time.
+  // Loaded on demand: loading TLS takes about 3 ms of processor time.
   const tls = credentials.tls && { files: readTlsFiles(credentials.tls), ...(await import('node:tls')) }
   const connect = (onOpen: () => void) =>
     tls === undefined ? connectTcp(target, onOpen) : tls.connect({ ...target, ...tls.files }, onOpen)
--- a/peer/rpc/src/peerErrors.ts
+++ b/peer/rpc/src/peerErrors.ts
@@ -1,6 +1,6 @@
 import { ForkstageError, type ErrorBody } from '@forkstage/error'
 
-/** Raised when a call to another box did not get an answer; it may have been carried out. */
+/** Raised when a call to another box was not answered; the call may have been executed. */
 export class PeerUnreachableError extends ForkstageError {
   constructor(peer: string, step: string, reason: string, cause?: unknown) {
     super(
--- a/peer/rpc/src/proof.ts
+++ b/peer/rpc/src/proof.ts
@@ -1,14 +1,14 @@
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto'
 
-/** Which side of a connection proves itself; keeps one side's proof from serving as the other's. */
+/** The side of a connection that sends a proof; part of the proof, so that the other side cannot reuse it. */
 export type ProofSide = 'client' | 'server'
 
-/** A random text that the other side must sign. */
+/** Returns a random text that the other side must sign. */
 export function createNonce(): string {
   return randomBytes(24).toString('base64')
 }
 
-/** Proves knowledge of the shared key for one connection. */
+/** Returns a proof of knowing the shared key, valid for one connection only. */
 export function createProof(
   sharedKey: string,
   side: ProofSide,
@@ -19,7 +19,7 @@
     .digest('base64')
 }
 
-/** Compares two proofs in constant time. */
+/** Returns whether two proofs are equal; compares in constant time. */
 export function proofsMatch(expected: string, given: unknown): boolean {
   const left = Buffer.from(expected)
   const right = Buffer.from(typeof given === 'string' ? given : '')
--- a/peer/rpc/src/startPeerServer.ts
+++ b/peer/rpc/src/startPeerServer.ts
@@ -9,7 +9,7 @@
 import { readTlsFiles, type TlsFiles } from './tlsFiles'
 import { PROBE } from './watchSilence'
 
-/** Who calls: the box at the other end, proved by the shared key. */
+/** The caller of a method: the box at the other end, authenticated by the shared key. */
 export interface PeerContext {
   box: BoxId
 }
@@ -26,15 +26,15 @@
   logger: Logger
 }
 
-/** A listener for other boxes. */
+/** A server for calls of other boxes. */
 export interface PeerServer {
   close(): Promise<void>
 }
 
-/** The JSON-RPC error code under which the project's own errors travel; the body is in `data`. */
+/** JSON-RPC error code of errors raised by a method; `data` holds the error body. */
 export const APPLICATION_ERROR_CODE = -32000
 
-/** Listens for other boxes and answers those that prove they know the shared key. */
+/** Listens for other boxes and serves those that authenticate with the shared key. */
 export async function startPeerServer(options: PeerServerOptions): Promise<PeerServer> {
   const sockets = new Set<Socket>()
   const accept = (socket: Socket) => {
@@ -53,7 +53,7 @@
   return { close }
 }
 
-/** Loads TLS only where it is used: it costs each start about 3 ms of processor time. */
+/** Loads TLS on demand: loading it takes about 3 ms of processor time. */
 async function createTlsServer(files: TlsFiles, accept: (socket: Socket) => void): Promise<Server> {
   const { createServer } = await import('node:tls')
   return createServer(readTlsFiles(files), accept)
--- a/peer/rpc/src/tlsFiles.ts
+++ b/peer/rpc/src/tlsFiles.ts
@@ -1,13 +1,13 @@
 import { readFileSync } from 'node:fs'
 
-/** Where the certificates of a box are, as the settings name them. */
+/** Paths of a box's certificate files, as given by the settings. */
 export interface TlsFiles {
   certificate: string
   key: string
   authority: string
 }
 
-/** What node's TLS needs so that both sides are checked against the project's own authority. */
+/** TLS options of Node.js that verify both sides against the certificate authority of the deployment. */
 export interface TlsOptions {
   cert: Buffer
   key: Buffer
@@ -16,7 +16,7 @@
   rejectUnauthorized: true
 }
 
-/** Reads certificate, key and authority. */
+/** Reads certificate, key and authority, and returns them as TLS options. */
 export function readTlsFiles(files: TlsFiles): TlsOptions {
   return {
     cert: readFileSync(files.certificate),
--- a/peer/rpc/src/watchSilence.ts
+++ b/peer/rpc/src/watchSilence.ts
@@ -1,27 +1,28 @@
 import type { CancelTimer, Clock } from '@forkstage/clock'
 import type { Millis } from '@forkstage/types'
 
-/** The method that every peer answers with nothing, to show that it is there. */
+/** Name of the method that every peer answers with an empty result, as a sign of life. */
 export const PROBE = 'peer.probe'
 
 /** Options of {@link watchSilence}. */
 export interface WatchSilenceOptions {
   clock: Clock
-  /** Not watched where not given. */
+  /** Time without a response after which the peer counts as silent, in milliseconds; if absent, nothing is watched. */
   silentMs?: Millis
-  /** Sends something that the peer answers. */
+  /** Sends a message that the peer answers. */
   probe: () => void
+  /** Called once the peer counts as silent. */
   onSilent: () => void
 }
 
-/** Sees to it that whoever is sent to also answers. */
+/** Detects that a peer no longer responds to the messages sent to it. */
 export interface SilenceWatch {
   recordSent(): void
   recordReceived(): void
   stop(): void
 }
 
-/** Probes a peer half a time-out after the first unanswered sending and gives it up after a whole one. */
+/** Probes a peer half a timeout after the first unanswered message, and reports it as silent after a whole one. */
 export function watchSilence(options: WatchSilenceOptions): SilenceWatch {
   const { clock, silentMs, probe, onSilent } = options
   let cancel: CancelTimer | undefined
--- a/peer/rpc/test/makeCertificates.ts
+++ b/peer/rpc/test/makeCertificates.ts
@@ -4,7 +4,7 @@
 import forge from 'node-forge'
 import type { TlsFiles } from '../src'
 
-/** Makes an authority and one certificate of a box at 127.0.0.1, as files. */
+/** Writes a certificate authority and the certificate of a box at 127.0.0.1 to files; returns their paths. */
 export function makeCertificates(name: string): TlsFiles {
   const folder = mkdtempSync(join(tmpdir(), 'forkstage-tls-'))
   const authorityKeys = forge.pki.rsa.generateKeyPair(2_048)
--- a/peer/rpc/test/openSocket.test.ts
+++ b/peer/rpc/test/openSocket.test.ts
@@ -30,8 +30,8 @@
   return { clock, attempts, opened }
 }
 
-describe('opening a connection', () => {
-  it('takes the first try where it is answered', async () => {
+describe('openSocket', () => {
+  it('returns the first attempt if it succeeds', async () => {
     const { clock, attempts, opened } = createHarness()
     attempts[0]!.open()
     expect(await opened).toBe(attempts[0])
@@ -40,7 +40,7 @@
     expect(attempts[0]!.isDestroyed).toBe(false)
   })
 
-  it('finds a machine that has come back after its first packet was lost', async () => {
+  it('reaches a machine that has come back after the first SYN packet was lost', async () => {
     const { clock, attempts, opened } = createHarness()
     clock.advance(NEXT_ATTEMPT_DELAY_MS)
     expect(attempts).toHaveLength(2)
@@ -49,7 +49,7 @@
     expect(attempts.map((socket) => socket.isDestroyed)).toEqual([true, false])
   })
 
-  it('still takes an earlier try that is answered late, once', async () => {
+  it('returns an earlier attempt that succeeds late, and resolves once', async () => {
     const { clock, attempts, opened } = createHarness()
     clock.advance(NEXT_ATTEMPT_DELAY_MS)
     attempts[0]!.open()
@@ -58,7 +58,7 @@
     expect(attempts.map((socket) => socket.isDestroyed)).toEqual([false, true])
   })
 
-  it('fails at once where a try is refused, and drops the others', async () => {
+  it('fails at once if an attempt is refused, and destroys the others', async () => {
     const { clock, attempts, opened } = createHarness()
     clock.advance(NEXT_ATTEMPT_DELAY_MS)
     attempts[1]!.emit('error', new Error('refused'))
@@ -68,7 +68,7 @@
     expect(attempts).toHaveLength(2)
   })
 
-  it('ends at its limit with few tries', async () => {
+  it('fails at the timeout, after few attempts', async () => {
     const { clock, attempts, opened } = createHarness()
     for (let at = 0; at < TIMEOUT_MS * 3; at += 50) clock.advance(50)
     await expect(opened).rejects.toThrow('no connection in time')
--- a/peer/rpc/test/peerClient.test.ts
+++ b/peer/rpc/test/peerClient.test.ts
@@ -32,12 +32,12 @@
 const options = { deadline: 1_000, step: 'test' }
 
 describe('peerClient', () => {
-  it('calls a method and learns the box at the other end', async () => {
+  it('calls a method, which receives the name of the calling box', async () => {
     await serve({ greet: (params: { name: string }, context) => `${params.name} from ${context.box}` })
     expect(await client().call(ADDRESS, 'greet', { name: 'hello' }, options)).toBe('hello from bole-1')
   })
 
-  it('carries code, hint, step and peer of an error', async () => {
+  it('forwards code, hint, step and peer of an error', async () => {
     const fail = () => {
       throw new ForkstageError('FORKSTAGE_TEST', 'no', 'try yes', { step: 'inner' })
     }
@@ -51,7 +51,7 @@
     })
   })
 
-  it('lets nobody in without the shared key', async () => {
+  it('rejects a caller without the shared key', async () => {
     let called = false
     await serve({ change: () => void (called = true) })
     await expect(client('a wrong shared key').call(ADDRESS, 'change', {}, options)).rejects.toThrow(
@@ -60,7 +60,7 @@
     expect(called).toBe(false)
   })
 
-  it('gives up at the deadline, and after the peer is gone', async () => {
+  it('fails a call at its deadline, and when the peer closes the connection', async () => {
     const server = await serve({ never: () => new Promise(() => undefined) })
     const peers = client()
     await expect(peers.call(ADDRESS, 'never', {}, { deadline: 30, step: 'wait' })).rejects.toMatchObject({
@@ -72,7 +72,7 @@
     await expect(pending).rejects.toMatchObject({ code: 'FORKSTAGE_PEER_UNREACHABLE' })
   })
 
-  it('checks the certificates of both sides where the settings name them', async () => {
+  it('verifies the certificates of both sides if the settings name them', async () => {
     const [ours, theirs] = [makeCertificates('ours'), makeCertificates('theirs')]
     await serve({ greet: () => 'hello' }, ours)
     expect(await client(undefined, ours).call(ADDRESS, 'greet', {}, options)).toBe('hello')
--- a/peer/rpc/test/watchSilence.test.ts
+++ b/peer/rpc/test/watchSilence.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('watchSilence', () => {
-  it('probes half a time-out after the first unanswered sending, and gives up after a whole one', () => {
+  it('probes half a timeout after the first unanswered message, and reports silence after a whole one', () => {
     const { clock, calls, watch } = createHarness(1_000)
     watch.recordSent()
     clock.advance(300)
@@ -24,7 +24,7 @@
     expect(calls).toEqual(['probe 500', 'silent 1000'])
   })
 
-  it('is content with anything that comes back, and begins anew with the next sending', () => {
+  it('stops waiting once anything is received, and starts again with the next message sent', () => {
     const { clock, calls, watch } = createHarness(1_000)
     watch.recordSent()
     clock.advance(600)
@@ -35,7 +35,7 @@
     expect(calls).toEqual(['probe 500', 'probe 6100'])
   })
 
-  it('does nothing to a connection that carries nothing, or where it is not asked for', () => {
+  it('does nothing on an idle connection, or without a timeout', () => {
     const idle = createHarness(1_000)
     idle.clock.advance(60_000)
     const off = createHarness()
@@ -44,7 +44,7 @@
     expect([...idle.calls, ...off.calls]).toEqual([])
   })
 
-  it('ends with its connection', () => {
+  it('does nothing after it is stopped', () => {
     const { clock, calls, watch } = createHarness(1_000)
     watch.recordSent()
     watch.stop()
