--- a/core/answers/src/index.ts
+++ b/core/answers/src/index.ts
@@ -1,2 +1,2 @@
-/** Answers of an HTTP server that have not left yet. */
+/** Responses of an HTTP server that are not yet sent completely. */
 export { PendingResponses } from './pendingResponses'
--- a/core/answers/src/pendingResponses.ts
+++ b/core/answers/src/pendingResponses.ts
@@ -3,15 +3,15 @@
 
 /** One connection of a caller. */
 interface Connection {
-  /** Its requests whose answers have not left. */
+  /** Number of requests whose responses are not yet sent completely. */
   pending: number
-  /** What it had brought when its last answer left; absent until it has carried one. */
+  /** Bytes received when the last response was completed; absent before the first one. */
   idleAtBytes?: number
 }
 
 /**
- * Follows the answers of a server until their last bytes have left this process. The server's own view ends earlier: it
- * counts a connection as idle once its answer was ended, and closes it with what a slow caller has not taken yet.
+ * Tracks the responses of a server until their last bytes have left this process. The server itself considers a
+ * connection idle as soon as its response was ended, and would close it with data that a slow caller has not yet read.
  */
 export class PendingResponses {
   private readonly connections = new Map<Socket, Connection>()
@@ -25,24 +25,24 @@
     server.on('request', (_request, response) => this.track(response))
   }
 
-  /** Requests whose answers have not left. */
+  /** Number of requests whose responses are not yet sent completely. */
   get count(): number {
     return this.total
   }
 
-  /** How many of them a connection carries. */
+  /** Returns the number of such requests on a connection. */
   countOn(socket: Socket): number {
     return this.connections.get(socket)?.pending ?? 0
   }
 
-  /** Stops listening and closes connections that rest between two requests. */
+  /** Stops listening and closes connections that are idle between two requests. */
   close(): void {
-    // What an HTTP server does when it closes would end answers that have not left, see above.
+    // The close method of an HTTP server would cut off responses that are not yet sent completely, see above.
     NetServer.prototype.close.call(this.server)
     for (const [socket, connection] of this.connections) if (isIdle(socket, connection)) socket.destroy()
   }
 
-  /** Closes every connection at once. */
+  /** Stops listening and closes every connection at once. */
   closeAll(): void {
     NetServer.prototype.close.call(this.server)
     for (const socket of this.connections.keys()) socket.destroy()
@@ -51,7 +51,7 @@
   private track(response: ServerResponse): void {
     const { socket } = response.req
     const connection = this.connections.get(socket)
-    // A connection that was closed before its request was read carries no answer.
+    // The connection was closed before its request was read.
     if (connection === undefined) return
     connection.pending += 1
     this.total += 1
@@ -74,7 +74,7 @@
   }
 }
 
-/** Whether it has carried answers that have all left, and no byte of another request has come. */
+/** Returns whether a connection has sent all its responses, at least one, and received no byte of another request. */
 function isIdle(socket: Socket, { pending, idleAtBytes }: Connection): boolean {
   return pending === 0 && idleAtBytes === socket.bytesRead
 }
--- a/core/answers/test/pendingResponses.test.ts
+++ b/core/answers/test/pendingResponses.test.ts
@@ -11,7 +11,7 @@
   while (!condition()) await new Promise((resolve) => setImmediate(resolve))
 }
 
-/** A server that hands its answers to the test, and a caller's bare connection. */
+/** A server that hands its responses to the test, and a function that opens a caller's TCP connection. */
 async function start() {
   const responses: ServerResponse[] = []
   const server = createServer((_request, response) => void responses.push(response))
@@ -30,11 +30,11 @@
 }
 
 const REQUEST = 'GET / HTTP/1.1\r\nHost: h\r\n\r\n'
-/** More than two sockets on loopback buffer. */
+/** Larger than the buffers of both sockets of a loopback connection. */
 const LARGE = Buffer.alloc(15 * 1024 * 1024)
 
 describe('PendingResponses', () => {
-  it('counts an answer from its request until its last bytes have left', async () => {
+  it('counts a response from its request until its last bytes have left', async () => {
     const { pending, responses, caller } = await start()
     const socket = await caller()
     socket.write(REQUEST)
@@ -47,7 +47,7 @@
     await waitUntil(() => pending.count === 0)
   })
 
-  it('leaves a connection whose answer has not left when it closes, and ends one that rests', async () => {
+  it('on close, keeps a connection with an unsent response and ends an idle one', async () => {
     const { pending, responses, caller } = await start()
     const [slow, resting] = [await caller(), await caller()]
     resting.write(REQUEST)
@@ -66,7 +66,7 @@
     expect(pending.count).toBe(0)
   })
 
-  it('no longer counts an answer whose caller has gone, once', async () => {
+  it('stops counting a response whose caller has disconnected, and does so once', async () => {
     const { pending, responses, caller } = await start()
     const socket = await caller()
     socket.write(REQUEST)
@@ -78,7 +78,7 @@
     expect(pending.count).toBe(0)
   })
 
-  it('keeps count of a connection that carries many requests, and adds nothing to it', async () => {
+  it('counts many requests on one connection without leaking listeners', async () => {
     const { pending, responses, caller } = await start()
     const socket = await caller()
     for (let each = 0; each < 20; each += 1) {
--- a/core/clock/src/clock.ts
+++ b/core/clock/src/clock.ts
@@ -5,24 +5,25 @@
 /** Cancels a timer that has not fired yet. */
 export type CancelTimer = () => void
 
-/** Time as the program sees it. Injected, so that tests decide what time it is. */
+/** The source of time, injected so that tests control it. */
 export interface Clock {
-  /** Monotonic milliseconds; never steps back, also when the wall clock is set. */
+  /** Monotonic milliseconds; never goes back, even if the wall clock is set. */
   now(): Millis
   /**
-   * When this machine may last have been suspended: time passed that {@link now} does not count. What somebody promised
-   * before may not hold any more, and is to be asked for anew; -Infinity where nothing was noticed.
+   * Returns when a possible suspension of this machine, during which {@link now} stood still, was last detected;
+   * -Infinity if none was. Leases and other promises with a deadline that were received before may have expired
+   * and must be renewed.
    */
   suspendedAt(): Millis
   /** Wall-clock milliseconds since 1970, for display and retention only. */
   wallNow(): number
-  /** Calls back once after the delay. */
+  /** Calls back once after the delay; returns a function that cancels the timer. */
   after(delay: Millis, callback: () => void): CancelTimer
 }
 
 const SECOND_MS = 1_000
 
-/** The clock of the operating system. */
+/** Returns the clock of the operating system. */
 export function createSystemClock(): Clock {
   const monotonic = () => performance.now()
   const wall = () => Date.now()
@@ -38,7 +39,7 @@
   }
 }
 
-/** Calls back again and again until cancelled; the next delay starts when the callback returns. */
+/** Calls back repeatedly until cancelled; the next delay starts when the callback returns. */
 export function every(clock: Clock, interval: Millis, callback: () => void): CancelTimer {
   let cancel: CancelTimer = () => undefined
   let stopped = false
--- a/core/clock/src/manualClock.ts
+++ b/core/clock/src/manualClock.ts
@@ -26,7 +26,7 @@
     return this.suspended
   }
 
-  /** Lets time pass that this clock does not count: no timer falls due. */
+  /** Simulates a suspension of the machine: no timer fires. */
   suspend(): void {
     this.time += 1
     this.suspended = this.time
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Moves time forward, firing each timer that falls due on the way. */
+  /** Advances the time and fires each timer that becomes due. */
   advance(milliseconds: Millis): void {
     const end = this.time + milliseconds
     for (let next = this.nextDue(end); next !== undefined; next = this.nextDue(end)) {
--- a/core/clock/src/suspensionDetector.ts
+++ b/core/clock/src/suspensionDetector.ts
@@ -2,31 +2,33 @@
 
 /** The clocks that {@link SuspensionDetector} compares. */
 export interface ClockSources {
-  /** Never steps back, and stands still while the machine is suspended. */
+  /** Monotonic time; never goes back, and stands still while the machine is suspended. */
   monotonic: () => Millis
-  /** The time of day; counts what passes meanwhile, and is set now and then. */
+  /** Wall-clock time; includes suspensions, and may be set. */
   wall: () => Millis
-  /** Since the machine's start, with what passed while it was suspended. */
+  /** Time since the machine's start, including suspensions. */
   uptime: () => Millis
 }
 
-/** Set by a little again and again the time of day still keeps within this of the steady clock between two looks. */
+/** A larger drift between two checks counts as a suspension; a slewed wall clock stays below it. */
 const MAX_DRIFT_MS: Millis = 100
-/** An uptime that is the machine's own follows the steady clock this closely: it counts in hundredths of a second. */
+/** Maximum drift of this machine's uptime from monotonic time between checks; it counts in hundredths of a second. */
 const UPTIME_TOLERANCE_MS: Millis = 50
+/** Number of consecutive matching checks after which the uptime counts as that of this machine. */
 const CHECKS_UNTIL_TRUSTED = 5
-/** Reading it opens a file. */
+/** Reading the uptime opens a file, so it is read less often than the wall clock. */
 const UPTIME_CHECK_INTERVAL_MS: Millis = 1_000
 
 /**
- * Notices that time may have passed unseen: the time of day, or the uptime, has moved ahead of the steady clock since the
- * last look. A time of day that was set looks the same, so that what follows from it must cost little and lose nothing.
+ * Detects that the machine may have been suspended: the wall clock or the uptime has moved ahead of monotonic time
+ * since the last check. A wall clock that is set forward looks the same, so what a detection triggers must cost little
+ * and lose nothing.
  */
 export class SuspensionDetector {
   private wallAhead: Millis
   private uptimeAhead: Millis
   private uptimeCheckedAt: Millis
-  /** How often in a row the uptime has followed the steady clock: where it is another machine's it does not. */
+  /** Consecutive checks in which the uptime matched monotonic time; another machine's uptime does not match. */
   private matchingChecks = 0
   private detectedAt: Millis = -Infinity
 
@@ -37,10 +39,10 @@
     this.uptimeCheckedAt = now
   }
 
-  /** When that was last noticed, by the steady clock; -Infinity where it never was. */
+  /** Checks the clocks; returns the monotonic time of the last detection, or -Infinity if there was none. */
   suspendedAt(): Millis {
     const now = this.clocks.monotonic()
-    // Both are looked at each time: what one shows now the other must not show once more a second later.
+    // Both are always checked, so that the second one does not report the same suspension again later.
     const byWall = this.hasWallJumped(now)
     const byUptime = this.hasUptimeJumped(now, byWall)
     if (byWall || byUptime) this.detectedAt = now
--- a/core/clock/test/suspensionDetector.test.ts
+++ b/core/clock/test/suspensionDetector.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { ManualClock, SuspensionDetector } from '../src'
 
-/** Three clocks that can be moved one by one. */
+/** A detector over three clocks that can be moved independently. */
 function createHarness() {
   const time = { steady: 0, wall: 1e12, uptime: 5_000 }
   const detector = new SuspensionDetector({
@@ -12,7 +12,7 @@
   return {
     time,
     detector,
-    /** Lets time pass on all three, with looks in between. */
+    /** Advances all three clocks, with a check every 50 ms. */
     pass: (milliseconds: number, uptimeRate = 1) => {
       for (let passed = 0; passed < milliseconds; passed += 50) {
         time.steady += 50
@@ -25,7 +25,7 @@
 }
 
 describe('SuspensionDetector', () => {
-  it('notices nothing while all clocks go on alike, also where the time of day is slewed', () => {
+  it('detects nothing while all clocks advance equally, even if the wall clock is slewed', () => {
     const { time, detector, pass } = createHarness()
     for (let second = 0; second < 60; second += 1) {
       pass(1_000)
@@ -34,7 +34,7 @@
     expect(detector.suspendedAt()).toBe(-Infinity)
   })
 
-  it('notices at the first look after it that the time of day has moved ahead', () => {
+  it('detects a jump of the wall clock at the first check after it', () => {
     const { time, detector, pass } = createHarness()
     pass(1_000)
     time.wall += 5_000
@@ -44,7 +44,7 @@
     expect(detector.suspendedAt()).toBe(1_000)
   })
 
-  it('notices by the uptime what a time of day that was set back hides', () => {
+  it('detects a suspension by the uptime if the wall clock does not show it', () => {
     const { time, detector, pass } = createHarness()
     pass(8_000)
     time.uptime += 5_000
@@ -52,7 +52,7 @@
     expect(detector.suspendedAt()).toBeGreaterThanOrEqual(8_000)
   })
 
-  it('notices one suspension once, also where both clocks show it', () => {
+  it('detects a suspension once, even if both clocks show it', () => {
     const { time, detector, pass } = createHarness()
     pass(8_000)
     time.wall += 5_000
@@ -62,7 +62,7 @@
     expect(detector.suspendedAt()).toBe(8_000)
   })
 
-  it('takes a time of day that is set back for nothing', () => {
+  it('ignores a wall clock that is set back', () => {
     const { time, detector, pass } = createHarness()
     pass(1_000)
     time.wall -= 5_000
@@ -70,7 +70,7 @@
     expect(detector.suspendedAt()).toBe(-Infinity)
   })
 
-  it.each([0.4, 3, 1.2])('does not believe an uptime that is another machine’s (pace %s)', (rate) => {
+  it.each([0.4, 3, 1.2])('ignores the uptime of another machine (rate %s)', (rate) => {
     const { detector, pass } = createHarness()
     pass(60_000, rate)
     expect(detector.suspendedAt()).toBe(-Infinity)
@@ -78,7 +78,7 @@
 })
 
 describe('ManualClock', () => {
-  it('stands still while it is suspended, and knows it afterwards', () => {
+  it('fires no timer while suspended, and reports the suspension afterwards', () => {
     const clock = new ManualClock(100)
     let fired = false
     clock.after(50, () => (fired = true))
--- a/core/error/src/forkstageError.ts
+++ b/core/error/src/forkstageError.ts
@@ -1,13 +1,13 @@
-/** Where an error arose: the step that failed and, where one was involved, the peer. */
+/** Where an error occurred: the step that failed and, if there was one, the peer. */
 export interface ErrorOrigin {
-  /** The step of the work, for example `claim` or `prefill`. */
+  /** The step of the request, for example `claim` or `prefill`. */
   step?: string
-  /** The box, endpoint or replica that was being talked to. */
+  /** The box, endpoint or replica on the other side of the call. */
   peer?: string
   cause?: unknown
 }
 
-/** The shape in which an error crosses a process boundary. */
+/** An error as plain data, as sent to other processes. */
 export interface ErrorBody {
   code: string
   message: string
@@ -17,8 +17,8 @@
 }
 
 /**
- * The base of every error the project raises on purpose.
- * `code` is stable across releases; `hint` tells the reader what to do next.
+ * The base class of all errors that the project raises itself.
+ * `code` is stable across releases; `hint` describes what to do next.
  */
 export class ForkstageError extends Error {
   readonly code: `FORKSTAGE_${string}`
@@ -35,7 +35,7 @@
     this.peer = origin.peer
   }
 
-  /** The error as plain data, for an HTTP body, an RPC answer or a log line. */
+  /** Returns the error as plain data, for an HTTP body, an RPC response or a log line. */
   toBody(): ErrorBody {
     const body: ErrorBody = { code: this.code, message: this.message, hint: this.hint }
     if (this.step !== undefined) body.step = this.step
@@ -50,7 +50,7 @@
     super(
       'FORKSTAGE_INVARIANT',
       `Invariant "${invariant}" does not hold: ${detail}`,
-      'This is a defect of forkstage. Keep the log lines around it and report it.',
+      'This is a bug in forkstage. Keep the surrounding log lines and report it.',
       origin,
     )
   }
@@ -65,13 +65,13 @@
   if (!condition) throw new InvariantError(invariant, detail())
 }
 
-/** Describes anything thrown as an error body, so that no bare stack reaches a reader. */
+/** Converts any thrown value to an error body without its stack. */
 export function toErrorBody(error: unknown): ErrorBody {
   if (error instanceof ForkstageError) return error.toBody()
   const message = error instanceof Error ? error.message : String(error)
   return {
     code: 'FORKSTAGE_UNEXPECTED',
     message,
-    hint: 'This error was not foreseen. The log of the box has the details.',
+    hint: 'This error is unexpected. See the log of the box for details.',
   }
 }
--- a/core/logger/src/createLogger.ts
+++ b/core/logger/src/createLogger.ts
@@ -4,7 +4,7 @@
 import type { LogEventName, LogEvents } from './logEvents'
 import type { LogLevel } from './logLevel'
 
-/** Writes typed events. */
+/** Writes typed log events. */
 export interface Logger {
   debug<Name extends LogEventName>(event: Name, fields: LogEvents[Name]): void
   info<Name extends LogEventName>(event: Name, fields: LogEvents[Name]): void
@@ -18,15 +18,15 @@
   context: Record<string, string>
   /** Lines below this level are not written. */
   level: LogLevel
-  /** Receives each line without its line end; standard output where not given. */
+  /** Receives each line without its line end; standard output if absent. */
   write?: (line: string) => void
-  /** Decides which lines are written; all are where not given. */
+  /** Decides which lines are written; if absent, all are. */
   limiter?: LogLimiter
 }
 
 const LEVELS: LogLevel[] = ['debug', 'info', 'warn', 'error']
 
-/** Creates a logger that writes one JSON line an event. */
+/** Creates a logger that writes one JSON line per event. */
 export function createLogger(options: CreateLoggerOptions): Logger {
   const write = options.write ?? ((line: string) => void process.stdout.write(`${line}\n`))
   ROARR.write = write
@@ -44,7 +44,7 @@
   return { debug: at('debug'), info: at('info'), warn: at('warn'), error: at('error') }
 }
 
-/** A logger that writes nothing, for tests of parts that log. */
+/** Creates a logger that writes nothing, for tests. */
 export function createSilentLogger(): Logger {
   const nothing = () => undefined
   return { debug: nothing, info: nothing, warn: nothing, error: nothing }
--- a/core/logger/src/enableRoarr.ts
+++ b/core/logger/src/enableRoarr.ts
@@ -1,2 +1,2 @@
-/** Roarr writes nothing unless this is set before it is loaded; the level is decided here instead. */
+/** Roarr writes nothing unless this is set before it is loaded. The level is applied by createLogger. */
 process.env.ROARR_LOG = 'true'
--- a/core/logger/src/logEvents.ts
+++ b/core/logger/src/logEvents.ts
@@ -1,9 +1,9 @@
 import type { ErrorBody } from '@forkstage/error'
 
-/** What the machine that leads said to who asked for an endpoint or a turn. */
+/** The leader's answer to a request for an isolated or an exclusive trial, or that no leader answered. */
 export type TrialOutcome = 'granted' | 'later' | 'anywhere' | 'isolate' | 'no leader answered'
 
-/** Every log event of the program by name, with the fields its line carries. */
+/** The fields of every log event, by event name. */
 export interface LogEvents {
   'box.started': { box: string; addresses: Record<string, string>; version: string }
   'start.code_cache_unused': { reason: string }
@@ -14,7 +14,10 @@
   'replica.founded': { group: string; replica: string; voters: string[] }
   'replica.role': { group: string; replica: string; role: string; term: number }
   'replica.membership': { group: string; change: string; replica: string }
-  /** Voters missing for a majority after the loss of so many failure domains (0 or less: borne), and live voters in each. */
+  /**
+   * Tolerance of the loss of `losses` failure domains: `missing` voters for a majority after that loss (0 or less:
+   * tolerated), and live `voters` per domain.
+   */
   'replica.domains': { group: string; losses: number; missing: number; voters: Record<string, number> }
   'replica.refused': { group: string; reason: string } & Partial<ErrorBody>
   'replica.snapshot': { group: string; index: number; bytes: number }
@@ -27,78 +30,78 @@
   'owner.released': { endpoint: string; request: string; kind: string; ageMs: number }
   'endpoint.ejected': { endpoint: string; reason: string; forMs: number }
   'endpoint.restored': { endpoint: string }
-  /** What is believed of the rate that an endpoint names, in requests a second from all machines together. */
+  /** The known rate advertised by an endpoint has changed; requests per second from all machines together. */
   'endpoint.rate': {
     endpoint: string
     outcome: 'named' | 'changed' | 'withdrawn'
-    /** Absent where it names none. */
+    /** Absent if the endpoint advertises no rate. */
     perSecond?: number
     before?: number
-    /** Whether an answer said so here, or another machine. */
+    /** Whether the rate comes from a response of the endpoint or from another machine. */
     by: 'answer' | 'machine'
-    /** Of the word. */
+    /** Age of the information. */
     ageMs: number
   }
-  /** What this machine believes of an endpoint that wants nothing from it for a while. */
+  /** The backoff (Retry-After) of an endpoint, as known to this machine, has changed. */
   'endpoint.rest': {
     endpoint: string
-    /** `unreadable`: its time to come back was none; one line an endpoint. */
+    /** `unreadable`: Retry-After could not be parsed; logged once per endpoint. */
     outcome: 'asked' | 'longer' | 'over' | 'unreadable'
-    /** The request that it turned away so; absent for one that is over. */
+    /** The request that was rejected; absent if the backoff is over. */
     request?: string
-    /** From the answer on. */
+    /** Duration from the response on. */
     forMs?: number
-    /** What could not be read. */
+    /** The value that could not be parsed. */
     value?: string
-    /** Since it was first asked for. */
+    /** Time since the backoff was first requested. */
     ageMs?: number
   }
-  /** An endpoint has said in its answer to a request that it leaves. */
+  /** An endpoint has announced in its response to a request that it is leaving. */
   'endpoint.leaving': { endpoint: string; request: string }
-  /** Endpoints in another machine's list that say nothing of one to use. */
+  /** Invalid endpoints in the list of another machine. */
   'endpoints.refused': { peer: string; count: number }
-  /** A statement that says nothing of an endpoint to use. `endpoint` is what its sender calls it; `count`: since the start. */
+  /** An invalid registration. `endpoint` is the name given by the sender; `count` is the number since the start. */
   'registration.refused': { endpoint: string; bytes: number; count: number }
-  /** Requests of this content reach no endpoint any more. */
+  /** Requests of this content are no longer sent to any endpoint. */
   'content.refused': {
-    /** The digest of what such requests ask for. */
+    /** Digest of the content of such requests. */
     content: string
-    /** `ends`: others may explain them; it is refused only where it was to run alone before. */
+    /** `ends`: refused by its number of crashes, which other contents may explain; needs isolated trials. */
     by: 'blame' | 'ends'
-    /** Lives of endpoints that it is blamed for, or that ended under it. */
+    /** Number of incarnations of endpoints that the content is blamed for, or that crashed while running it. */
     ends: number
     ended: string[]
     served: string[]
     ageMs: number
     leftMs: number
   }
-  /** A content that may end its endpoints asked to run where nothing else does. */
+  /** An isolated trial was requested for a suspect content. */
   'content.alone': {
     content: string
     service: string
-    /** `anywhere`: its service has too few endpoints to keep one free. */
+    /** `anywhere`: the service has too few endpoints to reserve one. */
     outcome: TrialOutcome
     endpoint?: string
     retryAfterMs?: number
   }
-  /** A content that may turn out to crash its endpoints asked to run once at a time. */
+  /** Exclusive execution, one run at a time, was requested for a content that may be suspect. */
   'content.turn': {
     request: string
     content: string
     service: string
-    /** `later`: another run of it is under way; `isolate`: it must run where nothing else does, by what the leader knows. */
+    /** `later`: another run of the content is in progress; `isolate`: the leader requires an isolated trial. */
     outcome: TrialOutcome
     endpoint?: string
     retryAfterMs?: number
   }
-  /** An endpoint is kept free of everything else, or serves all again. */
+  /** The set of reserved endpoints has changed. */
   'endpoints.kept-free': { endpoints: string[] }
-  /** Its process has ended without having said so, while these requests were at work there; `contents` by their digests. */
+  /** An endpoint has crashed while it was running `requests`; `contents` are digests. */
   'endpoint.ended': {
     endpoint: string
     service: string
     evidence: 'refuses' | 'replaced'
-    /** Since its last answer was lost. */
+    /** Time since a response of the endpoint was last lost. */
     ageMs: number
     requests: string[]
     contents: string[]
@@ -123,22 +126,22 @@
   'log.omitted': { counts: Record<string, number> }
   'control.lost': { peer: string; reason: string }
   'control.regained': { peer: string }
-  /** Time may have passed that the steady clock does not count, or the time of day was set. */
+  /** The machine may have been suspended, or its wall clock was set. */
   'machine.suspended': { outcome: string }
   'sheet.installed': { version: number; routes: number; services: number }
   'sheet.refused': { reason: string }
   'sheet.put': { version: number; outcome: string; held: number }
-  /** An operator's order at the control machine that took it; `index` is the log index of the last change. */
+  /** An operator's order, at the control machine that accepted it; `index` is the log index of the last change. */
   'evacuation.taken': {
     domain: string
     action: 'begin' | 'withdraw'
     index: number
     outcome: 'changed' | 'held' | 'overtaken'
   }
-  /** An order of which it is not known whether it was taken. */
+  /** An order of which it is not known whether it was accepted. */
   'evacuation.unsure': { domain: string; action: 'begin' | 'withdraw'; reason: string }
   'evacuation.refused': { reason: string }
-  /** What a machine believes has changed: nothing more leaves for endpoints of these domains. */
+  /** The set of evacuated domains known to a machine has changed: it sends nothing more to their endpoints. */
   'evacuation.in-force': { index: number; count: number; domains: string[] }
   'endpoint.registered': {
     endpoint: string
@@ -148,20 +151,20 @@
     address: string
     sequence: number
   }
-  /** Many endpoints of which something is new, as after a start. */
+  /** Several endpoints have changed together, for example after a start. */
   'endpoints.changed': { count: number; states: Record<string, number>; endpoints: string[] }
-  /** Endpoints are believed cold, or warm again: many that change together in one line. */
+  /** Endpoints are considered cold, or warm again; one line for all that change together. */
   'endpoints.cold': {
     outcome: 'cold' | 'warm'
     count: number
     endpoints: string[]
-    /** How much longer the last of them is cold; 0 for warm ones. */
+    /** Remaining time until the last of them is warm; 0 for warm ones. */
     leftMs: number
-    /** How long the first of them had been believed cold; 0 for those that turn so. */
+    /** How long the first of them had been considered cold; 0 for those that have just become cold. */
     ageMs: number
   }
   'endpoint.recalled': { endpoint: string; outcome: string }
-  /** A file of what a machine knew before its start could not be read. */
+  /** A file with the state from before the start could not be read. */
   'file.not-recalled': { file: string; reason: string }
   'file.not-kept': { file: string; reason: string }
   'settings.reloaded': { changed: string[] }
@@ -174,26 +177,26 @@
     need: { prefill: number; decode: number }
     have: { prefill: number; decode: number }
   }
-  /** An engine has turned slow beside its peers, or is well again. */
+  /** An engine has become slow compared with its peers, or has recovered. */
   'engine.pace': {
     endpoint: string
     stage: string
     outcome: 'slow' | 'well'
-    /** Milliseconds for a token made, or for each millisecond that reading should take. */
+    /** Milliseconds per decoded token, or per millisecond of expected prefill time. */
     pace: number
     peers: number
-    /** How many times its peers' time it takes while it is well. */
+    /** Ratio of its time to that of its peers while it is well. */
     build: number
-    /** How many times slower than its own past, beside its peers. */
+    /** Slowdown against its own past, relative to its peers. */
     slowness: number
     ageMs: number
     term: number
   }
-  /** A running answer should go on at another engine, since its own turned slow or leaves. */
+  /** A migration was ordered: the engine of a running request has become slow or is leaving. */
   'answer.moves': { request: string; entry: string; endpoint: string }
-  /** How that ended at its entry. */
+  /** The result of a migration, at the entry of the request. */
   'answer.moved': { request: string; from: string; to: string; outcome: string; tookMs: number }
-  /** What an entry says of a running request cannot be. */
+  /** An entry's report of a running request is inconsistent. */
   'place.report-refused': { entry: string; request: string; reason: string }
   'place.alone': { request: string; reason: string }
   'place.decided': {
@@ -202,78 +205,78 @@
     outcome: string
     reason: string
     promptTokens: number
-    /** The regions that bound it, as its entry had them; absent where any would do. */
+    /** Allowed regions of the request, as sent by its entry; absent if any region is allowed. */
     regions?: readonly string[]
-    /** The failure domain of its entry. */
+    /** Failure domain of its entry. */
     entryDomain?: string
-    /** Tokens of its prompt that its reader or its decode engine should keep; absent where there are none. */
+    /** Prompt tokens expected in the prefix cache of its prefill or decode engine; absent if there are none. */
     keptTokens?: number
     targetMs: number
-    /** Whether its caller had been sent away before. */
+    /** Whether its caller had been refused before and has retried. */
     isReturn: boolean
     waitedMs: number
     holds: number
     waiting: number
-    /** What was believed of the engines: how many work, the one with the most room, the shortest reading queue. */
+    /** Known state of the engines: the numbers in use, the one with the most room, the shortest prefill queue. */
     engines: {
       decoders: number
       readers: number
       roomiest?: { endpoint: string; peak: number; running: number }
       soonest?: { endpoint: string; queuedMs: number }
-      /** Cold engines, and those of them that get nothing now; absent where none is cold. */
+      /** Number of cold engines, and of those that receive nothing at present; absent if none is cold. */
       cold?: { engines: number; withheld: number }
     }
-    /** Tokens that one engine can hold. */
+    /** KV cache capacity of one engine, in tokens. */
     memory: number
     term: number
   }
-  /** A request was about to leave for an endpoint that must not get it now. */
+  /** A request was not sent to its chosen endpoint, because that endpoint must not receive it any more. */
   'send.withheld': { request: string; endpoint: string; step: string; reason: string }
-  /** A request showed no key that the sheet in force knows. */
+  /** A request was refused because it had no key of the current sheet. */
   'key.refused': {
     request: string
     route: string
     reason: string
-    /** The first digits of the key's digest; absent where there was no single key. */
+    /** First digits of the key's digest; absent if the request did not have exactly one key. */
     key?: string
     sheetVersion: number
     outcome: string
   }
-  /** A request lies beyond its workspace's quota. */
+  /** A request was refused because it exceeds the quota of its workspace. */
   'quota.refused': {
     request: string
     workspace: string
-    /** What it counts, and what this entry could still let through. */
+    /** Units of the request; `level` is the number of units that this entry could still admit. */
     units: number
     level: number
-    /** The age of what the leader said of it last; absent where it has said nothing. */
+    /** Age of the leader's last information about the quota; absent if there is none. */
     ageMs?: number
-    /** Whether this entry decided by itself, without the leader's word. */
+    /** Whether this entry decided without the leader. */
     isAlone: boolean
     retryAfterMs: number
     sheetVersion: number
     waitedMs: number
   }
-  /** The leader left a call unanswered, for the first time since it answered one. */
+  /** The leader did not answer a call, for the first time since its last answer. */
   'leader.unanswered': { peer: string; step: string; reason: string }
   'request.answered': {
     request: string
     route: string
-    /** Whose key it showed. */
+    /** Workspace of its key. */
     workspace?: string
     status: number
     outcome: string
     tookMs: number
     firstEventMs?: number
-    /** The longest time between two events of a stream. */
+    /** Longest time between two events of a stream. */
     longestPauseMs?: number
-    /** The time that was left when the entry cut an answer that had begun. */
+    /** Remaining time of the request when the entry aborted a response that had begun. */
     cutWithLeftMs?: number
     sends: unknown[]
   }
-  /** An answer that has begun was turned away, and waits to go on; one line until its next event. */
+  /** A response that has begun waits because its continuation was refused; one line until its next event. */
   'answer.waits': { request: string; reason: string; leftMs: number }
-  /** An answer had ended here, and its connection was closed before its last bytes had left. */
+  /** A connection was closed before the last bytes of a finished response were sent. */
   'answer.unsent': { request: string; bytes: number; by: 'entry' | 'caller' }
   'peer.connected': { peer: string; box: string }
   'peer.lost': { peer: string; reason: string }
--- a/core/logger/src/logLevel.ts
+++ b/core/logger/src/logLevel.ts
@@ -1,2 +1,2 @@
-/** How urgent a line is. */
+/** Severity of a log line. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error'
--- a/core/logger/src/logLimiter.ts
+++ b/core/logger/src/logLimiter.ts
@@ -2,31 +2,31 @@
 
 /** Options of {@link LogLimiter}. */
 export interface LogLimiterOptions {
-  /** Lines of one event a second, at info and below. */
+  /** Maximum lines per event and second, at level info and below. */
   perSecond: number
-  /** Steady milliseconds. */
+  /** Returns monotonic milliseconds. */
   now: () => number
-  /** Bytes that wait to be taken by whoever reads the lines. */
+  /** Returns the number of bytes that the reader of the log has not yet read. */
   queuedBytes: () => number
-  /** Above this many waiting bytes only warnings are written, above twice as many nothing. */
+  /** At this many queued bytes only warnings and errors are written, at twice as many nothing. */
   maxQueuedBytes: number
 }
 
 const SECOND_MS = 1_000
-/** Warnings and errors explain failures: they are the last to be left out. */
+/** Factor of the line limit for warnings and errors, which explain failures and are omitted last. */
 const URGENT_FACTOR = 20
 
-/** Decides which lines are written, so that neither load nor a reader that stops can hold the process up. */
+/** Decides which lines are written, so that neither load nor a reader that stops reading can block the process. */
 export class LogLimiter {
   private secondStartedAt = -Infinity
   private readonly written = new Map<string, number>()
   private omitted = new Map<string, number>()
-  /** Lines left out since the start. */
+  /** Number of lines omitted since the start. */
   omittedTotal = 0
 
   constructor(private readonly options: LogLimiterOptions) {}
 
-  /** Whether a line of an event may be written; counts it where not. */
+  /** Returns whether a line of an event may be written; counts the line as omitted if not. */
   allow(event: string, level: LogLevel): boolean {
     this.startNewSecond()
     const isUrgent = level === 'warn' || level === 'error'
@@ -43,7 +43,7 @@
     return true
   }
 
-  /** What was left out since the last call, by event; undefined where nothing was or there is no room to say so. */
+  /** Returns and resets the omitted lines per event; undefined if there are none or the queue is full. */
   takeOmitted(): Record<string, number> | undefined {
     const { queuedBytes, maxQueuedBytes } = this.options
     if (this.omitted.size === 0 || queuedBytes() >= maxQueuedBytes) return undefined
--- a/core/logger/test/createLogger.test.ts
+++ b/core/logger/test/createLogger.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest'
 import { createLogger } from '../src'
 
-it('writes one JSON line an event, from its level up', () => {
+it('writes one JSON line per event at or above its level', () => {
   const lines: string[] = []
   const logger = createLogger({
     context: { box: 'bole-1' },
--- a/core/logger/test/logLimiter.test.ts
+++ b/core/logger/test/logLimiter.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('LogLimiter', () => {
-  it('bounds the lines of one event a second, and says what was left out', () => {
+  it('limits the lines per event and second, and reports the omitted ones', () => {
     const { state, lines, logger, events } = createHarness()
     for (let index = 0; index < 10; index += 1) logger.info('control.regained', { peer: 'p' })
     expect(events()).toEqual(['control.regained', 'control.regained', 'control.regained'])
@@ -26,13 +26,13 @@
     expect(lines[3]!.counts).toEqual({ 'control.regained': 7 })
   })
 
-  it('leaves out warnings last', () => {
+  it('has a higher limit for warnings', () => {
     const { logger, events } = createHarness()
     for (let index = 0; index < 10; index += 1) logger.warn('control.lost', { peer: 'p', reason: 'r' })
     expect(events()).toHaveLength(10)
   })
 
-  it('writes warnings only where lines wait, and nothing where too many do, until the reader reads on', () => {
+  it('writes only warnings while bytes are queued, and nothing while too many are, until the reader continues', () => {
     const { state, limiter, logger, events } = createHarness()
     state.queued = 1_500
     logger.info('control.regained', { peer: 'p' })
--- a/core/rates/src/decayingSum.ts
+++ b/core/rates/src/decayingSum.ts
@@ -1,12 +1,12 @@
 import type { Millis } from '@forkstage/types'
 
-/** A sum in which what was added earlier counts less and less: the base of moving rates. */
+/** A sum in which amounts decay exponentially with their age; the basis of moving averages of rates. */
 export class DecayingSum {
   private sum = 0
   private startedAt: Millis | undefined
   private updatedAt: Millis = 0
 
-  /** @param memoryMs after this time an amount counts for a third. */
+  /** @param memoryMs time constant: age at which an amount counts for a third (1/e), in milliseconds. */
   constructor(private readonly memoryMs: Millis) {}
 
   add(amount: number, now: Millis): void {
@@ -15,18 +15,18 @@
     this.sum += amount
   }
 
-  /** What is left of all amounts. */
+  /** Returns the sum of the decayed amounts. */
   total(now: Millis): number {
     this.decay(now)
     return this.sum
   }
 
-  /** How long amounts have been added, in milliseconds. */
+  /** Returns the time since the first amount was added, in milliseconds; 0 if there is none. */
   observedFor(now: Millis): Millis {
     return this.startedAt === undefined ? 0 : now - this.startedAt
   }
 
-  /** The mean amount in a millisecond. */
+  /** Returns the average amount per millisecond. */
   perMs(now: Millis): number {
     this.decay(now)
     const observed = Math.max(1, this.observedFor(now))
--- a/core/rates/src/windowSum.ts
+++ b/core/rates/src/windowSum.ts
@@ -1,9 +1,9 @@
 import type { Millis } from '@forkstage/types'
 
-/** A window is kept in so many slots: what is older than the window goes within a sixty-fourth of it. */
+/** Number of slots per window: amounts older than the window expire within a sixty-fourth of it. */
 const SLOTS_PER_WINDOW = 64
 
-/** The sum of what was added within a sliding window, never too small. */
+/** The sum of the amounts added within a sliding window; too large by at most one slot, never too small. */
 export class WindowSum {
   private readonly slots: { index: number; amount: number }[] = []
   private sum = 0
@@ -19,7 +19,7 @@
     this.sum += amount
   }
 
-  /** Counts all that was added as so many times as much. */
+  /** Multiplies all amounts added so far by a factor. */
   scale(factor: number): void {
     for (const slot of this.slots) slot.amount *= factor
     this.sum *= factor
@@ -37,7 +37,7 @@
   private dropExpired(now: Millis): void {
     const oldest = this.indexOf(now - this.windowMs)
     while (this.slots.length > 0 && this.slots[0]!.index < oldest) this.sum -= this.slots.shift()!.amount
-    // Rounding must not leave a rest behind.
+    // Removes rounding errors.
     if (this.slots.length === 0) this.sum = 0
   }
 }
--- a/core/rates/test/rates.test.ts
+++ b/core/rates/test/rates.test.ts
@@ -3,11 +3,11 @@
 import { DecayingSum, WindowSum } from '../src'
 
 const WINDOW_MS = 8_000
-/** A window is kept in slots, so that what is older than it may still count for so long. */
+/** Amounts older than the window may still count for the duration of one slot. */
 const SLOT_MS = WINDOW_MS / 64
 
 describe('WindowSum', () => {
-  it('counts what was added within the window and nothing that is older by a slot', () => {
+  it('counts amounts within the window, and none that is older by a slot', () => {
     const sum = new WindowSum(WINDOW_MS)
     sum.add(5, 1_000)
     sum.add(7, 4_000)
@@ -16,14 +16,14 @@
     expect(sum.total(4_000 + WINDOW_MS + SLOT_MS)).toBe(0)
   })
 
-  it('takes back what was given back', () => {
+  it('subtracts a negative amount', () => {
     const sum = new WindowSum(WINDOW_MS)
     sum.add(5, 0)
     sum.add(-5, 3_000)
     expect(sum.total(3_000)).toBe(0)
   })
 
-  it('counts all so many times as much once it is scaled, and lets it leave as before', () => {
+  it('scales all amounts, which expire as before', () => {
     const sum = new WindowSum(WINDOW_MS)
     sum.add(8, 0)
     sum.scale(0.25)
@@ -32,7 +32,7 @@
     expect(sum.total(WINDOW_MS + SLOT_MS)).toBe(1)
   })
 
-  it('is never below what a window holds, and above it by one slot at most', () => {
+  it('is never below the sum of the window, and above it by at most one slot', () => {
     const amounts = fc.array(fc.tuple(fc.integer({ min: 0, max: 900 }), fc.integer({ min: 1, max: 9 })))
     fc.assert(
       fc.property(amounts, (steps) => {
@@ -53,7 +53,7 @@
 })
 
 describe('DecayingSum', () => {
-  it('counts an amount for a third after its memory', () => {
+  it('counts an amount for 1/e after the time constant', () => {
     const sum = new DecayingSum(1_000)
     sum.add(9, 0)
     expect(sum.total(1_000)).toBeCloseTo(9 / Math.E)
--- a/core/topology/src/allowedRegions.ts
+++ b/core/topology/src/allowedRegions.ts
@@ -1,23 +1,23 @@
 import type { FailureDomain } from '@forkstage/types'
 import type { Region, Topology } from './topology'
 
-/** The regions that a request may be served and stored in: any where undefined, none where empty. */
+/** Regions in which a request may be served and stored: any if undefined, none if empty. */
 export type AllowedRegions = readonly Region[] | undefined
 
 declare const inRegionBrand: unique symbol
 
-/** Something that lies in one of a request's homes. Only {@link withinRegions} makes it. */
+/** An item in one of a request's allowed regions. Created only by {@link withinRegions}. */
 export type InRegion<Item> = Item & { readonly [inRegionBrand]: true }
 
-/** What each of two rules allows. */
+/** Returns the regions that both of two restrictions allow. */
 export function intersectRegions(left: AllowedRegions, right: AllowedRegions): AllowedRegions {
   if (left === undefined || right === undefined) return left ?? right
   return left.filter((region) => right.includes(region))
 }
 
 /**
- * Whether a failure domain lies in one of a request's homes. One that the settings give no region lies in none: nobody
- * knows where it is.
+ * Returns whether a failure domain is in one of a request's allowed regions. A domain without a region in the settings
+ * is in none of them, since its location is unknown.
  */
 export function isWithinRegions(topology: Topology, domain: FailureDomain, regions: AllowedRegions): boolean {
   if (regions === undefined) return true
@@ -25,7 +25,7 @@
   return region !== undefined && regions.includes(region)
 }
 
-/** Those of some items that lie in one of a request's homes. The one place where that is found out by type. */
+/** Returns the items in one of a request's allowed regions. The only function that gives items this type. */
 export function withinRegions<Item>(
   topology: Topology,
   items: readonly Item[],
--- a/core/topology/src/index.ts
+++ b/core/topology/src/index.ts
@@ -1,4 +1,4 @@
-/** Failure domains, their regions, and how far they are apart. */
+/** Failure domains, their regions and the distances between them. */
 export { intersectRegions, isWithinRegions, withinRegions } from './allowedRegions'
 export type { InRegion, AllowedRegions } from './allowedRegions'
 export { Topology } from './topology'
--- a/core/types/src/names.ts
+++ b/core/types/src/names.ts
@@ -4,16 +4,16 @@
 export type EndpointName = string
 /** An address as `ip:port`. */
 export type Address = string
-/** A failure domain: what is lost together. */
+/** The name of a failure domain: a set of machines that can fail together. */
 export type FailureDomain = string
-/** The caller's name, as its credential says. */
+/** The name of a caller, as given by its credential. */
 export type CallerName = string
 /** The key under which a caller may resend a request. Unique per caller. */
 export type RequestKey = string
-/** The system's own identifier of a request; the same for every resend of a key. */
+/** The internal identifier of a request; the same for every resend with the same key. */
 export type RequestId = string
-/** A point on the monotonic clock, in milliseconds. */
+/** A monotonic time or a duration, in milliseconds. */
 export type Millis = number
 
-/** What an answer promises about the request: whether it was run. */
+/** What an answer guarantees about the execution of its request. */
 export type Execution = 'ran' | 'not-run' | 'may-have-run'
--- a/core/types/src/table.ts
+++ b/core/types/src/table.ts
@@ -1,8 +1,8 @@
 import type { Address, EndpointName, FailureDomain } from './names'
 
-/** What an endpoint serves: one half of a model request, or plain calls. */
+/** What an endpoint serves: prefill or decode of model requests, or plain requests. */
 export type Pool = 'prefill' | 'decode' | 'plain'
-/** Whether an endpoint gets new work, finishes what it has, or is out. */
+/** Whether an endpoint receives new requests, only finishes those it has, or is out of service. */
 export type RowState = 'serve' | 'drain' | 'out'
 
 /** One row of the operators' table: an endpoint with its weight and limits. */
@@ -14,22 +14,22 @@
   pool: Pool
   /** Models served; empty for plain services. */
   models: string[]
-  /** Relative share of the pool's traffic; 0 takes no new work. */
+  /** Relative share of the pool's traffic; an endpoint of weight 0 receives no new requests. */
   weight: number
-  /** Requests in flight at most. */
+  /** Maximum number of requests in flight. */
   maxInFlight: number
-  /** Tokens of KV cache the endpoint may hold at most; 0 where it has none. */
+  /** Maximum number of tokens in the endpoint's KV cache; 0 if it has none. */
   kvTokens: number
-  /** Prompt tokens a second at most; 0 means no limit. */
+  /** Maximum prompt tokens per second; 0 means no limit. */
   promptTokensPerSecond: number
   state: RowState
   /** Whether the endpoint refuses orders with an old fence. */
   checksFences: boolean
-  /** Whether calls to this endpoint may be repeated unless the caller says otherwise. */
+  /** Whether requests to this endpoint may be repeated, unless the caller specifies otherwise. */
   repeatable: boolean
 }
 
-/** One row of the link sheet: the rate between two failure domains, per direction. */
+/** One row of the link sheet: the bandwidth from one failure domain to another. */
 export interface LinkRow {
   from: FailureDomain
   to: FailureDomain
@@ -42,7 +42,7 @@
   links: LinkRow[]
 }
 
-/** What changes one table into the next. */
+/** The changes from one table to the next. */
 export interface TableDelta {
   upsertEndpoints: EndpointRow[]
   removeEndpoints: EndpointName[]
@@ -51,7 +51,7 @@
   removeLinks: string[]
 }
 
-/** A table with its place in the history. */
+/** A table with its version. */
 export interface VersionedTable {
   version: number
   /** SHA-256 over the canonical form of the table, in hex. */
