--- a/api/caller/src/callerErrors.ts
+++ b/api/caller/src/callerErrors.ts
@@ -3,14 +3,14 @@
 import { AnswerError } from '@forkstage/runner'
 import type { Execution } from '@forkstage/types'
 
-/** A request that is wrong in itself: refused before anything is dispatched. */
+/** Raised for an invalid request, before anything is dispatched. */
 export class BadRequestError extends AnswerError {
   constructor(code: `FORKSTAGE_${string}`, message: string, hint: string, status = 400) {
     super(code, message, hint, status, 'not-run', undefined, { step: 'read request' })
   }
 }
 
-/** The body of every error answer. */
+/** The body of every error response. */
 export interface CallerErrorBody {
   error: {
     code: string
@@ -23,7 +23,7 @@
   }
 }
 
-/** Answers with an error: code, message, hint, and what is promised about execution. */
+/** Sends an error response: status, code, message, hint, and what is known about the execution. */
 export function sendError(response: Response, error: unknown, request?: string): void {
   const { status, execution, retryAfterMs } = outcomeOf(error)
   if (response.headersSent) return void response.end()
@@ -36,11 +36,12 @@
   response.status(status).json(errorBody(error, execution, request))
 }
 
+/** Returns the body of an error response. */
 export function errorBody(error: unknown, execution: Execution, request?: string): CallerErrorBody {
   return { error: { ...toErrorBody(error), execution, request } }
 }
 
-/** What is known of the execution of a request that ended with this error. */
+/** Returns the HTTP status and what is known about the execution of a request that ended with an error. */
 export function outcomeOf(error: unknown): { status: number; execution: Execution; retryAfterMs?: number } {
   if (error instanceof AnswerError) return error
   const unavailable = error instanceof ForkstageError && error.code === 'FORKSTAGE_GROUP_UNAVAILABLE'
--- a/api/caller/src/createCallerApp.ts
+++ b/api/caller/src/createCallerApp.ts
@@ -24,9 +24,9 @@
   runs: RunRegistry
   plain: PlainCalls
   rows: () => EndpointRow[]
-  /** Why no new work may be taken now; undefined while it may. */
+  /** Returns why new requests are refused; undefined while they are accepted. */
   refusesWork: () => string | undefined
-  /** Whether the balancer should send requests here. */
+  /** Returns whether the load balancer should send requests to this box. */
   isReady: () => boolean
   logger: Logger
 }
@@ -35,7 +35,7 @@
   caller: string
 }
 
-/** The listener for callers (docs/callers.md). */
+/** Creates the HTTP application for callers (docs/callers.md). */
 export function createCallerApp(options: CallerAppOptions): express.Express {
   const app = express()
   app.disable('x-powered-by')
@@ -55,7 +55,7 @@
       response,
       new BadRequestError(
         'FORKSTAGE_NOT_FOUND',
-        `There is nothing at ${request.path}.`,
+        `There is no resource at ${request.path}.`,
         'See docs/callers.md for the paths.',
         404,
       ),
@@ -80,7 +80,7 @@
   }
 }
 
-/** Compares two texts in constant time. */
+/** Returns whether two strings are equal; compares their digests in constant time. */
 export function equalInConstantTime(expected: string, given: string): boolean {
   const expectedDigest = Buffer.from(digestOf(expected))
   return timingSafeEqual(expectedDigest, Buffer.from(digestOf(given)))
@@ -107,8 +107,8 @@
   if (reason === undefined) return
   throw new AnswerError(
     'FORKSTAGE_NOT_READY',
-    `This box takes no new work: ${reason}.`,
-    'Send it again; the balancer will choose another box.',
+    `This box accepts no new requests: ${reason}.`,
+    'Send the request again; the load balancer will choose another box.',
     503,
     'not-run',
     500,
--- a/api/caller/src/index.ts
+++ b/api/caller/src/index.ts
@@ -1,3 +1,3 @@
-/** The listener for callers. */
+/** HTTP interface for callers. */
 export { createCallerApp, equalInConstantTime } from './createCallerApp'
 export type { CallerAppOptions } from './createCallerApp'
--- a/api/caller/src/readHeaders.ts
+++ b/api/caller/src/readHeaders.ts
@@ -3,25 +3,25 @@
 import type { Millis } from '@forkstage/types'
 import { BadRequestError } from './callerErrors'
 
-/** What a caller says about its request in headers (docs/callers.md). */
+/** Options of a request that a caller sets in headers (docs/callers.md). */
 export interface CallerHeaders {
-  /** The key the caller chose, if any. */
+  /** The idempotency key of the request, if any. */
   key?: string
   className: string
   workspace: string
-  /** Whether the caller says that the request may be repeated; undefined leaves it to the table. */
+  /** Whether the request may be repeated; if undefined, the table decides. */
   repeatable?: boolean
   deadlineMs: Millis
   ttftMs: Millis
   priority: number
-  /** Tokens the caller has already, from the last event it saw. */
+  /** Number of tokens that the caller has already received, from the id of its last event. */
   lastEventId: number
 }
 
 const MAX_KEY_CHARS = 200
 const DEFAULT_PRIORITY = 5
 
-/** Reads and checks the headers. @throws BadRequestError naming the first header that is wrong. */
+/** Reads and checks the headers. @throws BadRequestError naming the first invalid header. */
 export function readHeaders(request: Request, caller: string, settings: Settings): CallerHeaders {
   const { key_header: keyHeader, deadline_ms: maxDeadlineMs } = settings.request
   const key = request.get(keyHeader)
@@ -30,7 +30,7 @@
   }
   const lastEventId = readNumber(request, 'last-event-id', 0, 0, 1_000_000)
   if (lastEventId > 0 && key === undefined)
-    throw wrongHeader('last-event-id', `needs the ${keyHeader} of the request it goes on with`)
+    throw wrongHeader('last-event-id', `requires the ${keyHeader} of the request to resume`)
   const deadlineMs = readNumber(request, 'x-forkstage-deadline-ms', maxDeadlineMs, 1, maxDeadlineMs)
   const ttftMs = readNumber(request, 'x-forkstage-ttft-ms', settings.policy.ttft_target_ms, 1, maxDeadlineMs)
   if (request.get('x-forkstage-ttft-ms') !== undefined && ttftMs > deadlineMs) {
--- a/api/caller/src/readModelRequest.ts
+++ b/api/caller/src/readModelRequest.ts
@@ -20,17 +20,17 @@
   max_tokens: z.number().int().min(1).max(MAX_MAX_TOKENS).default(DEFAULT_MAX_TOKENS),
 })
 
-/** A chat request as far as the router reads it; everything else goes to the engine as it is. */
+/** The fields of a chat request that the router reads; all others are forwarded to the engine unchanged. */
 export type ChatBody = z.infer<typeof chatBody>
 
-/** Reads a chat request's body. @throws BadRequestError */
+/** Parses the body of a chat request. @throws BadRequestError */
 export function parseChatBody(bytes: Buffer): ChatBody {
   const result = chatBody.safeParse(parseJson(bytes))
   if (result.success) return result.data
   const faults = result.error.issues.map((issue) => `${issue.path.join('.') || 'body'}: ${issue.message}`)
   throw new BadRequestError(
     'FORKSTAGE_BAD_BODY',
-    `The body is no chat request: ${faults.join('; ')}`,
+    `The body is not a valid chat request: ${faults.join('; ')}`,
     'See docs/callers.md for its shape.',
   )
 }
@@ -47,7 +47,7 @@
   }
 }
 
-/** Puts together what the system needs to know of a chat request. @throws BadRequestError */
+/** Builds the model request of a chat request. @throws BadRequestError */
 export function toModelRequest(
   bytes: Buffer,
   body: ChatBody,
@@ -61,7 +61,7 @@
     throw new BadRequestError(
       'FORKSTAGE_BAD_HEADER',
       'A chat request is always repeatable.',
-      'Leave x-forkstage-repeatable out.',
+      'Omit x-forkstage-repeatable.',
     )
   }
   const text = promptText(body)
--- a/api/caller/src/writeAnswer.ts
+++ b/api/caller/src/writeAnswer.ts
@@ -4,7 +4,7 @@
 import { AnswerError, type AnswerSource } from '@forkstage/runner'
 import { errorBody, sendError } from './callerErrors'
 
-/** What the answer's frame says besides its text. */
+/** Fields of a chat completion apart from its text. */
 export interface AnswerMetadata {
   model: string
   promptTokens: number
@@ -12,7 +12,7 @@
   created: number
 }
 
-/** Writes an answer as one JSON body, once it is whole. */
+/** Writes an answer as one JSON body, once it is complete. */
 export async function writeJson(
   response: Response,
   source: AnswerSource,
@@ -29,7 +29,7 @@
   }
 }
 
-/** Writes an answer as server-sent events, a token an event; the event's id counts the tokens so far. */
+/** Writes an answer as server-sent events, one per token; the event id is the number of tokens so far. */
 export async function writeEventStream(
   response: Response,
   source: AnswerSource,
@@ -67,7 +67,7 @@
   response.setHeader('x-forkstage-request', request)
 }
 
-/** Prepares all of a chunk that stays the same from token to token. */
+/** Returns a function that formats chunks; their constant part is serialized once. */
 function createChunkWriter(source: AnswerSource, metadata: AnswerMetadata) {
   const head = JSON.stringify({
     id: source.request,
@@ -100,17 +100,17 @@
   }
 }
 
-/** An answer that cannot be made whole ends with an error event, never silently short. */
+/** Ends an incomplete answer with an error event, so that its caller does not take it for complete. */
 function endWithError(response: Response, end: RequestEnd, request: string): void {
   const error = toAnswerError(end)
   response.end(`event: error\ndata: ${JSON.stringify(errorBody(error, error.execution, request))}\n\n`)
 }
 
-/** The error that a request's end means for its caller. */
+/** Returns the error to report to the caller of a request that ended without a complete answer. */
 export function toAnswerError(end: RequestEnd): AnswerError {
   if (end.type === 'refused') {
     const message = `The request was not run: ${end.reason}.`
-    const hint = `Send it again in about ${Math.ceil(end.retryAfter)} ms.`
+    const hint = `Send the request again in about ${Math.ceil(end.retryAfter)} ms.`
     return new AnswerError('FORKSTAGE_REFUSED', message, hint, 503, 'not-run', end.retryAfter, {
       step: 'place',
     })
@@ -120,7 +120,7 @@
     return new AnswerError(
       'FORKSTAGE_FAILED',
       `The request failed at ${step}: ${reason}.`,
-      'Send it again.',
+      'Send the request again.',
       502,
       execution,
       500,
@@ -130,7 +130,7 @@
   return new AnswerError(
     'FORKSTAGE_CANCELLED',
     'The request was cancelled.',
-    'Send it again.',
+    'Send the request again.',
     499,
     'may-have-run',
     undefined,
@@ -138,7 +138,7 @@
   )
 }
 
-/** Answers a caller with an error, in the form that its answer has taken so far. */
+/** Reports an error to a caller: as an error response, or as an error event if the response has already begun. */
 export function endWithFailure(response: Response, error: unknown, request: string | undefined): void {
   if (!response.headersSent) return sendError(response, error, request)
   response.end(`event: error\ndata: ${JSON.stringify(errorBody(error, 'may-have-run', request))}\n\n`)
--- a/api/operator/src/createOperatorApp.ts
+++ b/api/operator/src/createOperatorApp.ts
@@ -11,7 +11,7 @@
   service: OperatorService
 }
 
-/** A table of 11,000 rows is about 3 MB of JSON. */
+/** Size of a request body; a table of 11,000 rows is about 3 MB of JSON. */
 const MAX_BODY_SIZE = '64mb'
 const DEFAULT_ENTRY_LIMIT = 20
 
@@ -43,7 +43,7 @@
   argument: z.string(),
 })
 
-/** The listener for operators (docs/operators/). */
+/** Creates the HTTP application for operators (docs/operators/). */
 export function createOperatorApp({ settings, service }: OperatorAppOptions): express.Express {
   const app = express()
   app.disable('x-powered-by')
@@ -138,7 +138,7 @@
   const faults = result.error.issues.slice(0, 20).map((issue) => `${issue.path.join('.')}: ${issue.message}`)
   throw new ForkstageError(
     'FORKSTAGE_BAD_BODY',
-    `The body is not as expected: ${faults.join('; ')}`,
+    `The body is invalid: ${faults.join('; ')}`,
     'See docs/operators/ for its shape.',
   )
 }
--- a/api/operator/src/index.ts
+++ b/api/operator/src/index.ts
@@ -1,4 +1,4 @@
-/** The listener for operators. */
+/** HTTP interface for operators. */
 export { createOperatorApp } from './createOperatorApp'
 export type { OperatorAppOptions } from './createOperatorApp'
 export type * from './operatorService'
--- a/api/operator/src/operatorService.ts
+++ b/api/operator/src/operatorService.ts
@@ -5,25 +5,25 @@
 import type { TraceEntry } from '@forkstage/runner'
 import type { EndpointName, Table, VersionedTable } from '@forkstage/types'
 
-/** An operator's confirm: the whole new table, made from a base version, under an id of its own. */
+/** An operator's confirmation of a whole new table, made from a base version; `confirmId` identifies resends. */
 export interface ConfirmRequest {
   base: number
   confirmId: string
   table: Table
 }
 
-/** What became of a confirm. */
+/** The result of a confirmation. */
 export type ConfirmAnswer =
   | { outcome: 'accepted'; version: number; digest: string }
-  /** `differences` shows what separates the newest table from the one that was confirmed. */
+  /** `differences` lists the differences between the newest table and the confirmed one. */
   | { outcome: 'conflict'; version: number; digest: string; reason: string; differences: string[] }
 
-/** One box's own account of itself. */
+/** The state of a box as reported by itself. */
 export interface BoxReport {
   box: string
   version: string
   ready: boolean
-  /** Why it takes no new work; absent where it does. */
+  /** Why the box accepts no new requests; absent if it does. */
   refuses?: string
   tableVersion: number
   running: number
@@ -31,29 +31,29 @@
   releasesPending: number
   owns: EndpointName[]
   inFlight: Record<EndpointName, number>
-  /** Endpoints that take no new work from this box now, with the reason. */
+  /** Endpoints that accept no new requests from this box, with the reason. */
   closed: Record<EndpointName, string>
   replicas: (ReplicaStatus | { group: string; failure: string })[]
 }
 
-/** Everything `status` shows. */
+/** The output of the command `status`. */
 export interface FleetStatus {
   control?: ControlStatus
-  /** Why the control leader gave no account. */
+  /** Why the status of the control leader is missing. */
   controlFailure?: string
   boxes: (BoxReport | { box: string; failure: string })[]
 }
 
-/** The story of one request across boxes. */
+/** The trace of one request across boxes. */
 export interface Explanation {
   request: string
   claim?: Claim
   story: TraceEntry[]
-  /** Boxes that did not answer; their lines are missing. */
+  /** Boxes that did not answer; their entries are missing. */
   missing: string[]
 }
 
-/** What operators can ask of a box. */
+/** The operations that a box offers to operators. */
 export interface OperatorService {
   table(): VersionedTable
   confirm(request: ConfirmRequest, who: string): Promise<ConfirmAnswer>
