--- a/cli/forkstage/src/commands/controlReplace.ts
+++ b/cli/forkstage/src/commands/controlReplace.ts
@@ -24,7 +24,7 @@
       .option('with', {
         type: 'string',
         demandOption: true,
-        describe: 'the peer address of the box that takes its place',
+        describe: 'the peer address of the box that replaces it',
       })
       .example('$0 control replace --lost bole-1 --with 127.0.0.1:7204', 'may be run again after a failure'),
   async handler(args) {
--- a/cli/forkstage/src/commands/evacuate.ts
+++ b/cli/forkstage/src/commands/evacuate.ts
@@ -11,13 +11,17 @@
 /** `forkstage evacuate`. */
 export const evacuateCommand: Command<EvacuateArguments> = {
   command: 'evacuate <domain>',
-  help: 'Send nothing more to the endpoints of a failure domain, or withdraw that',
+  help: 'Stop sending requests to the endpoints of a failure domain, or withdraw that',
   options: (argv: Argv) =>
     withControl(argv)
       .positional('domain', { type: 'string', demandOption: true })
-      .option('withdraw', { type: 'boolean', default: false, describe: 'let its endpoints have work again' })
-      .example('$0 evacuate zone-a --control 10.0.0.1:9001 10.0.0.2:9001', 'what runs there ends by itself')
-      .example('$0 evacuate zone-a --withdraw', 'its endpoints may be cold and know no prompts'),
+      .option('withdraw', {
+        type: 'boolean',
+        default: false,
+        describe: 'send requests to its endpoints again',
+      })
+      .example('$0 evacuate zone-a --control 10.0.0.1:9001 10.0.0.2:9001', 'running requests are not aborted')
+      .example('$0 evacuate zone-a --withdraw', 'its endpoints may be cold and have empty prefix caches'),
   async handler({ domain, withdraw, control, json }) {
     const result = await orderEvacuation(control, domain, !withdraw)
     const state = withdraw ? 'not evacuated' : 'evacuated'
--- a/cli/forkstage/src/commands/explain.ts
+++ b/cli/forkstage/src/commands/explain.ts
@@ -11,7 +11,7 @@
 /** `forkstage explain`. */
 export const explainCommand: Command<ExplainArguments> = {
   command: 'explain <request>',
-  help: 'Tell the story of a request across boxes',
+  help: 'Show how a request was handled across boxes',
   options: (argv: Argv) =>
     withBox(argv)
       .positional('request', {
@@ -40,6 +40,6 @@
     print(
       `${`+${line.at - first} ms`.padStart(10)}  ${line.box.padEnd(10)} ${line.step.padEnd(20)} ${JSON.stringify(line.detail)}`,
     )
-  if (story.length === 0) print('no box keeps its story (any more)')
-  for (const box of missing) print(`${box} did not answer: its lines are missing`)
+  if (story.length === 0) print('no box has a trace of this request (any more)')
+  for (const box of missing) print(`${box} did not answer: its entries are missing`)
 }
--- a/cli/forkstage/src/commands/losses.ts
+++ b/cli/forkstage/src/commands/losses.ts
@@ -14,10 +14,10 @@
 
 const SECOND_MS = 1_000
 
-/** `forkstage losses`: which requests were not answered well, when and why, from log files alone. */
+/** `forkstage losses`: counts requests that were not answered well, by time and cause, from log files alone. */
 export const lossesCommand: Command<LossesArguments> = {
   command: 'losses <logs..>',
-  help: 'Sum up requests that were not answered well, by time and cause',
+  help: 'Count requests that were not answered well, by time and cause',
   options: (argv: Argv) =>
     argv
       .positional('logs', {
@@ -30,10 +30,13 @@
       .option('target', {
         type: 'number',
         default: 900,
-        describe: 'milliseconds to a first event that is still in time',
+        describe: 'maximum milliseconds to the first event of an answer in time',
       })
       .option('json', { type: 'boolean', default: false, describe: 'print the rows as JSON' })
-      .example('$0 losses entry-*.log control-*.log', 'engines, leaders and causes, two seconds a row'),
+      .example(
+        '$0 losses entry-*.log control-*.log',
+        'engines, leader changes and causes, two seconds per row',
+      ),
   async handler({ logs, window, target, json }) {
     const texts = await Promise.all(logs.map((path) => readFile(path, 'utf8')))
     const options = { windowMs: window * SECOND_MS, targetMs: target }
@@ -46,9 +49,9 @@
 
 function describeRow({ fromMs, answered, causes, readInVain, engines, leaders, alone }: LossRow): string {
   const parts = Object.entries(causes).map(([cause, count]) => `${cause} ${count}`)
-  if (readInVain > 0) parts.push(`read in vain ${readInVain}`)
-  if (alone > 0) parts.push(`placed alone ${alone}`)
-  if (leaders > 0) parts.push('another leader')
+  if (readInVain > 0) parts.push(`wasted prefills ${readInVain}`)
+  if (alone > 0) parts.push(`placed without the leader ${alone}`)
+  if (leaders > 0) parts.push('new leader')
   const engineSummary = engines === undefined ? '' : `${engines.decoders} decode, ${engines.readers} prefill`
   const time = `${(fromMs / SECOND_MS).toFixed(0)} s`.padStart(7)
   return `${time}  ${String(answered).padStart(5)} answered  ${engineSummary.padEnd(22)} ${parts.join(', ')}`.trimEnd()
--- a/cli/forkstage/src/commands/order.ts
+++ b/cli/forkstage/src/commands/order.ts
@@ -12,7 +12,7 @@
 /** `forkstage order`. */
 export const orderCommand: Command<OrderArguments> = {
   command: 'order <endpoint> <action> <argument>',
-  help: 'Give an engine a fenced order: loadModel, loadAdapter, setVersion or setRole',
+  help: 'Send a fenced order to an engine: loadModel, loadAdapter, setVersion or setRole',
   options: (argv: Argv) =>
     withBox(argv)
       .positional('endpoint', { type: 'string', demandOption: true })
@@ -22,14 +22,14 @@
         choices: ['loadModel', 'loadAdapter', 'setVersion', 'setRole'],
       })
       .positional('argument', { type: 'string', demandOption: true })
-      .example('$0 order kelem-p1 loadModel kelem-7b', 'the fence it went out under is printed'),
+      .example('$0 order kelem-p1 loadModel kelem-7b', 'prints the fence of the order'),
   async handler(args) {
     const { endpoint, action, argument } = args
     const { fence } = await callBox<{ fence: number }>(args, '/v1/orders', {
       method: 'POST',
       body: { endpoint, action, argument },
     })
-    print(args.json ? JSON.stringify({ fence }) : `taken under fence ${fence}`)
+    print(args.json ? JSON.stringify({ fence }) : `accepted with fence ${fence}`)
     return EXIT.ok
   },
 }
--- a/cli/forkstage/src/commands/run.ts
+++ b/cli/forkstage/src/commands/run.ts
@@ -8,16 +8,16 @@
   settings: string
 }
 
-/** `forkstage run`: the daemon of one box. */
+/** `forkstage run`: runs the daemon of one box. */
 export const runCommand: Command<RunArguments> = {
   command: 'run',
-  help: 'Run the daemon of this box until it is told to stop',
+  help: 'Run the daemon of this box until it is stopped',
   options: (argv: Argv) =>
     argv
       .option('settings', { type: 'string', demandOption: true, describe: 'the settings of this box (TOML)' })
       .example(
         '$0 run --settings box.toml',
-        'start the box; SIGTERM stops it as planned, a second one cuts short',
+        'SIGTERM starts a planned stop, a second one aborts running requests',
       ),
   handler: runBox,
 }
--- a/cli/forkstage/src/commands/serve.ts
+++ b/cli/forkstage/src/commands/serve.ts
@@ -7,10 +7,10 @@
   settings: string
 }
 
-/** `forkstage serve`: one machine of a self-registering deployment. */
+/** `forkstage serve`: runs one machine of a self-registering deployment. */
 export const serveCommand: Command<ServeArguments> = {
   command: 'serve',
-  help: 'Run this machine, as an entry or for control, until it is told to stop',
+  help: 'Run this machine, as an entry or for control, until it is stopped',
   options: (argv: Argv) =>
     argv
       .option('settings', {
@@ -20,7 +20,7 @@
       })
       .example(
         '$0 serve --settings entry.toml',
-        'SIGTERM stops it as planned, SIGHUP reads the settings again',
+        'SIGTERM starts a planned stop, SIGHUP reloads the settings',
       ),
   handler: ({ settings }) => serveMachine(settings, createMachine),
 }
--- a/cli/forkstage/src/commands/settingsCheck.ts
+++ b/cli/forkstage/src/commands/settingsCheck.ts
@@ -10,15 +10,15 @@
   json: boolean
 }
 
-/** `forkstage settings check`: names every fault of a settings file. */
+/** `forkstage settings check`: reports all faults of a settings file. */
 export const settingsCheckCommand: Command<CheckArguments> = {
   command: 'settings check <file>',
-  help: 'Check a settings file whole and name every fault',
+  help: 'Check a settings file and report all faults',
   options: (argv: Argv) =>
     argv
       .positional('file', { type: 'string', demandOption: true, describe: 'the settings file (TOML)' })
       .option('json', { type: 'boolean', default: false, describe: 'print the checked settings as JSON' })
-      .example('$0 settings check examples/addis-box.toml', 'exit code 2 when it has faults'),
+      .example('$0 settings check examples/addis-box.toml', 'exit code 2 if there are faults'),
   async handler({ file, json }) {
     const text = await readFile(file, 'utf8')
     const isFleet = 'machine' in (readToml(text, file) as object)
--- a/cli/forkstage/src/commands/status.ts
+++ b/cli/forkstage/src/commands/status.ts
@@ -7,11 +7,14 @@
 /** `forkstage status`. */
 export const statusCommand: Command<BoxArguments & ControlArguments> = {
   command: 'status',
-  help: 'Show every box: the version in force and since when, readiness, requests, replicas',
+  help: 'Show for every box the version in force and its age, readiness, requests and replicas',
   options: (argv) =>
     withControl(withBox(argv))
-      .example('$0 status', 'boxes that are cut off show until when they may act')
-      .example('$0 status --control 10.0.0.1:9001', 'what each of these control machines knows is evacuated'),
+      .example('$0 status', 'shows how long an unreachable box may act on its table')
+      .example(
+        '$0 status --control 10.0.0.1:9001',
+        'evacuated domains known to each of these control machines',
+      ),
   async handler(args) {
     if (args.control.length > 0) return printEvacuations(args)
     const status = await callBox<FleetStatus>(args, '/v1/status')
@@ -29,7 +32,7 @@
       ['control', 'evacuated', 'since index'],
       reports.map(({ address, known, reason }) =>
         known === undefined
-          ? [address, `not known: ${reason}`, '-']
+          ? [address, `unknown: ${reason}`, '-']
           : [address, known.domains.join(', ') || 'none', known.index],
       ),
     )
@@ -37,7 +40,7 @@
 }
 
 function printStatus(status: FleetStatus): void {
-  if (status.control === undefined) print(`no account from the control leader: ${status.controlFailure}`)
+  if (status.control === undefined) print(`no status from the control leader: ${status.controlFailure}`)
   else print(`table version ${status.control.version}  digest ${status.control.digest.slice(0, 12)}`)
   const reports = new Map(status.boxes.map((box) => [box.box, box]))
   const rows = (status.control?.boxes ?? []).map((box) => {
@@ -57,7 +60,7 @@
     ]
   })
   printTable(
-    ['box', 'domain', 'state', 'version', 'for', 'heard ago', 'may act for', 'ready', 'running', 'queued'],
+    ['box', 'domain', 'state', 'version', 'for', 'last contact', 'lease left', 'ready', 'running', 'queued'],
     rows,
   )
   for (const report of reports.values()) if ('replicas' in report) printReplicas(report)
@@ -72,7 +75,7 @@
   for (const replica of report.replicas) {
     const state =
       'failure' in replica
-        ? `takes no part: ${replica.failure}`
+        ? `not running: ${replica.failure}`
         : `${replica.role}, term ${replica.term}, ${replica.commitIndex} of ${replica.lastIndex} committed, ${replica.config.voters.length} voters`
     print(`${report.box} ${replica.group}: ${state}`)
   }
--- a/cli/forkstage/src/commands/stop.ts
+++ b/cli/forkstage/src/commands/stop.ts
@@ -5,8 +5,9 @@
 /** `forkstage stop`. */
 export const stopCommand: Command<BoxArguments> = {
   command: 'stop',
-  help: 'Stop a box as planned: unready first, then every request ends, then it exits',
-  options: (argv) => withBox(argv).example('$0 stop --box 127.0.0.1:7101', 'a second stop cuts short'),
+  help: 'Stop a box as planned: report not ready, finish all requests, exit',
+  options: (argv) =>
+    withBox(argv).example('$0 stop --box 127.0.0.1:7101', 'a second stop aborts running requests'),
   async handler(args) {
     await callBox(args, '/v1/stop', { method: 'POST' })
     print(`${args.box} is stopping`)
--- a/cli/forkstage/src/commands/tableCheck.ts
+++ b/cli/forkstage/src/commands/tableCheck.ts
@@ -7,7 +7,7 @@
 /** `forkstage table check`. */
 export const tableCheckCommand: Command<FolderArguments> = {
   command: 'table check <folder>',
-  help: 'Check a table whole and name every fault by row and column',
+  help: 'Check a table and report all faults by row and column',
   options: (argv) => withFolder(argv).example('$0 table check edit/', 'needs no running box'),
   async handler({ folder }) {
     const table = await readTableFolder(folder)
--- a/cli/forkstage/src/commands/tableConfirm.ts
+++ b/cli/forkstage/src/commands/tableConfirm.ts
@@ -40,7 +40,7 @@
       .option('wait', {
         type: 'boolean',
         default: false,
-        describe: 'return when it is in force on every box',
+        describe: 'wait until the table is in force on every box',
       })
       .option('wait-ms', { type: 'number', default: 15_000, describe: 'how long to wait' })
       .example(
@@ -57,7 +57,7 @@
     (await readTableBase(args.folder))?.version ??
     (await callBox<VersionedTable>(args, '/v1/table')).version
   const confirmId = args.id ?? randomUUID()
-  // Printed first: whoever loses the reply needs it for the resend.
+  // Printed before the call, since the id is needed for a resend if the reply is lost.
   if (!args.json) print(`confirm id ${confirmId}, from version ${base}`)
   const answer = await callBox<ConfirmAnswer>(args, '/v1/table/confirm', {
     method: 'POST',
@@ -94,12 +94,12 @@
     print(`in force on all ${boxes.filter((box) => box.leaseLeftMs > 0).length} boxes`)
   for (const box of missing) {
     print(
-      `${box.box}: on version ${box.version}, heard ${box.heardAgoMs} ms ago, may act on it for ${box.leaseLeftMs} ms more`,
+      `${box.box}: on version ${box.version}, last contact ${box.heardAgoMs} ms ago, lease expires in ${box.leaseLeftMs} ms`,
     )
   }
 }
 
-/** Waits until no box can act on an older version: each has the new one, or its lease has run out. */
+/** Waits until no box can act on an older version: each has the new one, or its lease has expired. */
 async function waitInForce(args: ConfirmArguments, version: number): Promise<BoxStatus[]> {
   const end = Date.now() + args.waitMs
   for (;;) {
--- a/cli/forkstage/src/commands/tableDiff.ts
+++ b/cli/forkstage/src/commands/tableDiff.ts
@@ -10,7 +10,8 @@
 export const tableDiffCommand: Command<FolderArguments> = {
   command: 'table diff <folder>',
   help: 'Show what confirming a folder would change',
-  options: (argv) => withFolder(withBox(argv)).example('$0 table diff edit/', '+ new, - gone, ~ changed'),
+  options: (argv) =>
+    withFolder(withBox(argv)).example('$0 table diff edit/', '+ added, - removed, ~ changed'),
   async handler(args) {
     const [table, current] = await Promise.all([
       readTableFolder(args.folder),
--- a/cli/forkstage/src/commands/tableShow.ts
+++ b/cli/forkstage/src/commands/tableShow.ts
@@ -8,7 +8,7 @@
   command: 'table show',
   help: 'Show the table in force on a box',
   options: (argv) =>
-    withBox(argv).example('$0 table show --box 127.0.0.1:7101 --token …', 'one row an endpoint'),
+    withBox(argv).example('$0 table show --box 127.0.0.1:7101 --token …', 'one row per endpoint'),
   async handler(args) {
     const { version, digest, table } = await callBox<VersionedTable>(args, '/v1/table')
     if (args.json) {
--- a/cli/forkstage/src/commands/trace.ts
+++ b/cli/forkstage/src/commands/trace.ts
@@ -10,10 +10,10 @@
   json: boolean
 }
 
-/** `forkstage trace`: what explains a request, from log files alone. */
+/** `forkstage trace`: explains a request from log files alone. */
 export const traceCommand: Command<TraceArguments> = {
   command: 'trace <request> <logs..>',
-  help: 'Explain a request from log files of any machines',
+  help: 'Explain a request from the log files of any machines',
   options: (argv: Argv) =>
     argv
       .positional('request', { type: 'string', demandOption: true, describe: 'the id that the caller sent' })
@@ -26,7 +26,7 @@
       .option('json', { type: 'boolean', default: false, describe: 'print the lines as JSON' })
       .example(
         '$0 trace 9c41d07be2a35f68 entry-1.log control-*.log',
-        'its decisions, sendings and what was around',
+        'its decisions and attempts, and other events of that time',
       ),
   async handler({ request, logs, json }) {
     const texts = await Promise.all(logs.map((path) => readFile(path, 'utf8')))
@@ -39,7 +39,7 @@
 
 function printTrace(request: string, lines: LogLine[]): void {
   if (lines.length === 0)
-    return print(`no line names ${request}; "log.omitted" tells whether some were left out`)
+    return print(`no line names ${request}; "log.omitted" shows whether lines were omitted`)
   const first = lines[0]!.time
   for (const { time, box, event, fields } of lines) {
     const rest = { ...fields }
--- a/cli/forkstage/src/control.ts
+++ b/cli/forkstage/src/control.ts
@@ -2,7 +2,7 @@
 import { requireRole } from './requireRole'
 import { serveMachine, settingsPathOfProcess } from './serveMachine'
 
-/** The program of a control machine alone. */
+/** Program that runs control machines only. */
 void serveMachine(settingsPathOfProcess(), requireRole('control', createControl)).then((code) =>
   process.exit(code),
 )
--- a/cli/forkstage/src/controlClient.ts
+++ b/cli/forkstage/src/controlClient.ts
@@ -4,27 +4,27 @@
 import { isDomainName, type EvacuationResult, type EvacuationSet } from '@forkstage/evacuation'
 import { platformControl } from '@forkstage/platform-system'
 
-/** Options of commands that speak to control machines of machines that find each other. */
+/** Options of commands that call the control machines of a self-registering deployment. */
 export interface ControlArguments {
-  /** Operators' addresses of control machines. */
+  /** Operator addresses of control machines. */
   control: string[]
   json: boolean
 }
 
-/** What one control machine says of evacuations. */
+/** The evacuations known to one control machine. */
 export interface EvacuationReport {
   address: string
   known?: EvacuationSet
-  /** Why it did not say. */
+  /** Why they are missing. */
   reason?: string
 }
 
-/** A control machine says within 0.9 s that it is not sure; the rest is the way. */
+/** A control machine reports an unknown result within 0.9 s; the rest allows for the network. */
 const CALL_TIMEOUT_MS = 1_500
 const TOTAL_TIMEOUT_MS = 10_000
 const RETRY_DELAY_MS = 200
 
-/** Adds the option with which a command finds control machines. */
+/** Adds the options of a command that calls control machines. */
 export function withControl(argv: Argv): Argv {
   const known = process.env.FORKSTAGE_CONTROL
   return argv
@@ -38,8 +38,9 @@
 }
 
 /**
- * Begins or withdraws the evacuation of a failure domain: asks one control machine after the other until one is sure.
- * @throws ForkstageError where none was, or where the name cannot be one.
+ * Begins or withdraws the evacuation of a failure domain: calls one control machine after another until one confirms
+ * the result.
+ * @throws ForkstageError if none confirms in time, or if the name of the domain is invalid.
  */
 export async function orderEvacuation(
   control: string[],
@@ -68,7 +69,7 @@
   throw unconfirmed(reason)
 }
 
-/** What each control machine knows of evacuations. */
+/** Returns the evacuations known to each control machine. */
 export function fetchEvacuations(control: string[]): Promise<EvacuationReport[]> {
   return Promise.all(
     control.map(async (address) => {
@@ -88,22 +89,28 @@
 }
 
 function noAddress(): ForkstageError {
-  const hint = "Name control machines' operator addresses with --control, or in FORKSTAGE_CONTROL."
-  return new ForkstageError('FORKSTAGE_NO_ADDRESS', 'No control machine is named.', hint, {
+  const hint = 'Give operator addresses of control machines with --control or in FORKSTAGE_CONTROL.'
+  return new ForkstageError('FORKSTAGE_NO_ADDRESS', 'No control machine was given.', hint, {
     step: 'evacuate',
   })
 }
 
 function invalidDomainName(domain: string, peer?: string): ForkstageError {
-  const hint = 'Letters, digits, dots, underlines and hyphens, the first a letter or digit, at most 63.'
-  return new ForkstageError('FORKSTAGE_DOMAIN_NAME', `"${domain}" cannot be a failure domain's name.`, hint, {
-    step: 'evacuate',
-    peer,
-  })
+  const hint =
+    'Use at most 63 letters, digits, dots, underscores and hyphens, starting with a letter or digit.'
+  return new ForkstageError(
+    'FORKSTAGE_DOMAIN_NAME',
+    `"${domain}" is not a valid name of a failure domain.`,
+    hint,
+    {
+      step: 'evacuate',
+      peer,
+    },
+  )
 }
 
 function unconfirmed(reason: unknown): ForkstageError {
-  const message = `No control machine was sure in time: ${toErrorBody(reason).message}`
-  const hint = 'It may have been taken. Send it again: what holds already stays as it is.'
+  const message = `No control machine confirmed the result in time: ${toErrorBody(reason).message}`
+  const hint = 'The order may have been accepted. Send it again: repeating it is harmless.'
   return new ForkstageError('FORKSTAGE_NOT_SURE', message, hint, { step: 'evacuate' })
 }
--- a/cli/forkstage/src/createEntry.ts
+++ b/cli/forkstage/src/createEntry.ts
@@ -1,7 +1,7 @@
 import { EntryMachine, type MachineBasics } from '@forkstage/fleet'
 import { platformGateway, readPlatformSheet } from '@forkstage/platform-system'
 
-/** An entry that speaks the platform's formats. Loads nothing of a control machine. */
+/** Creates an entry that uses the platform's formats. Imports nothing of a control machine. */
 export function createEntry(basics: MachineBasics): EntryMachine {
   return new EntryMachine(basics, { gateway: platformGateway, readSheet: readPlatformSheet })
 }
--- a/cli/forkstage/src/createMachine.ts
+++ b/cli/forkstage/src/createMachine.ts
@@ -2,7 +2,7 @@
 import { createControl } from './createControl'
 import { createEntry } from './createEntry'
 
-/** The machine of the role that the settings name. */
+/** Creates a machine of the role given by the settings. */
 export function createMachine(basics: MachineBasics): Machine {
   return basics.settings.machine.role === 'control' ? createControl(basics) : createEntry(basics)
 }
--- a/cli/forkstage/src/entry.ts
+++ b/cli/forkstage/src/entry.ts
@@ -2,7 +2,7 @@
 import { requireRole } from './requireRole'
 import { serveMachine, settingsPathOfProcess } from './serveMachine'
 
-/** The program of an entry alone: what only control machines need is not in its bundle. */
+/** Program that runs entries only; its bundle contains nothing that only control machines need. */
 void serveMachine(settingsPathOfProcess(), requireRole('entry', createEntry)).then((code) =>
   process.exit(code),
 )
--- a/cli/forkstage/src/findLosses.ts
+++ b/cli/forkstage/src/findLosses.ts
@@ -1,6 +1,6 @@
 import type { LogLine } from './traceRequest'
 
-/** Why a request was not answered well. */
+/** Why a request was not answered in time and completely. */
 export type LossCause =
   | 'beyond the engines'
   | 'engines missing'
@@ -13,19 +13,19 @@
   | 'late'
   | 'other'
 
-/** What was lost in one stretch of time. */
+/** The losses of one time window. */
 export interface LossRow {
-  /** Start of the stretch, in milliseconds from the first line. */
+  /** Start of the window, in milliseconds from the first line. */
   fromMs: number
-  /** Requests whose answer ended in it, those of callers that had left not counted. */
+  /** Number of requests that ended in the window, except those whose callers had disconnected. */
   answered: number
-  /** Requests that were not answered well, by cause. */
+  /** Number of requests that were not answered well, by cause. */
   causes: Partial<Record<LossCause, number>>
-  /** Prefill steps whose memory no decode engine used. */
+  /** Number of prefill steps whose KV cache no decode engine used. */
   readInVain: number
-  /** Engines that took work, as the last decision in it says; absent without a decision. */
+  /** Number of engines in use at the last decision of the window; absent without a decision. */
   engines?: { decoders: number; readers: number }
-  /** Machines that became leader, and places that entries took alone. */
+  /** Number of machines that became leader; `alone` is the number of placements without the leader. */
   leaders: number
   alone: number
 }
@@ -33,7 +33,7 @@
 /** Options of {@link findLosses}. */
 export interface FindLossesOptions {
   windowMs: number
-  /** First events later than this after the head of the request count as late, in milliseconds. */
+  /** Maximum time from the head of a request to its first event; later ones count as late, in milliseconds. */
   targetMs: number
 }
 
@@ -47,7 +47,7 @@
 const JUST_STARTED = new Set(['no sheet yet', 'no endpoint', 'no decode engine is known', 'leaving'])
 const GOOD_STATUS = 200
 
-/** Sums up, by stretches of time, which requests were not answered well and why, from log lines alone. */
+/** Counts, per time window, the requests that were not answered well and their causes, from log lines alone. */
 export function findLosses(lines: LogLine[], { windowMs, targetMs }: FindLossesOptions): LossRow[] {
   const sorted = [...lines].sort((left, right) => left.time - right.time)
   const first = sorted[0]?.time ?? 0
@@ -73,9 +73,9 @@
 
 interface LossContext {
   targetMs: number
-  /** Whether fewer engines take work than at the best time. */
+  /** Whether fewer engines are in use than the maximum seen in the log. */
   lacksEngines: boolean
-  /** Whether the leader decided on the request: plain calls need no decision. */
+  /** Whether the leader placed the request; plain requests need no placement. */
   isModelRequest: boolean
 }
 
@@ -90,7 +90,7 @@
   if (cause !== undefined) row.causes[cause] = (row.causes[cause] ?? 0) + 1
 }
 
-/** Why a request was not answered well; undefined where it was. */
+/** Returns why a request was not answered well; undefined if it was, or if the request itself was invalid. */
 function causeOf(
   { fields }: LogLine,
   { targetMs, lacksEngines, isModelRequest }: LossContext,
--- a/cli/forkstage/src/main.ts
+++ b/cli/forkstage/src/main.ts
@@ -23,7 +23,7 @@
 import { versionCommand } from './commands/version'
 import { printError } from './print'
 
-/** Commands under a common first word, as `table show`. */
+/** Commands with a common first word, such as `table show`. */
 interface CommandGroup {
   word: string
   help: string
--- a/cli/forkstage/src/operatorClient.ts
+++ b/cli/forkstage/src/operatorClient.ts
@@ -3,7 +3,7 @@
 import { ForkstageError, type ErrorBody } from '@forkstage/error'
 import type { BoxArguments } from './cliTypes'
 
-/** Adds the options with which a command finds its box. */
+/** Adds the options of a command that calls a box. */
 export function withBox(argv: Argv): Argv {
   return argv
     .option('box', {
--- a/cli/forkstage/src/print.ts
+++ b/cli/forkstage/src/print.ts
@@ -18,7 +18,7 @@
     )
 }
 
-/** Prints an error as code, message and hint, never as a bare stack. */
+/** Prints an error to standard error as code, message and hint, without its stack. */
 export function printError(error: unknown): void {
   const { code, message, hint, step, peer } = toErrorBody(error)
   const where = [step === undefined ? '' : ` at ${step}`, peer === undefined ? '' : ` (${peer})`].join('')
--- a/cli/forkstage/src/requireRole.ts
+++ b/cli/forkstage/src/requireRole.ts
@@ -1,7 +1,7 @@
 import { ForkstageError } from '@forkstage/error'
 import type { Machine, MachineBasics } from '@forkstage/fleet'
 
-/** Raised where a program of one role is given the settings of the other. */
+/** Raised if the settings are for another role than that of the program. */
 export class WrongRoleError extends ForkstageError {
   constructor(program: string, role: string) {
     super(
@@ -13,7 +13,7 @@
   }
 }
 
-/** Makes the machine only where the settings name the program's own role. */
+/** Returns a function that creates a machine, or throws WrongRoleError if the settings name another role. */
 export function requireRole(role: string, create: (basics: MachineBasics) => Machine) {
   return (basics: MachineBasics): Machine => {
     const named = basics.settings.machine.role
--- a/cli/forkstage/src/serveMachine.ts
+++ b/cli/forkstage/src/serveMachine.ts
@@ -3,7 +3,7 @@
 import { EXIT } from './cliTypes'
 import { printError } from './print'
 
-/** Runs one machine of a self-registering deployment until it is told to stop; returns the exit code. */
+/** Runs one machine of a self-registering deployment until it is stopped; returns the exit code. */
 export async function serveMachine(
   settingsPath: string,
   create: (basics: MachineBasics) => Machine,
@@ -17,7 +17,7 @@
   }
 }
 
-/** The settings file of a program that is started without the command line. */
+/** Returns the path of the settings file for programs without a command line parser. */
 export function settingsPathOfProcess(): string {
   return process.env.FORKSTAGE_CONFIG ?? process.argv[2] ?? ''
 }
--- a/cli/forkstage/src/tableFiles.ts
+++ b/cli/forkstage/src/tableFiles.ts
@@ -7,7 +7,7 @@
 const LINKS = 'links.csv'
 const BASE = 'base.json'
 
-/** The version a folder's sheets were exported from, and the id under which they are confirmed. */
+/** The version and digest of the table that a folder's sheets were exported from. */
 export interface TableBase {
   version: number
   digest: string
@@ -22,7 +22,7 @@
   return parseTableCsv({ endpoints, links })
 }
 
-/** Reads the version that the sheets were exported from; undefined where they were made by hand. */
+/** Reads the version that the sheets were exported from; undefined if the folder names none. */
 export async function readTableBase(folder: string): Promise<TableBase | undefined> {
   try {
     return JSON.parse(await readFile(join(folder, BASE), 'utf8')) as TableBase
@@ -31,7 +31,7 @@
   }
 }
 
-/** Writes both sheets and the version they stand for. */
+/** Writes both sheets and the version of their table. */
 export async function writeTableFolder(folder: string, table: Table, base: TableBase): Promise<void> {
   const sheets = formatTableCsv(table)
   await mkdir(folder, { recursive: true })
--- a/cli/forkstage/src/traceRequest.ts
+++ b/cli/forkstage/src/traceRequest.ts
@@ -1,15 +1,15 @@
-/** One line of a log as it is read back. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Wall-clock milliseconds, as the machine that wrote it saw them. */
+  /** Wall-clock milliseconds of the machine that wrote the line. */
   time: number
   box: string
   event: string
   fields: Record<string, unknown>
 }
 
-/** How far around a request's own lines those of its endpoints and of the leader are shown, in milliseconds. */
+/** How long before a request other events that may explain it are shown, in milliseconds. */
 const CONTEXT_MS = 3_000
-/** Events that explain a decision though they name no request. */
+/** Events without a request that may explain what happened to one. */
 const CONTEXT_EVENTS = new Set([
   'endpoint.ejected',
   'endpoint.registered',
@@ -23,7 +23,7 @@
   'log.omitted',
 ])
 
-/** Reads the JSON lines of logs; lines of anything else are passed over. */
+/** Parses the JSON lines of logs; ignores other lines. */
 export function readLogLines(text: string): LogLine[] {
   return text.split('\n').flatMap((line) => {
     const start = line.indexOf('{"context"')
@@ -43,8 +43,8 @@
 }
 
 /**
- * Gathers what explains one request: its own lines, and around them those about the endpoints it was sent to and
- * about the machine that took it.
+ * Returns the lines that explain a request, in order of time: its own ones, and other events of that time about the
+ * endpoints that it was sent to and about the machines that handled it.
  */
 export function traceRequest(lines: LogLine[], request: string): LogLine[] {
   const own = lines.filter((line) => line.fields.request === request)
@@ -66,7 +66,7 @@
   )
 }
 
-/** What the request's machines believed of evacuations, however old, and the orders that brought it about. */
+/** Returns the last evacuation state of each of the request's machines, however old, and the orders that caused it. */
 function evacuationLines(lines: LogLine[], boxes: ReadonlySet<string>, from: number, to: number): LogLine[] {
   const inForce = [...boxes].flatMap((box) => {
     const changes = lines.filter(
--- a/cli/forkstage/test/codeCache.test.ts
+++ b/cli/forkstage/test/codeCache.test.ts
@@ -7,7 +7,7 @@
 
 const run = promisify(execFile)
 const FLAGS = ['--max-old-space-size=90', '--max-semi-space-size=2']
-/** A program as small as can be: it says what the loader found, and, for the maker, that it has started. */
+/** Minimal program: prints what the loader found and, for the script that makes the cache, that it has started. */
 const BUNDLE = `process.stdout.write(JSON.stringify({ cache: globalThis.forkstageCodeCache ?? null, name: module.exports !== undefined }) + '"box.started"\\n')`
 
 let folder: string
@@ -23,13 +23,13 @@
   ])
 }
 
-/** What the program says of its cache when it is started. */
+/** Starts the program and returns what it reports about its cache. */
 async function start(flags = FLAGS): Promise<string> {
   const { stdout } = await run(process.execPath, [...flags, at('p.cjs')])
   return JSON.parse(stdout.slice(0, stdout.indexOf('}') + 1)).cache
 }
 
-describe('a start with the code cache', () => {
+describe('start with the code cache', () => {
   beforeEach(async () => {
     folder = await mkdtemp(join(tmpdir(), 'forkstage-cache-test-'))
     await copyFile('scripts/startWithCodeCache.cjs', at('p.cjs'))
@@ -37,21 +37,21 @@
   })
   afterEach(() => rm(folder, { recursive: true, force: true }))
 
-  it('uses what the build has made', async () => {
+  it('uses the cache made by the build', async () => {
     await make()
     expect(await start()).toBe('used')
   })
 
-  it('goes on without one', async () => {
+  it('starts without a cache', async () => {
     expect(await start()).toBe('missing')
   })
 
-  it('goes on where other flags were used', async () => {
+  it('starts without the cache if the flags differ', async () => {
     await make()
     expect(await start(['--max-old-space-size=120'])).toBe('refused by this node or its flags')
   })
 
-  it('never runs the code of an older bundle, also one of the same length', async () => {
+  it('never runs the code of an older bundle, even of the same length', async () => {
     await make()
     const newer = BUNDLE.replace('name:', 'nema:')
     await writeFile(at('p.bundle.cjs'), newer)
@@ -59,7 +59,7 @@
     expect(await start()).toBe('damaged, or of another bundle')
   })
 
-  it('leaves a damaged or shortened cache aside', async () => {
+  it('ignores a damaged or truncated cache', async () => {
     await make()
     const whole = await readFile(at('p.cache'))
     const damaged = Buffer.from(whole)
--- a/cli/forkstage/test/controlClient.test.ts
+++ b/cli/forkstage/test/controlClient.test.ts
@@ -6,7 +6,7 @@
 const open: Server[] = []
 afterEach(() => open.splice(0).forEach((server) => server.close()))
 
-/** A control machine that answers with some statuses by turns. */
+/** Starts a fake control machine that returns the given statuses in order, the last one repeatedly. */
 async function startControl(...statuses: number[]) {
   const calls: string[] = []
   const server = createServer((request, response) => {
@@ -20,7 +20,7 @@
 }
 
 describe('orderEvacuation', () => {
-  it('asks one control machine after the other until one is sure', async () => {
+  it('calls one control machine after another until one confirms the result', async () => {
     const [unsure, sure] = [await startControl(503), await startControl(200)]
     expect(await orderEvacuation([unsure.address, sure.address], 'ør-a', true)).toMatchObject({ index: 7 })
     expect(unsure.calls).toEqual(['POST /evacuate/%C3%B8r-a'])
@@ -29,7 +29,7 @@
     expect(sure.calls[1]).toBe('DELETE /evacuate/a')
   })
 
-  it('ends at once where the name cannot be one, or no address is known', async () => {
+  it('fails at once if the name is invalid, or if no address is given', async () => {
     const [refuses, other] = [await startControl(400), await startControl(200)]
     await expect(orderEvacuation([other.address], '', true)).rejects.toMatchObject({
       code: 'FORKSTAGE_DOMAIN_NAME',
@@ -43,8 +43,8 @@
   })
 })
 
-describe('askEach', () => {
-  it('says what each knows, and why one does not say', async () => {
+describe('fetchEvacuations', () => {
+  it('returns the evacuations known to each machine, or why they are missing', async () => {
     const [one, broken] = [await startControl(200), await startControl(500)]
     const answers = await fetchEvacuations([one.address, broken.address])
     expect(answers[0]).toMatchObject({ known: { index: 7, domains: ['a'] } })
--- a/cli/forkstage/test/entryProcess.test.ts
+++ b/cli/forkstage/test/entryProcess.test.ts
@@ -29,7 +29,7 @@
   return free
 }
 
-/** Runs an entry as a process of its own; its log lines as they come. */
+/** Starts an entry as a child process; returns its log lines as they are written. */
 async function startEntry(): Promise<AsyncIterator<LogLine>> {
   port = await freePort()
   const settingsPath = join(folder, 'entry.toml')
@@ -71,7 +71,7 @@
   }
 }
 
-describe('the process of an entry', () => {
+describe('entry process', () => {
   beforeAll(async () => {
     folder = await mkdtemp(join(tmpdir(), 'forkstage-entry-test-'))
     await build({ ...roleOptions, entryPoints: { entry: rolePrograms.entry }, outdir: folder })
@@ -82,7 +82,7 @@
   })
   afterAll(() => rm(folder, { recursive: true, force: true }))
 
-  it('ends with 0 after SIGTERM where nothing runs', async () => {
+  it('exits with 0 after SIGTERM if no request is running', async () => {
     const lines = await startEntry()
     await waitFor(lines, ['box.started'])
     const exit = once(child, 'exit')
@@ -91,12 +91,12 @@
     expect((await exit)[0]).toBe(0)
   })
 
-  it('ends though a caller never finishes its request, and counts it as cut off', async () => {
+  it('exits even if a caller never finishes its request, and counts the request as cut', async () => {
     const lines = await startEntry()
     await waitFor(lines, ['box.started'])
     socket = connect(port, '127.0.0.1')
     socket.on('error', () => undefined)
-    // The interim answer shows that the entry has begun to serve it.
+    // The interim response shows that the entry has begun to serve the request.
     socket.write('POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\nExpect: 100-continue\r\n\r\nabc')
     await once(socket, 'data')
     const exit = once(child, 'exit')
--- a/cli/forkstage/test/findLosses.test.ts
+++ b/cli/forkstage/test/findLosses.test.ts
@@ -16,7 +16,7 @@
 const step = (name: string, outcome: string) => ({ step: name, outcome })
 
 describe('findLosses', () => {
-  it('tells a peak that all engines cannot hold from engines that are missing', () => {
+  it('distinguishes a peak beyond the capacity of all engines from missing engines', () => {
     const refusal = { status: 503, outcome: 'no room in sight' }
     const rows = findLosses(
       [
@@ -49,11 +49,11 @@
     [{ status: 502, outcome: 'read ECONNRESET', sends: [step('plain', 'failed')] }, 'cut at the endpoint'],
     [{ firstEventMs: 901 }, 'late'],
     [{ status: 502, outcome: 'something else' }, 'other'],
-  ])('calls %o "%s"', (fields, cause) => {
+  ])('classifies %o as "%s"', (fields, cause) => {
     expect(findLosses([answered(0, fields)], OPTIONS)[0]!.causes).toEqual({ [cause]: 1 })
   })
 
-  it('counts neither good answers nor callers that had left, nor requests without a route', () => {
+  it('counts no loss for good answers, callers that had disconnected and requests without a route', () => {
     const rows = findLosses(
       [
         answered(0, { firstEventMs: 900 }),
@@ -65,7 +65,7 @@
     expect(rows).toEqual([expect.objectContaining({ answered: 2, causes: {} })])
   })
 
-  it('counts prompts that were read in vain, leaders and places taken alone', () => {
+  it('counts wasted prefill steps, leader changes and placements without the leader', () => {
     const rows = findLosses(
       [
         answered(0, { sends: [step('prefill', 'ok'), step('decode', 'failed'), step('prefill', 'ok')] }),
--- a/cli/forkstage/test/requireRole.test.ts
+++ b/cli/forkstage/test/requireRole.test.ts
@@ -5,12 +5,12 @@
 const machine: Machine = { start: async () => {}, stop: async () => 0, reload: () => {} }
 const basicsOf = (role: string) => ({ settings: { machine: { role } } }) as unknown as MachineBasics
 
-describe('the program of one role', () => {
-  it('runs the machine of its role', () => {
+describe('requireRole', () => {
+  it('creates a machine of its role', () => {
     expect(requireRole('entry', () => machine)(basicsOf('entry'))).toBe(machine)
   })
 
-  it('refuses the settings of the other role, and says which program runs them', () => {
+  it('rejects settings of the other role', () => {
     const create = requireRole('entry', () => machine)
     expect(() => create(basicsOf('control'))).toThrow(WrongRoleError)
     expect(() => create(basicsOf('control'))).toThrow(/role entry, but its settings name control/)
--- a/cli/forkstage/test/roleBundles.test.ts
+++ b/cli/forkstage/test/roleBundles.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest'
 import { programOptions, programs, roleOptions, rolePrograms } from '../../../scripts/bundleOptions.mjs'
 
-/** Files of which the bundle of a role holds something. */
+/** Returns the files that contribute to the bundle of a role. */
 async function filesOf(role: 'entry' | 'control'): Promise<string[]> {
   const { metafile } = await build({
     ...roleOptions,
@@ -16,7 +16,7 @@
   )
 }
 
-/** Libraries and the project's own packages that a role's process loads. */
+/** Returns the libraries and the project's own packages in the bundle of a role. */
 async function partsOf(role: 'entry' | 'control'): Promise<string[]> {
   return [...new Set((await filesOf(role)).map(partOf))].sort()
 }
@@ -25,8 +25,8 @@
   return /.*node_modules\/((?:@[^/]+\/)?[^/]+)/.exec(path)?.[1] ?? path.split('/').slice(0, 2).join('/')
 }
 
-describe('the bundle of one role', () => {
-  it('holds, for an entry, no other libraries than these', async () => {
+describe('bundle of a role', () => {
+  it('contains only these libraries for an entry', async () => {
     const libraries = (await partsOf('entry')).filter((part) => !part.includes('/') || part.startsWith('@'))
     expect(libraries).toEqual([
       'fast-printf',
@@ -41,7 +41,7 @@
     ])
   })
 
-  it('holds, for an entry, nothing of replication, storage and the command line', async () => {
+  it('contains nothing of replication, storage and the command line for an entry', async () => {
     const parts = await partsOf('entry')
     const ofControl = parts.filter((part) =>
       /^(replication|membership\/(sheet|control)|api|claims)\b/.test(part),
@@ -49,19 +49,19 @@
     expect(ofControl).toEqual([])
   })
 
-  it('holds, for a control machine, nothing of the command line and no telemetry', async () => {
+  it('contains nothing of the command line and no telemetry for a control machine', async () => {
     const parts = await partsOf('control')
     expect(parts).not.toContain('yargs')
     expect(parts).not.toContain('got')
     expect(parts).not.toContain('@opentelemetry/api')
   })
 
-  it('holds one language of the messages about settings', async () => {
+  it('contains at most one language of messages about settings', async () => {
     const languages = (await filesOf('entry')).filter((path) => /zod\/.*\/locales\//.test(path))
     expect(languages.length).toBeLessThanOrEqual(1)
   })
 
-  it('imports nothing while it runs: neither a cached script nor the single binary can', async () => {
+  it('contains no dynamic import, which neither a cached script nor the single binary supports', async () => {
     const { outputFiles } = await build({
       ...programOptions,
       entryPoints: { forkstage: programs.forkstage! },
--- a/cli/forkstage/test/traceRequest.test.ts
+++ b/cli/forkstage/test/traceRequest.test.ts
@@ -24,7 +24,7 @@
 ].join('\n')
 
 describe('traceRequest', () => {
-  it('names the evacuation that its machine obeyed, however long ago it began, and the order behind it', () => {
+  it('includes the evacuation in force at its machine, however old, and the order that caused it', () => {
     const taken = { domain: 'a', action: 'begin', outcome: 'changed' }
     const log = [
       line(100, 'control-2', 'evacuation.taken', { ...taken, index: 7 }),
@@ -45,7 +45,7 @@
     expect(events).toEqual(['300 evacuation.taken', '310 evacuation.in-force', '90000 request.answered'])
   })
 
-  it('gathers the lines of a request, of its endpoints and of the machine that took it, in order of time', () => {
+  it('returns the lines of a request, of its endpoints and of the machines that handled it, in order of time', () => {
     const events = traceRequest(readLogLines(LOG), 'r1').map(({ time, event }) => `${time} ${event}`)
     expect(events).toEqual([
       '500 stage.ordered',
@@ -56,7 +56,7 @@
     ])
   })
 
-  it('finds nothing of a request that no line names', () => {
+  it('returns nothing for a request that no line names', () => {
     expect(traceRequest(readLogLines(LOG), 'r9')).toEqual([])
   })
 })
