--- a/daemon/fleet/src/controlCrashes.ts
+++ b/daemon/fleet/src/controlCrashes.ts
@@ -72,7 +72,7 @@
   }
 
   /** Endpoints that must get nothing but what may run alone there. */
-  get keptFree(): InstanceId[] {
+  get reserved(): InstanceId[] {
     return this.trials.endpoints
   }
 
@@ -140,7 +140,7 @@
   }
 
   private publishReserved(): void {
-    this.options.logger.info('endpoints.kept-free', { endpoints: this.keptFree })
+    this.options.logger.info('endpoints.kept-free', { endpoints: this.reserved })
     this.options.onChange()
   }
 }
--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -89,8 +89,8 @@
       logger,
       holdMs: settings.watch.hold_ms,
       evacuations: () => this.evacuations.view.current,
-      onEvacuations: (set) => this.evacuationService.applyReceived(set),
-      onSupposedEvacuations: (domains) => this.evacuations.suppose(domains),
+      onEvacuations: (set) => this.evacuationService.mergeReceived(set),
+      onSupposedEvacuations: (domains) => this.evacuations.addSupposed(domains),
       onCrashes: (records) => this.crashes.apply(records),
       onEndpoints: (records) => this.registrar.merge(records),
       isKnown: (raw) => this.directory.isKnown(raw),
@@ -110,7 +110,7 @@
     const crashTracker = createCrashTracker(settings.crashes, clock)
     this.hub = new WatchHub({
       crashes: crashTracker,
-      reserved: () => this.crashes.keptFree,
+      reserved: () => this.crashes.reserved,
       epoch,
       directory: this.directory,
       sheet: () => this.newestSheet,
@@ -181,7 +181,7 @@
     })
     this.metrics = this.createMetrics()
     this.sheetMachine.onNewerSheet = (document) => this.installNewer(document)
-    this.sheetMachine.onEvacuations = () => this.evacuationService.applyCommitted()
+    this.sheetMachine.onEvacuations = () => this.evacuationService.mergeCommitted()
   }
 
   async start(): Promise<void> {
@@ -268,7 +268,7 @@
   }
 
   private createMetrics(): FleetMetrics {
-    const { logBudget } = this.context
+    const { logLimiter } = this.context
     return new FleetMetrics({
       sheet_version: () => this.newestSheet?.version ?? -1,
       endpoints: () =>
@@ -284,7 +284,7 @@
       entries: () => this.hub.countEntries(),
       places_taken: () => this.allocator.holdCount,
       places_waited_for: () => this.allocator.waitingCount,
-      log_lines_omitted: () => logBudget.omittedTotal,
+      log_lines_omitted: () => logLimiter.omittedTotal,
     })
   }
 
@@ -298,7 +298,7 @@
       ...this.crashes.methods(),
       ...this.limits.methods(),
       ...quotaMethods(this.quotas, () => this.host.replica?.holdsLease === true),
-      [WATCH_METHOD]: (question: WatchRequest) => this.hub.answer(question),
+      [WATCH_METHOD]: (request: WatchRequest) => this.hub.answer(request),
       [SHEET_METHOD]: () => this.hub.newestSheet(),
     }
   }
@@ -330,7 +330,7 @@
 
   /** Entries that wait for news hear of another leader at once: until then they ask one that places no more. */
   private announceLeader(): void {
-    if (!this.evacuations.view.isConfirmed) this.evacuationService.applyCommitted()
+    if (!this.evacuations.view.isConfirmed) this.evacuationService.mergeCommitted()
     const leader = this.leader()
     if (leader === this.announcedLeader) return
     this.announcedLeader = leader
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -124,8 +124,8 @@
       sheetVersion: () => this.routes.version,
       onSheet: (sheet) => this.install(sheet),
       evacuations: () => this.evacuations.view.current,
-      onEvacuations: (set) => this.evacuations.apply(set),
-      onSupposedEvacuations: (domains) => this.evacuations.suppose(domains),
+      onEvacuations: (set) => this.evacuations.merge(set),
+      onSupposedEvacuations: (domains) => this.evacuations.addSupposed(domains),
       onCrashes: (records) => this.crashes.apply(records),
       onEndpoints: (records) => this.mergeEndpoints(records),
       isKnown: (raw) => this.directory.isKnown(raw),
@@ -230,7 +230,7 @@
       entries_known: () => this.follower.entries(),
       retries: () => ({ ...retryBudget.counts }),
       leader_known: () => Number(this.follower.leader() !== undefined),
-      log_lines_omitted: () => context.logBudget.omittedTotal,
+      log_lines_omitted: () => context.logLimiter.omittedTotal,
     })
   }
 
--- a/daemon/fleet/src/evacuationService.ts
+++ b/daemon/fleet/src/evacuationService.ts
@@ -69,19 +69,19 @@
    * Takes what another control machine has told. What was read from the disk here before anything was heard is committed
    * too, and may be newer than what that machine knew.
    */
-  applyReceived(set: EvacuationSet): void {
-    this.options.tracker.apply(set)
-    this.applyCommitted()
+  mergeReceived(set: EvacuationSet): void {
+    this.options.tracker.merge(set)
+    this.mergeCommitted()
   }
 
   /**
    * Lets this machine believe what its replica has applied. What a replica restores at its start may be older than what
    * was acknowledged: it counts once the replica knows what is committed.
    */
-  applyCommitted(): void {
+  mergeCommitted(): void {
     const { host, machine, tracker } = this.options
     if (!tracker.view.isConfirmed && host.replica?.knowsCommitted !== true) return
-    tracker.apply(machine.evacuations.current)
+    tracker.merge(machine.evacuations.current)
   }
 
   /** What the disks of machines that have just started say: an order in a log may have been acknowledged. */
--- a/daemon/fleet/src/evacuationTracker.ts
+++ b/daemon/fleet/src/evacuationTracker.ts
@@ -21,7 +21,7 @@
   constructor(private readonly options: EvacuationTrackerOptions) {}
 
   /** Takes a set that is committed. */
-  apply(set: EvacuationSet): void {
+  merge(set: EvacuationSet): void {
     const before = this.view.current.domains
     if (!this.view.merge(set)) return
     this.reportChange()
@@ -30,7 +30,7 @@
   }
 
   /** Takes domains that may be evacuated, until a set is known. */
-  suppose(domains: FailureDomain[]): void {
+  addSupposed(domains: FailureDomain[]): void {
     if (this.view.addSupposed(domains)) this.reportChange()
   }
 
--- a/daemon/fleet/src/machineContext.ts
+++ b/daemon/fleet/src/machineContext.ts
@@ -10,7 +10,7 @@
   clock: Clock
   random: Random
   logger: Logger
-  logBudget: LogLimiter
+  logLimiter: LogLimiter
   peers: PeerClient
   /** Names this life of the process. */
   epoch: string
@@ -21,14 +21,14 @@
 /** Makes clock, logger and connections to other machines. */
 export function createMachineContext(settings: FleetSettings): MachineContext {
   const clock = createSystemClock()
-  const logBudget = new LogLimiter({
+  const logLimiter = new LogLimiter({
     perSecond: settings.log.lines_per_second,
     now: () => clock.now(),
     queuedBytes: () => process.stdout.writableLength,
     maxQueuedBytes: MAX_QUEUED_LOG_BYTES,
   })
   const context = { box: settings.machine.name }
-  const logger = createLogger({ context, level: settings.log.level, limiter: logBudget })
+  const logger = createLogger({ context, level: settings.log.level, limiter: logLimiter })
   const credentials = {
     box: settings.machine.name,
     sharedKey: settings.peers.shared_key,
@@ -41,7 +41,7 @@
     clock,
     random: createSystemRandom(),
     logger,
-    logBudget,
+    logLimiter,
     peers: new PeerClient({ credentials, clock, logger }),
     epoch: randomBytes(5).toString('hex'),
   }
--- a/daemon/fleet/test/controlCrashes.test.ts
+++ b/daemon/fleet/test/controlCrashes.test.ts
@@ -121,7 +121,7 @@
     one.endpoints.push(...others, plain('p1'), plain('p2'), plain('p3'))
     const requestTrial = trialRequester(one)
     expect(await requestTrial(REQUEST)).toMatchObject({ type: 'later' })
-    expect(one.crashes.keptFree).toEqual(['p1'])
+    expect(one.crashes.reserved).toEqual(['p1'])
     one.clock.advance(500)
     expect(await requestTrial(REQUEST)).toMatchObject({ type: 'granted', endpoint: 'p1' })
     expect(await requestTrial({ ...REQUEST, content: 'other' })).toMatchObject({ type: 'later' })
@@ -130,7 +130,7 @@
     one.leads.value = false
     expect(await requestTrial(REQUEST)).toBeUndefined()
     one.clock.advance(100)
-    expect(one.crashes.keptFree).toEqual([])
+    expect(one.crashes.reserved).toEqual([])
     one.crashes.stop()
   })
 
@@ -141,7 +141,7 @@
     await requestTrial(REQUEST)
     one.tracker.recordCrash('p1', [{ content: 'maybe', isEarly: true }])
     await requestTrial(REQUEST)
-    expect(one.crashes.keptFree).toEqual(['p2'])
+    expect(one.crashes.reserved).toEqual(['p2'])
     for (const raw of [undefined, {}, { service: 's' }, { service: 7, content: 'x' }]) {
       expect(await requestTrial(raw)).toBeUndefined()
       await one.crashes.methods()[TRIAL_END]!(raw as never, NO_PEER)
@@ -166,7 +166,7 @@
       NO_PEER,
     )
     expect(await requestTrial({ ...REQUEST, turnOf: 'r2' })).toEqual({ type: 'isolate' })
-    expect(one.crashes.keptFree).toEqual([])
+    expect(one.crashes.reserved).toEqual([])
     expect(await requestTrial({ ...REQUEST, turnOf: 'r2', records: 'none' })).toEqual({ type: 'isolate' })
     expect(await requestTrial(REQUEST)).toMatchObject({ type: 'later', retryAfterMs: 500 })
   })
--- a/daemon/fleet/test/evacuationService.test.ts
+++ b/daemon/fleet/test/evacuationService.test.ts
@@ -49,9 +49,9 @@
     const restarted = setUp()
     // Read while nothing was heard and no leader was known, so that it was not believed yet.
     restarted.machine.restore(machine.snapshot())
-    restarted.service.applyCommitted()
+    restarted.service.mergeCommitted()
     expect(restarted.tracker.view.isEvacuated('a')).toBe(false)
-    restarted.service.applyReceived({ index: -1, domains: [] })
+    restarted.service.mergeReceived({ index: -1, domains: [] })
     expect(restarted.tracker.view.current).toEqual({ index: 11, domains: ['a'] })
   })
 
@@ -79,7 +79,7 @@
   it('does not bring an evacuation back that was withdrawn meanwhile, once nobody waits for it', async () => {
     const { group, machine, tracker, service } = setUp()
     group.order('b', true)
-    tracker.apply(machine.evacuations.current)
+    tracker.merge(machine.evacuations.current)
     let isWaitedFor = true
     group.beforeApply = () => {
       group.order('a', true)
@@ -93,14 +93,14 @@
 
   it('believes what its disk says only once it knows what is committed, and supposes what may be', () => {
     const { group, machine, replica, tracker, service } = setUp()
-    machine.onEvacuations = () => service.applyCommitted()
+    machine.onEvacuations = () => service.mergeCommitted()
     group.order('a', true)
     const pending = { type: 'setEvacuation', domain: 'b', isEvacuated: true, knownIndex: 11 }
     replica.uncommitted = [{ data: undefined }, { data: { type: 'putSheet' } }, { data: pending }]
     expect(service.supposedDomains()).toEqual(['a', 'b'])
     expect(tracker.view.isConfirmed).toBe(false)
     replica.knowsCommitted = true
-    service.applyCommitted()
+    service.mergeCommitted()
     expect(tracker.view.current).toEqual({ index: 11, domains: ['a'] })
     // What is applied later is committed, also while another leader is being elected.
     replica.knowsCommitted = false
--- a/daemon/fleet/test/evacuationTracker.test.ts
+++ b/daemon/fleet/test/evacuationTracker.test.ts
@@ -12,25 +12,25 @@
 
   it('tells of each domain that is evacuated no more, once', () => {
     const { tracker, withdrawn } = start()
-    tracker.apply({ index: 4, domains: ['a', 'b'] })
+    tracker.merge({ index: 4, domains: ['a', 'b'] })
     expect(withdrawn).toEqual([])
-    tracker.apply({ index: 6, domains: ['b'] })
-    tracker.apply({ index: 6, domains: ['b'] })
+    tracker.merge({ index: 6, domains: ['b'] })
+    tracker.merge({ index: 6, domains: ['b'] })
     expect(withdrawn).toEqual(['a'])
   })
 
   it('tells of none where an older set arrives late', () => {
     const { tracker, withdrawn } = start()
-    tracker.apply({ index: 6, domains: ['a'] })
-    tracker.apply({ index: 5, domains: [] })
+    tracker.merge({ index: 6, domains: ['a'] })
+    tracker.merge({ index: 5, domains: [] })
     expect(withdrawn).toEqual([])
     expect(tracker.view.isEvacuated('a')).toBe(true)
   })
 
   it('tells of one that was only supposed to be evacuated', () => {
     const { tracker, withdrawn } = start()
-    tracker.suppose(['a'])
-    tracker.apply({ index: 3, domains: [] })
+    tracker.addSupposed(['a'])
+    tracker.merge({ index: 3, domains: [] })
     expect(withdrawn).toEqual(['a'])
   })
 })
