--- a/daemon/fleet/src/callEndpoint.ts
+++ b/daemon/fleet/src/callEndpoint.ts
@@ -4,11 +4,14 @@
 import type { EndpointCall } from './controlWire'
 
 const CONNECT_TIMEOUT_MS = 400
-/** An endpoint that takes a call and says nothing must not keep the caller from its other work. */
+/** Bounds how long an endpoint that accepts a call without answering can block the caller. */
 const ANSWER_TIMEOUT_MS = 2_000
 const MAX_ANSWER_BYTES = 64 * 1024
 
-/** Calls an endpoint on behalf of a control machine. Never rejects. */
+/**
+ * Calls an endpoint on behalf of a control machine.
+ * @returns the outcome of the call; the promise never rejects.
+ */
 export function callEndpoint(
   to: RegisteredEndpoint,
   call: EndpointCall,
--- a/daemon/fleet/src/coldEndpointTracker.ts
+++ b/daemon/fleet/src/coldEndpointTracker.ts
@@ -8,22 +8,23 @@
 /** Options of {@link ColdEndpointTracker}. */
 export interface ColdEndpointTrackerOptions {
   directory: Directory
-  /** A service of the sheet in force; undefined until there is one. */
+  /** Returns a service of the route sheet in force, or undefined if the sheet is not known or lacks the service. */
   service: (name: string) => RoutedService | undefined
-  /** How far entries together may exceed what a cold endpoint bears: a factor, and requests a second beside it. */
+  /** Factor by which all entries together may exceed the rate of a cold endpoint. */
   over: number
+  /** Requests per second allowed on top of that. */
   slack: number
-  /** Called when an endpoint turns cold, also when it was: what it kept is gone, and its pace is learned anew. */
+  /** Called when a cold period starts, also within another one: the endpoint has lost its caches and its old pace. */
   onCold?: (id: InstanceId) => void
   clock: Clock
   logger: Logger
 }
 
-/** How often beliefs that change with time are looked at: a line in the log may be late by so much. */
+/** How often expiry is checked; log lines can be late by this much. */
 const REFRESH_EVERY_MS: Millis = 250
-/** An end that moves by more is another start. */
+/** If the end of a cold period moves by more than this, a new period has started. */
 const SAME_PERIOD_TOLERANCE_MS: Millis = 500
-/** At most so many endpoints are named in a line. */
+/** Maximum number of endpoints named in one log line. */
 const MAX_ENDPOINTS_LOGGED = 12
 
 interface ColdPeriod {
@@ -31,7 +32,7 @@
   until: Millis
 }
 
-/** Which endpoints this machine believes cold, by the limits of the sheet in force; says when that changes. */
+/** Tracks which endpoints are cold, by the limits of the route sheet in force, and logs each change. */
 export class ColdEndpointTracker implements ColdPolicy {
   private readonly coldPeriods = new Map<InstanceId, ColdPeriod>()
   private cancelRefresh: CancelTimer = () => undefined
@@ -46,7 +47,7 @@
     this.cancelRefresh()
   }
 
-  /** How many endpoints are believed cold. */
+  /** The number of endpoints that are cold. */
   get count(): number {
     return this.coldPeriods.size
   }
@@ -62,8 +63,8 @@
   }
 
   /**
-   * The endpoints of a failure domain may have turned cold, as after it was emptied and is taken back: they count as
-   * cold until each has said otherwise.
+   * Treats the endpoints of a failure domain as cold until each reports otherwise. Used when an evacuation is withdrawn,
+   * as endpoints may have turned cold while they got no requests.
    */
   markCold(domain: string): void {
     const { directory } = this.options
@@ -73,8 +74,8 @@
   }
 
   /**
-   * Takes note of endpoints that have turned cold or warm.
-   * @param changed those that have changed just now; all are looked through where left out.
+   * Records and logs which endpoints have turned cold or warm.
+   * @param changed the endpoints to check; all endpoints if omitted.
    */
   refresh(changed?: RegisteredEndpoint[]): void {
     const { directory, clock, onCold } = this.options
@@ -96,7 +97,7 @@
     const expired = checked.filter(
       (id) => this.coldPeriods.has(id) && (untilById.get(id) ?? -Infinity) <= now,
     )
-    // One that has left is not warm.
+    // An endpoint that has left is not reported as warm.
     this.log(
       'warm',
       expired.filter((id) => untilById.has(id)),
--- a/daemon/fleet/src/controlApp.ts
+++ b/daemon/fleet/src/controlApp.ts
@@ -13,7 +13,7 @@
   wire: ControlWire
   sheetService: SheetService
   evacuations: EvacuationService
-  /** What this machine believes of evacuations. */
+  /** The evacuations known to this machine. */
   evacuationView: EvacuationView
   registrar: Registrar
   logger: Logger
@@ -21,7 +21,7 @@
 
 const MAX_BODY = '64mb'
 
-/** What operators and endpoints call at a control machine. */
+/** Creates the HTTP application that operators and endpoints call at a control machine. */
 export function createControlApp(options: ControlAppOptions): Express {
   const { wire } = options
   const app = express()
@@ -42,7 +42,7 @@
   const { wire, sheetService, logger } = options
   const text = bodyOf(request)
   const sheet = wire.readSheet(text)
-  const faults = sheet === undefined ? ['no one can read it whole'] : checkRouteSheet(sheet)
+  const faults = sheet === undefined ? ['the body is not a complete route sheet'] : checkRouteSheet(sheet)
   if (sheet === undefined || faults.length > 0) {
     logger.warn('sheet.refused', { reason: faults.join('; ') })
     response.status(400).json({ code: 'FORKSTAGE_ROUTE_SHEET', faults })
@@ -91,7 +91,7 @@
   const endpoint = wire.readRegistration(name, text)
   if (endpoint === undefined) {
     registrar.recordRefused(name, text.length)
-    const message = 'A field that is needed is missing or of another kind.'
+    const message = 'A required field is missing or has the wrong type.'
     return void response.status(400).json({ code: 'FORKSTAGE_REGISTRATION', message })
   }
   answerRegistration(options, response, registrar.register(endpoint))
--- a/daemon/fleet/src/controlCrashes.ts
+++ b/daemon/fleet/src/controlCrashes.ts
@@ -23,15 +23,15 @@
 /** Options of {@link ControlCrashes}. */
 export interface ControlCrashesOptions {
   tracker: CrashTracker
-  /** The folder of this machine's disk. */
+  /** The data folder of this machine. */
   folder: string
   files: FileSystem
-  /** Called when there is something to pass on. */
+  /** Called when there are new records or reservations to send to followers. */
   onChange: () => void
   endpoints: () => RegisteredEndpoint[]
-  /** Whether an endpoint must get nothing now, though it is registered. */
+  /** Whether a registered endpoint must get no requests now. */
   isBarred: (endpoint: RegisteredEndpoint) => boolean
-  /** Whether this machine leads; only then it keeps endpoints free. */
+  /** Whether this machine leads; only a leader reserves endpoints. */
   isLeader: () => boolean
   random: Random
   clock: Clock
@@ -41,16 +41,18 @@
 const FILE_NAME = 'crashes.json'
 const SWEEP_EVERY_MS = 100
 
-/** Raised where what was reported is known here and not on disk: whoever reported it tells it again. */
+/** Raised when reported crashes are applied in memory but not written to disk, so that the entry reports them again. */
 export class NotPersistedError extends ForkstageError {
   constructor() {
-    super('FORKSTAGE_NOT_KEPT', 'What was reported is not on disk.', 'Report it again.', { step: 'keep' })
+    super('FORKSTAGE_NOT_KEPT', 'The report could not be written to disk.', 'Report it again.', {
+      step: 'keep',
+    })
   }
 }
 
 /**
- * A control machine's part in what is known of requests that end their endpoints: takes what entries and other control
- * machines report, passes it on, and keeps it, since all machines may lose power at once while such a request comes again.
+ * Collects at a control machine what entries and other control machines report of poison requests, sends it to followers
+ * and schedules isolated trials. Records are written to disk, as a poison request can return after all machines lost power.
  */
 export class ControlCrashes {
   private readonly file: StateFile
@@ -71,7 +73,7 @@
     })
   }
 
-  /** Endpoints that must get nothing but what may run alone there. */
+  /** The reserved endpoints, which get only requests of isolated trials. */
   get reserved(): InstanceId[] {
     return this.trials.endpoints
   }
@@ -84,7 +86,7 @@
     return {
       [CRASH_REPORT]: async ({ records }: { records: unknown }) => {
         this.apply(records)
-        // Entries tell again whoever has not answered: killed after the answer, this machine must still know it.
+        // An entry does not repeat an acknowledged report, so the report must survive a kill right after the answer.
         if (await this.file.flush()) return true
         throw new NotPersistedError()
       },
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Takes what another machine sent. */
+  /** Merges crash records received from another machine. */
   apply(records: unknown): void {
     const { tracker, logger, onChange } = this.options
     const changed = tracker.merge(readCrashRecords(records))
@@ -108,7 +110,7 @@
     onChange()
   }
 
-  /** Takes what was kept before this start. */
+  /** Merges the crash records saved before this start, aged by the time the machine was down. */
   async load(): Promise<void> {
     const saved = (await this.file.load()) as { savedAt?: unknown; records?: unknown } | null | undefined
     if (saved === undefined || saved === null) return
@@ -127,7 +129,7 @@
     return this.trials.ask(request)
   }
 
-  /** Plain endpoints that are there to take work. Those that have ended may be listed until they register anew. */
+  /** Returns the ready plain endpoints of a service. Crashed ones can be among them until they register again. */
   private readyPlainEndpoints(service: string): InstanceId[] {
     const { endpoints, isBarred } = this.options
     const plain = endpoints().filter((one) => one.service === service && one.stage === undefined)
--- a/daemon/fleet/src/controlLimits.ts
+++ b/daemon/fleet/src/controlLimits.ts
@@ -16,16 +16,16 @@
 export interface ControlLimitsOptions {
   clock: Clock
   logger: Logger
-  /** Which term this machine leads in. */
+  /** The term in which this machine leads. */
   term: () => number
   isRegistered: (id: InstanceId) => boolean
-  /** Whether it leads with its lease: another may be permitting the same otherwise. */
+  /** Whether this machine leads and holds the lease; without the lease, another leader may grant the same permits. */
   isLeader: () => boolean
 }
 
 const SWEEP_EVERY_MS = 1_000
 
-/** The rates that endpoints name, at a control machine: what entries report, divided between them while it leads. */
+/** Collects the advertised rates of endpoints at a control machine and, while it leads, divides permits between entries. */
 export class ControlLimits {
   private readonly rates: RateTable
   private readonly permits: PermitAllocator
@@ -37,12 +37,12 @@
     this.permits = new PermitAllocator({ clock, rates: this.rates, term })
   }
 
-  /** How many endpoints name a rate. */
+  /** The number of endpoints that advertise a rate. */
   get count(): number {
     return this.rates.count
   }
 
-  /** What engines may get that are placed here. */
+  /** The permits of engines, for the allocator of this machine. */
   get policy(): LimitPolicy {
     const { permits } = this
     return {
--- a/daemon/fleet/src/controlMachine.ts
+++ b/daemon/fleet/src/controlMachine.ts
@@ -37,12 +37,12 @@
 import { StageOrderSender } from './stageOrderSender'
 
 const GROUP = 'sheet'
-/** How long a machine that has been told to stop goes on answering. */
+/** How long a stopping machine keeps answering after it has handed leadership over. */
 const LINGER_MS = 400
-/** How often a machine looks who leads: short beside an election, which takes some hundred milliseconds. */
+/** How often the leader is checked: short compared with an election, which takes a few hundred milliseconds. */
 const LEADER_CHECK_EVERY_MS = 20
 
-/** A control machine: one replica of the route sheet, the directory of endpoints, operators' calls. */
+/** A control machine: a replica of the route sheet, the endpoint directory, and the API for operators and endpoints. */
 export class ControlMachine {
   private readonly sheetMachine = new SheetStateMachine()
   private readonly directory = new Directory(() => this.context.clock.now())
@@ -217,18 +217,21 @@
     this.cancelLeaderCheck = every(this.context.clock, LEADER_CHECK_EVERY_MS, () => this.announceLeader())
   }
 
-  /** This machine's place in the group, once it has one. */
+  /** The replica's status in its group, or undefined while the replica is not running. */
   status(): ReplicaStatus | undefined {
     return this.host.replica?.status()
   }
 
-  /** Takes changed settings: new seeds to begin with. */
+  /** Applies changed settings and connects to control machines from the new seeds. */
   reload(settings: FleetSettings): void {
     this.context.settings = settings
     this.follower.followNew(seedAddresses(settings))
   }
 
-  /** Hands leadership over and stops. Holds no requests that it could cut off. */
+  /**
+   * Hands leadership over and stops.
+   * @returns the number of requests cut off, always 0: a control machine serves none.
+   */
   async stop(): Promise<number> {
     const { clock, peers } = this.context
     this.host.replica?.transferLeadership()
@@ -249,7 +252,7 @@
     return 0
   }
 
-  /** Finds the endpoints of the time before this start. */
+  /** Probes the endpoints that were saved before this start. */
   private async probeSaved(): Promise<void> {
     const { clock, logger } = this.context
     await probeSavedEndpoints(await this.endpointStore.load(), {
@@ -328,7 +331,7 @@
     return [...new Set(all)]
   }
 
-  /** Entries that wait for news hear of another leader at once: until then they ask one that places no more. */
+  /** Notifies followers of a new leader at once: until then, entries call the previous one, which places nothing. */
   private announceLeader(): void {
     if (!this.evacuations.view.isConfirmed) this.evacuationService.mergeCommitted()
     const leader = this.leader()
--- a/daemon/fleet/src/controlWire.ts
+++ b/daemon/fleet/src/controlWire.ts
@@ -4,63 +4,63 @@
 import type { RoutedService, RouteSheet } from '@forkstage/routes'
 import type { Address } from '@forkstage/types'
 
-/** What an engine says of itself when it is asked. */
+/** The state that an engine reports on request. */
 export interface EngineReport {
   stage?: Stage
-  /** Orders it has taken since its start. */
+  /** Number of orders the engine has accepted since its start. */
   ordersTaken: number
   /** Whether an order is being carried out. */
   isBusy: boolean
-  /** When its process started, where it says so. */
+  /** When the engine's process started, if reported. */
   born?: number
 }
 
-/** An order to an engine to change its part. */
+/** An order to an engine to change its stage. */
 export interface StageOrder {
   stage: Stage
-  /** The machine that orders. */
+  /** Name of the control machine that gives the order. */
   holder: string
-  /** Rises with each holder; an engine refuses one lower than it has seen. */
+  /** Fencing token, higher for each new holder; an engine refuses one lower than it has seen. */
   fence: number
-  /** Orders that the engine must have taken by now, no more and no fewer. */
+  /** The exact number of orders the engine must have accepted before this one. */
   expectedOrders: number
-  /** What the engine calls itself. */
+  /** The engine's own name for itself. */
   instance: string
 }
 
-/** A call to an endpoint, ready to be sent. */
+/** An HTTP call to an endpoint. */
 export interface EndpointCall {
   method: string
   path: string
-  /** Names and values by turns. */
+  /** Names and values in alternation. */
   rawHeaders: string[]
   body: Buffer
 }
 
-/** What operators and endpoints of a deployment call at a control machine: paths and formats. */
+/** Paths and formats of the calls between a deployment's operators and endpoints and its control machines. */
 export interface ControlWire {
-  /** Where a sheet is put and read. */
+  /** Path at which the route sheet is put and read. */
   sheetPath: string
-  /** Where an endpoint registers and leaves; `:id` stands for the instance. */
+  /** Path at which an endpoint registers and leaves; `:id` is the instance. */
   registrationPath: string
-  /** Where an evacuation is begun (POST) and withdrawn (DELETE); `:domain` stands for the failure domain. */
+  /** Path at which an evacuation is begun (POST) and withdrawn (DELETE); `:domain` is the failure domain. */
   evacuationPath: string
-  /** Where the evacuations that this machine knows are read. */
+  /** Path at which the evacuations known to this machine are read. */
   evacuationsPath: string
-  /** @returns undefined where no one can read the text whole. */
+  /** Parses a route sheet. Returns undefined if the text is not a complete sheet. */
   readSheet(text: string): RouteSheet | undefined
-  /** @returns undefined where the text says nothing of an endpoint. */
+  /** Parses a registration. Returns undefined if the text does not describe an endpoint. */
   readRegistration(id: string, text: string): RegisteredEndpoint | undefined
-  /** When the process started that sent a farewell, where it says so. */
+  /** Returns when the process started that announces it is leaving, or undefined if the text does not say. */
   readStart(text: string): number | undefined
-  /** The answer to a registration; `nextAddress` where later ones should go. */
+  /** Returns the answer to a registration; `nextAddress` is where later registrations should go. */
   registrationAnswer(nextAddress: Address | undefined): unknown
   reportCall(): EndpointCall
-  /** @returns undefined where the body is no report. */
+  /** Parses an engine's report. Returns undefined if the body is not a report. */
   readReport(body: Buffer): EngineReport | undefined
   stageOrderCall(order: StageOrder): EndpointCall
-  /** Asks an endpoint that was known before this machine's start whether it takes work. */
+  /** Returns the call that asks an endpoint saved before this machine's start whether it takes requests. */
   probeCall(endpoint: RegisteredEndpoint, service: RoutedService): EndpointCall
-  /** What the answer to {@link probeCall} says. */
+  /** Parses the answer to {@link probeCall}. */
   readProbe(answer: Extract<FetchOutcome, { type: 'answer' }>): ProbeAnswer
 }
--- a/daemon/fleet/src/createCrashTracker.ts
+++ b/daemon/fleet/src/createCrashTracker.ts
@@ -4,7 +4,7 @@
 
 const SECOND_MS = 1_000
 
-/** The book of contents that end their endpoints, by a machine's settings. */
+/** Creates the tracker of poison requests from a machine's settings. */
 export function createCrashTracker({ ends, keep_s }: FleetSettings['crashes'], clock: Clock): CrashTracker {
   return new CrashTracker({ now: () => clock.now(), ends, keepMs: keep_s * SECOND_MS })
 }
--- a/daemon/fleet/src/createGroupHost.ts
+++ b/daemon/fleet/src/createGroupHost.ts
@@ -5,7 +5,7 @@
 
 const REOPEN_AFTER_MS = 400
 
-/** This machine's replica of a group, by its settings. */
+/** Creates the host of this machine's replica of a group from its settings. */
 export function createGroupHost(
   group: string,
   { settings, peers, clock, random, logger }: MachineContext,
--- a/daemon/fleet/src/createQuotaLedger.ts
+++ b/daemon/fleet/src/createQuotaLedger.ts
@@ -4,7 +4,7 @@
 
 const SECOND_MS = 1_000
 
-/** The ledger of what entries spend of workspaces' quotas, which are those of the sheet in force. */
+/** Creates the ledger of quota that entries spend, with the workspace quotas of the route sheet in force. */
 export function createQuotaLedger(
   settings: FleetSettings['quota'],
   routes: RouteStore,
--- a/daemon/fleet/src/endpointFromProbe.ts
+++ b/daemon/fleet/src/endpointFromProbe.ts
@@ -1,21 +1,21 @@
 import { nameOf, type RegisteredEndpoint, type Stage } from '@forkstage/directory'
 import type { Millis } from '@forkstage/types'
 
-/** What an endpoint's answer says of itself, when it is asked after a start of this machine. */
+/** An endpoint's answer to the probe sent after this machine has started. */
 export interface ProbeAnswer {
-  /** Whether it answered that it is well. */
+  /** Whether the endpoint answered that it is healthy. */
   isHealthy: boolean
-  /** What it calls itself; absent where it does not say. */
+  /** The endpoint's own name for itself; absent if not in the answer. */
   instance?: string
-  /** What an engine reports of itself; absent where the answer holds no report. */
+  /** The engine's report; absent if the answer holds none. */
   report?: { stage?: Stage; state?: string; isBusy: boolean; born?: number }
-  /** How much longer it is cold; absent where it does not say, which is not zero. */
+  /** How much longer the endpoint is cold; absent if not in the answer, which does not mean zero. */
   coldMs?: Millis
 }
 
 /**
- * The endpoint as its answer tells it; undefined where it takes no work, or another one answered. A plain one names itself;
- * an engine reports its part, and carries out no order.
+ * Returns the endpoint updated from its answer to a probe, or undefined if it takes no requests or another process
+ * answered. A plain endpoint must answer with its name, an engine with its stage and no order under way.
  */
 export function endpointFromProbe(
   endpoint: RegisteredEndpoint,
@@ -43,7 +43,7 @@
   return { ...known, stage: report.stage, coldMs }
 }
 
-/** An answer that names no start may be another life's; its next heartbeat says which. */
+/** Drops the start time: an answer without one may come from another incarnation, which the next heartbeat identifies. */
 function withoutStart({ name: _name, born: _born, ...endpoint }: RegisteredEndpoint): RegisteredEndpoint {
   return { ...endpoint, id: nameOf({ id: endpoint.id, name: _name }) }
 }
--- a/daemon/fleet/src/endpointStore.ts
+++ b/daemon/fleet/src/endpointStore.ts
@@ -3,15 +3,15 @@
 
 /** Options of {@link EndpointStore}. */
 export interface EndpointStoreOptions extends Omit<StateFileOptions, 'file' | 'content'> {
-  /** Endpoints that are known now. */
+  /** Returns the endpoints known now. */
   endpoints: () => RegisteredEndpoint[]
 }
 
 const FILE_NAME = 'endpoints.json'
 
 /**
- * Keeps on disk which endpoints take work, for a machine that starts again. What it recalls is only a hint of whom to
- * ask: an endpoint counts once it has said again that it takes work.
+ * Saves the ready endpoints on disk for a restart of the machine. Loaded endpoints are only candidates to probe: each must
+ * confirm that it still takes requests.
  */
 export class EndpointStore {
   private readonly file: StateFile
@@ -21,13 +21,13 @@
     this.file = new StateFile({ ...options, file: FILE_NAME, content })
   }
 
-  /** What was kept last; nothing where there is no file or it cannot be read. */
+  /** Returns the endpoints saved last, or none if there is no readable file. */
   async load(): Promise<RegisteredEndpoint[]> {
     const saved = (await this.file.load()) as { endpoints?: unknown } | null | undefined
     return readEndpoints(saved?.endpoints)
   }
 
-  /** Notes that endpoints have changed; they are written a moment later. */
+  /** Schedules a write of the changed endpoints. */
   markChanged(): void {
     this.file.markChanged()
   }
--- a/daemon/fleet/src/entryCrashes.ts
+++ b/daemon/fleet/src/entryCrashes.ts
@@ -32,7 +32,7 @@
 export interface EntryCrashesOptions {
   tracker: CrashTracker
   directory: Directory
-  /** Whether an endpoint must get nothing now, though it is registered. */
+  /** Whether a registered endpoint must get no requests now. */
   isBarred: (endpoint: RegisteredEndpoint) => boolean
   leaderClient: LeaderClient
   clock: Clock
@@ -40,14 +40,14 @@
 }
 
 const REPORT_TIMEOUT_MS: Millis = 500
-/** A try takes 50 ms where the endpoint answers or refuses; one that is silent must not hold its requests up. */
+/** A probe takes 50 ms if the endpoint answers or refuses; a silent endpoint must not delay its requests longer. */
 const CONFIRMATION_TIMEOUT_MS: Millis = 150
-/** A leader that is there answers within some milliseconds; callers wait for this. */
+/** A reachable leader answers within a few milliseconds; the caller waits meanwhile. */
 const TURN_TIMEOUT_MS: Millis = 150
-/** Without a leader nobody keeps an endpoint free; one is elected within a second or so. */
+/** Without a leader no endpoint is reserved; an election takes about a second. */
 const NO_LEADER_RETRY_MS: Millis = 800
 
-/** What an entry knows of requests that end their endpoints: what it sees itself and what the others have seen. */
+/** Tracks poison requests at an entry, from its own lost attempts and from the reports of other machines. */
 export class EntryCrashes implements NonNullable<RelayParts['crashes']> {
   private readonly detector: CrashDetector
   private readonly reporter: CrashReporter
@@ -123,7 +123,7 @@
       TURN_TIMEOUT_MS,
     )
     this.options.logger.info('content.turn', { request, content, service, ...answerFields(answer) })
-    // Nobody is refused for want of a leader: a turn only spares endpoints.
+    // Without a leader the request is sent: turns only protect endpoints and must not cause refusals.
     return answer ?? { type: 'anywhere' }
   }
 
@@ -136,13 +136,13 @@
     this.options.leaderClient.notify(TRIAL_END, { service, content, endpoint })
   }
 
-  /** Takes what the control machines have heard from others. */
+  /** Merges crash records sent by a control machine. */
   apply(records: CrashRecord[]): void {
     const { tracker, logger } = this.options
     logCrashes(logger, tracker, tracker.merge(records))
   }
 
-  /** Endpoints have registered. */
+  /** Checks again which suspected crashes are confirmed, after endpoints have registered. */
   checkSuspected(): void {
     this.detector.checkSuspected()
   }
@@ -156,7 +156,7 @@
     this.reporter.enqueue(changed)
   }
 
-  /** Whether a service has plain endpoints enough that what may end them runs where nothing else does, as the leader sees it. */
+  /** Whether a service has enough ready plain endpoints for isolated trials, by the rule of the leader. */
   private hasTrials(service: string): boolean {
     const { directory, isBarred } = this.options
     const plain = directory.list().filter((one) => one.service === service && one.stage === undefined)
--- a/daemon/fleet/src/entryLimits.ts
+++ b/daemon/fleet/src/entryLimits.ts
@@ -4,13 +4,13 @@
 
 const SECOND_MS = 1_000
 
-/** What an entry knows of the rates that endpoints name, and may send them. */
+/** Tracks the advertised rates of endpoints at an entry and limits what the entry sends to them. */
 export class EntryLimits {
   readonly rates: RateTable
   readonly limiter: EndpointRateLimiter
   private readonly permits: PermitClient
 
-  /** @param entries how many entries there are, as control machines count them; 0 where none has said. */
+  /** @param entries returns the number of entries that control machines count; 0 if not known yet. */
   constructor(
     { settings, clock, random, logger }: MachineContext,
     leaderClient: LeaderClient,
--- a/daemon/fleet/src/entryMachine.ts
+++ b/daemon/fleet/src/entryMachine.ts
@@ -37,26 +37,27 @@
 import { serveMetrics } from './serveMetrics'
 
 const SECOND_MS = 1_000
-/** How often the count of entries is looked at, which cold endpoints' shares go by. */
+/** How often limiters are updated; the shares of cold endpoints depend on the number of entries. */
 const SWEEP_EVERY_MS = 1_000
 const READY = 200
 const NOT_READY = 503
 const IDLE_POLL_MS = 50
-/** Kept between the last answer and the end by force. */
+/** Margin between the last answer and the forced end of the process. */
 const GRACE_MARGIN_MS = 400
-/** Connections that were ended are closed within a turn of the event loop or two. */
+/** Ended connections are reported closed within a few turns of the event loop. */
 const CUT_LOG_WAIT_MS = 100
 const CUT_LOG_POLL_MS = 5
-/** Entries assumed to share the allowance until a control machine has counted them. */
+/** Number of entries assumed to share the retry budget until a control machine has counted them. */
 const ASSUMED_ENTRIES = 64
 
-/** What a deployment speaks, as an entry needs it. */
+/** The formats of a deployment that an entry uses. */
 export interface EntryWire {
   gateway: GatewayWire
+  /** Parses a route sheet. Returns undefined if the text is not a complete sheet. */
   readSheet: (text: string) => RouteSheet | undefined
 }
 
-/** An entry: callers' listener, routing and relays. Keeps nothing on disk. */
+/** An entry machine: listens for callers, routes and relays their requests. Stores nothing on disk. */
 export class EntryMachine {
   private readonly routes = new RouteStore()
   private readonly directory = new Directory(() => this.context.clock.now())
@@ -234,7 +235,7 @@
     })
   }
 
-  /** Whether callers should come here. */
+  /** Whether this entry can serve callers. */
   get isReady(): boolean {
     return !this.leaving && this.routes.current !== undefined && this.pool.size > 0
   }
@@ -242,7 +243,7 @@
   async start(): Promise<void> {
     const { settings, logger } = this.context
     const { listen } = settings
-    // Connects and asks for routes while the listeners are set up.
+    // Connects and fetches routes while the listeners are set up.
     this.follower.start()
     this.peerServer = await startPeerServer({
       address: listen.peers,
@@ -264,15 +265,15 @@
     this.limits.start()
   }
 
-  /** Takes changed settings: new seeds to begin with. */
+  /** Applies changed settings and connects to control machines from the new seeds. */
   reload(settings: FleetSettings): void {
     this.context.settings = settings
     this.follower.followNew(seedAddresses(settings))
   }
 
   /**
-   * Not ready at once; serves what still comes; ends when nothing runs or the time is up.
-   * @returns how many requests were cut off.
+   * Reports not ready, serves requests that still arrive, and stops when none is running or the grace time is over.
+   * @returns the number of requests cut off.
    */
   async stop(): Promise<number> {
     const { clock, settings, peers } = this.context
@@ -284,7 +285,7 @@
     while (this.ingress.running > 0 && clock.now() < endsAt) await this.wait(IDLE_POLL_MS)
     const cut = this.ingress.running
     this.ingress.closeAll()
-    // Each answer that was cut is written down under its id; the process would end before.
+    // Each cut answer is logged under its id, for which the process has to wait.
     for (let waited = 0; this.ingress.running > 0 && waited < CUT_LOG_WAIT_MS; waited += CUT_LOG_POLL_MS)
       await this.wait(CUT_LOG_POLL_MS)
     this.follower.stop()
--- a/daemon/fleet/src/evacuationService.ts
+++ b/daemon/fleet/src/evacuationService.ts
@@ -19,37 +19,40 @@
   host: GroupHost<SheetCommand, SheetResult>
   machine: SheetStateMachine
   client: GroupClient<SheetCommand, SheetResult>
-  /** What this machine believes. */
+  /** The evacuations known to this machine. */
   tracker: EvacuationTracker
   clock: Clock
   logger: Logger
 }
 
-/** An order to begin or withdraw an evacuation, as it came in. */
+/** A request of an operator to begin or withdraw an evacuation. */
 export interface EvacuationRequest {
   domain: FailureDomain
   isEvacuated: boolean
-  /** Whether its caller still waits: an order that nobody waits for any more is not proposed again. */
+  /** Whether the caller still waits: an abandoned request is not proposed again. */
   isWaitedFor: () => boolean
 }
 
-/** Callers ask another machine after about a second: by then they have heard that this one is not sure. */
+/** Callers try another machine after about a second and must have this machine's answer by then. */
 const REQUEST_DEADLINE_MS: Millis = 900
-/** A commit takes a round trip and a sync, some ten milliseconds; one leader that hangs leaves time for another. */
+/**
+ * A commit takes a round trip and a sync, tens of milliseconds. After a call to a leader that hangs, there is time to try
+ * another one.
+ */
 const LEADER_CALL_TIMEOUT_MS: Millis = 450
 
-/** Takes orders to evacuate failure domains, at any control machine. */
+/** Begins and withdraws evacuations of failure domains, at any control machine. */
 export class EvacuationService {
   constructor(private readonly options: EvacuationServiceOptions) {}
 
-  /** What other control machines call at the leader. */
+  /** Returns the methods that other control machines call at the leader. */
   methods(): Record<string, PeerMethod> {
     return { [this.method]: (command: SetEvacuation) => this.setAsLeader(command) }
   }
 
   /**
-   * Begins or withdraws an evacuation. Returns once the change is synced on a majority, or was before.
-   * @throws GroupUnavailableError where it is not known whether it was taken.
+   * Begins or withdraws an evacuation. Resolves once the change is synced on a majority, now or before.
+   * @throws GroupUnavailableError if the outcome is unknown.
    */
   async set(request: EvacuationRequest): Promise<EvacuationResult> {
     const { logger } = this.options
@@ -66,8 +69,8 @@
   }
 
   /**
-   * Takes what another control machine has told. What was read from the disk here before anything was heard is committed
-   * too, and may be newer than what that machine knew.
+   * Merges a set received from another control machine, then the local one: once a committed set is known, the state
+   * restored from this machine's disk counts as committed too, and may be newer.
    */
   mergeReceived(set: EvacuationSet): void {
     this.options.tracker.merge(set)
@@ -75,8 +78,8 @@
   }
 
   /**
-   * Lets this machine believe what its replica has applied. What a replica restores at its start may be older than what
-   * was acknowledged: it counts once the replica knows what is committed.
+   * Merges the set applied by this machine's replica. The state that a replica restores at its start may be older than what
+   * was acknowledged, so it is used only once a committed set or the replica's commit position is known.
    */
   mergeCommitted(): void {
     const { host, machine, tracker } = this.options
@@ -84,7 +87,10 @@
     tracker.merge(machine.evacuations.current)
   }
 
-  /** What the disks of machines that have just started say: an order in a log may have been acknowledged. */
+  /**
+   * Returns the domains that may be evacuated: those known, and those in the log on disk, whose uncommitted entries may have
+   * been acknowledged.
+   */
   supposedDomains(): FailureDomain[] {
     const { host, machine, tracker } = this.options
     const pending = (host.replica?.uncommitted ?? []).map(({ data }) => data as SheetCommand | undefined)
@@ -101,7 +107,7 @@
     return `${this.options.group}.evacuate`
   }
 
-  /** Tries until it is applied on top of all that came before it, while its caller waits. */
+  /** Proposes a request until it is applied without being overtaken, while the caller waits. */
   private async propose({ domain, isEvacuated, isWaitedFor }: EvacuationRequest): Promise<EvacuationResult> {
     const { client, clock, group, tracker } = this.options
     const end = clock.now() + REQUEST_DEADLINE_MS
@@ -116,7 +122,10 @@
       if (result.outcome !== 'overtaken') return result
       knownIndex = result.index
     }
-    throw new GroupUnavailableError(group, new Error('other orders came between, or nobody waits any more'))
+    throw new GroupUnavailableError(
+      group,
+      new Error('other requests were committed first, or the caller stopped waiting'),
+    )
   }
 
   private setAsLeader(command: SetEvacuation): EvacuationResult | Promise<EvacuationResult> {
@@ -127,7 +136,7 @@
     return known ?? (replica.propose(command) as Promise<EvacuationResult>)
   }
 
-  /** A leader that is sure of the state need not write what changes nothing. */
+  /** Returns the result of a request that changes nothing, without a write, if this machine holds the lease. */
   private answerFromLease(domain: FailureDomain, isEvacuated: boolean): EvacuationResult | undefined {
     const { host, machine } = this.options
     if (host.replica?.holdsLease !== true || !machine.evacuations.isNoOp(domain, isEvacuated))
--- a/daemon/fleet/src/evacuationTracker.ts
+++ b/daemon/fleet/src/evacuationTracker.ts
@@ -5,22 +5,22 @@
 /** Options of {@link EvacuationTracker}. */
 export interface EvacuationTrackerOptions {
   logger: Logger
-  /** Called after the belief has changed. */
+  /** Called after the known evacuations have changed. */
   onChange?: () => void
-  /** Called for each domain that is evacuated no more: its endpoints may have turned cold unheard meanwhile. */
+  /** Called for each domain that is no longer evacuated: its endpoints may have turned cold without a report. */
   onWithdrawn?: (domain: FailureDomain) => void
 }
 
-/** At most so many domains are named in a line. */
+/** Maximum number of domains named in one log line. */
 const MAX_DOMAINS_LOGGED = 12
 
-/** What this machine believes of evacuations, with a log line for each change. */
+/** Tracks the evacuations known to this machine and logs each change. */
 export class EvacuationTracker {
   readonly view = new EvacuationView()
 
   constructor(private readonly options: EvacuationTrackerOptions) {}
 
-  /** Takes a set that is committed. */
+  /** Merges a committed set; a set that is not newer changes nothing. */
   merge(set: EvacuationSet): void {
     const before = this.view.current.domains
     if (!this.view.merge(set)) return
@@ -29,7 +29,7 @@
     withdrawn.forEach((domain) => this.options.onWithdrawn?.(domain))
   }
 
-  /** Takes domains that may be evacuated, until a set is known. */
+  /** Treats domains as evacuated until a committed set is known. */
   addSupposed(domains: FailureDomain[]): void {
     if (this.view.addSupposed(domains)) this.reportChange()
   }
--- a/daemon/fleet/src/fleetMetrics.ts
+++ b/daemon/fleet/src/fleetMetrics.ts
@@ -4,13 +4,13 @@
 const SECOND_MS = 1_000
 const LATENCY_BUCKETS = [0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.9, 1.5, 3, 5, 10]
 
-/** How outcomes begin of answers that had begun and were ended here; the reason follows. */
+/** Prefix of outcomes of answers that were cut off by the entry after they had begun; the reason follows. */
 const CUT_PREFIX = 'cut: '
 
-/** Values read when the counters are. */
+/** Returns the value of a gauge, or a value for each label, when metrics are collected. */
 export type GaugeReader = () => number | Record<string, number>
 
-/** Counters and histograms of one machine. */
+/** The metrics of one machine. */
 export class FleetMetrics {
   private readonly registry = new Registry()
   private readonly requests = this.counter('requests_total', 'Requests by status and outcome.', [
@@ -44,7 +44,7 @@
     })
   }
 
-  /** Counts a request that has ended. */
+  /** Records a request that has ended. */
   recordRequest(report: RequestReport): void {
     this.requests.inc({ status: String(report.status), outcome: outcomeClass(report.outcome) })
     const isModel = report.sends.some((send) => send.step !== 'plain')
@@ -53,7 +53,7 @@
     for (const { step, outcome } of report.sends) this.sends.inc({ step, outcome })
   }
 
-  /** All figures as text. */
+  /** Returns all metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.registry.metrics()
   }
@@ -78,7 +78,7 @@
   }
 }
 
-/** Outcomes carry reasons of their own; a counter must not have one series for each. */
+/** Groups outcomes, whose reasons vary, so that the number of label values is bounded. */
 function outcomeClass(outcome: string): string {
   const KNOWN = [
     'answered',
--- a/daemon/fleet/src/index.ts
+++ b/daemon/fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** The programs of a self-registering deployment. */
+/** The machines of a self-registering deployment. */
 export { runMachine } from './runMachine'
 export type { Machine, RunMachineOptions } from './runMachine'
 export { ControlMachine } from './controlMachine'
--- a/daemon/fleet/src/knownLeader.ts
+++ b/daemon/fleet/src/knownLeader.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@forkstage/clock'
 import type { Address, Millis } from '@forkstage/types'
 
-/** What a control machine's replica knows of who leads. */
+/** What a control machine's replica knows of its group's leader. */
 export interface ReplicaLeadership {
   leads: boolean
   holdsLease: boolean
@@ -9,10 +9,13 @@
   leaderAddress: Address | undefined
 }
 
-/** What was on its way before a suspension arrives right after it, and says nothing of now. */
+/** Messages sent before a suspension can arrive this long after it and say nothing of the present leader. */
 const STALE_MESSAGE_MS = 100
 
-/** The leader, while this machine leads with its lease or has heard who does for less than an election takes. */
+/**
+ * Returns the leader's address: this machine's own if it leads and holds the lease, another one if its last contact is more
+ * recent than the election timeout, otherwise undefined.
+ */
 export function knownLeader(
   replica: ReplicaLeadership,
   self: Address,
--- a/daemon/fleet/src/listenOn.ts
+++ b/daemon/fleet/src/listenOn.ts
@@ -1,12 +1,12 @@
 import { createServer, type RequestListener, type Server } from 'node:http'
 
-/** A listener that can be closed with all its connections. */
+/** A listening server that closes together with its connections. */
 export interface Listener {
   server: Server
   close(): void
 }
 
-/** Listens at `ip:port` and returns once it does. */
+/** Listens on `ip:port`. Resolves once the server is listening. */
 export function listenOn(handler: RequestListener | Server, address: string): Promise<Listener> {
   const server = typeof handler === 'function' ? createServer(handler) : handler
   const colon = address.lastIndexOf(':')
--- a/daemon/fleet/src/logCodeCache.ts
+++ b/daemon/fleet/src/logCodeCache.ts
@@ -1,13 +1,13 @@
 import type { Logger } from '@forkstage/logger'
 
-/** What the small loader before a bundle leaves for the program, where it was started by one. */
+/** The global that the bundle's loader sets, if the program was started by one. */
 interface StartedByLoader {
   forkstageCodeCache?: string
 }
 
 const USED = 'used'
 
-/** Says once that a start took longer than it need, and why; nothing where the cache was used or none is made. */
+/** Logs why the start did not use the code cache; logs nothing if the cache was used or the program has none. */
 export function logCodeCache(logger: Logger): void {
   const { forkstageCodeCache: state } = globalThis as StartedByLoader
   if (state === undefined || state === USED) return
--- a/daemon/fleet/src/logCrashes.ts
+++ b/daemon/fleet/src/logCrashes.ts
@@ -1,7 +1,7 @@
 import type { CrashTracker, CrashRecord } from '@forkstage/crashes'
 import type { Logger } from '@forkstage/logger'
 
-/** One line for each content that is refused by what is new. */
+/** Logs each content that is refused because of the changed records. */
 export function logCrashes(logger: Logger, tracker: CrashTracker, changed: CrashRecord[]): void {
   for (const { content, ended, served, ageMs } of changed) {
     const blamed = tracker.refusalByBlame(content)
--- a/daemon/fleet/src/logEndpoints.ts
+++ b/daemon/fleet/src/logEndpoints.ts
@@ -2,12 +2,12 @@
 import type { Logger } from '@forkstage/logger'
 import { countBy } from './countBy'
 
-/** More at once, as after a start, are summed up in one line: hundreds of machines hear the same. */
+/** More changes at once, for example after a start, are logged as one summary: hundreds of machines log the same change. */
 const MAX_LINES = 3
-/** At most so many endpoints are named in a line. */
+/** Maximum number of endpoints named in one log line. */
 const MAX_ENDPOINTS_LOGGED = 12
 
-/** One line for each endpoint of which something is new, or one for all where many come at once. */
+/** Logs each changed endpoint, or one summary if many have changed at once. */
 export function logEndpoints(logger: Logger, changed: RegisteredEndpoint[]): void {
   if (changed.length > MAX_LINES) return logSummary(logger, changed)
   for (const { id, state, stage, service, address, sequence } of changed)
--- a/daemon/fleet/src/machineContext.ts
+++ b/daemon/fleet/src/machineContext.ts
@@ -4,7 +4,7 @@
 import { createLogger, LogLimiter, type Logger } from '@forkstage/logger'
 import { parseAddress, PeerClient } from '@forkstage/peer-rpc'
 
-/** What every machine of a self-registering deployment has. */
+/** What entries and control machines share: settings, clock, logging and connections to other machines. */
 export interface MachineContext {
   settings: FleetSettings
   clock: Clock
@@ -12,13 +12,13 @@
   logger: Logger
   logLimiter: LogLimiter
   peers: PeerClient
-  /** Names this life of the process. */
+  /** A random identifier of this incarnation of the process. */
   epoch: string
 }
 
 const MAX_QUEUED_LOG_BYTES = 512 * 1_024
 
-/** Makes clock, logger and connections to other machines. */
+/** Creates the context of a machine from its settings. */
 export function createMachineContext(settings: FleetSettings): MachineContext {
   const clock = createSystemClock()
   const logLimiter = new LogLimiter({
--- a/daemon/fleet/src/probeSavedEndpoints.ts
+++ b/daemon/fleet/src/probeSavedEndpoints.ts
@@ -10,24 +10,25 @@
 /** Options of {@link probeSavedEndpoints}. */
 export interface ProbeSavedEndpointsOptions {
   wire: ControlWire
-  /** A service of the sheet in force; undefined until there is one. */
+  /** Returns a service of the route sheet in force, or undefined if the sheet is not known or lacks the service. */
   service: (name: string) => RoutedService | undefined
-  /** Whether an endpoint is known already, from itself or from another machine. */
+  /** Whether an endpoint is already known, from its registration or from another machine. */
   isKnown: (id: string) => boolean
+  /** Called with each endpoint that confirms that it takes requests. */
   onReady: (endpoint: RegisteredEndpoint) => void
   clock: Clock
   logger: Logger
 }
 
-/** Other machines that kept running tell what they know within this time, so that nobody need be asked. */
+/** Time for running control machines to send their endpoints, which then need no probe. */
 const PEER_UPDATE_WAIT_MS: Millis = 30
-/** The sheet comes from the disk a moment after the start; without one there is nothing to serve. */
+/** The route sheet is read from disk shortly after the start; a service without it cannot be probed. */
 const MAX_SHEET_CHECKS = 40
 const SHEET_CHECK_EVERY_MS: Millis = 25
 
 /**
- * Asks endpoints that were known before a start whether they still take work, so that a machine need not wait for
- * their next heartbeats. One that does not say so is left to its heartbeat.
+ * Probes the endpoints saved before a start, so that a machine need not wait for their next heartbeats. An endpoint that
+ * does not confirm that it takes requests is added by its next heartbeat.
  */
 export async function probeSavedEndpoints(
   saved: RegisteredEndpoint[],
@@ -45,7 +46,7 @@
   const service = await waitForService(endpoint, options)
   if (service === undefined || isKnown(endpoint.id)) return
   const answer = await callEndpoint(endpoint, wire.probeCall(endpoint, service), clock)
-  // What it said of its cold time before is out of date: it says so again, or it is unknown.
+  // The saved cold time is out of date: only the answer counts.
   const ready =
     answer.type === 'answer'
       ? endpointFromProbe({ ...endpoint, coldMs: undefined }, wire.readProbe(answer))
--- a/daemon/fleet/src/registrar.ts
+++ b/daemon/fleet/src/registrar.ts
@@ -10,21 +10,21 @@
   logger: Logger
   /** Whether this machine is connected to a majority of the control machines. */
   isConnected: () => boolean
-  /** Called after endpoints have changed, with these. */
+  /** Called with the endpoints that have changed. */
   onChange?: (changed: RegisteredEndpoint[]) => void
 }
 
-/** A name comes from whoever calls; a line of the log must not. */
+/** Bounds in the log the length of a name that a caller sends. */
 const MAX_NAME_CHARS = 64
 
-/** Takes what endpoints say of themselves and passes it on at once. */
+/** Applies registrations of endpoints and notifies followers at once. */
 export class Registrar {
-  /** Statements that could not be taken, since the start. */
+  /** Number of invalid registrations since the start. */
   refused = 0
 
   constructor(private readonly options: RegistrarOptions) {}
 
-  /** Notes a statement that says nothing of an endpoint to use; what is known of it holds. */
+  /** Counts and logs an invalid registration. What is known of the endpoint stays unchanged. */
   recordRefused(name: string, bytes: number): void {
     this.refused += 1
     this.options.logger.warn('registration.refused', {
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Takes what an endpoint says of itself.
-   * @returns whether it may be acknowledged: that an endpoint leaves is only acknowledged by a machine that
-   * reaches those who must know.
+   * Applies the registration of an endpoint.
+   * @returns whether it may be acknowledged: a state other than ready only while this machine reaches a majority, which must
+   * know of it.
    */
   register(endpoint: RegisteredEndpoint): boolean {
     this.merge([endpoint])
@@ -45,15 +45,16 @@
   }
 
   /**
-   * Notes that an endpoint has left; says whether that may be acknowledged.
-   * @param born the start of the life that says so, where it does.
+   * Records that an endpoint has left.
+   * @param born when the leaving incarnation started, if the endpoint says so.
+   * @returns whether it may be acknowledged, as for {@link register}.
    */
   leave(name: string, born?: number): boolean {
     this.publish(this.options.directory.markLeft(name, born))
     return this.options.isConnected()
   }
 
-  /** Takes what another control machine knows. */
+  /** Merges endpoints received from another control machine. */
   merge(records: RegisteredEndpoint[]): void {
     this.publish(this.options.directory.merge(records))
   }
--- a/daemon/fleet/src/runMachine.ts
+++ b/daemon/fleet/src/runMachine.ts
@@ -7,7 +7,7 @@
 import { createMachineContext, type MachineContext } from './machineContext'
 import { runUntilStopped, type StoppableMachine } from './runUntilStopped'
 
-/** One of the two machines, as its process runs it. */
+/** An entry or control machine, as run by its process. */
 export interface Machine extends StoppableMachine {
   reload(settings: FleetSettings): void
 }
@@ -17,17 +17,17 @@
   /** The settings file (TOML). */
   settingsPath: string
   version: string
-  /** Makes the machine of the role that the settings name; only what it loads costs time at the start. */
+  /** Creates the machine for the role in the settings. Only code that it loads adds to the start time. */
   create: (context: MachineContext) => Machine | Promise<Machine>
 }
 
-// node:fs/promises costs each start about 5 ms of processor time to load.
+// Loading node:fs/promises would cost each start about 5 ms of processor time.
 const readFile = promisify(readFileWithCallback)
 
 const SECOND_MS = 1_000
 const SETTINGS_CHECK_EVERY_MS = 2_000
 
-/** Runs one machine of a self-registering deployment until it is told to stop. */
+/** Runs one machine of a self-registering deployment until a signal stops it. */
 export async function runMachine(options: RunMachineOptions): Promise<void> {
   const { settingsPath, version } = options
   let text = await readFile(settingsPath, 'utf8')
--- a/daemon/fleet/src/runUntilStopped.ts
+++ b/daemon/fleet/src/runUntilStopped.ts
@@ -3,14 +3,14 @@
 import type { Logger } from '@forkstage/logger'
 import type { Millis } from '@forkstage/types'
 
-/** A machine as its process starts and ends it. */
+/** A machine that its process can start and stop. */
 export interface StoppableMachine {
   start(): Promise<void>
-  /** @returns how many requests were cut off. */
+  /** @returns the number of requests cut off. */
   stop(): Promise<number>
 }
 
-/** Where signals come from: the process. */
+/** The source of signals, in production the process. */
 export interface SignalSource {
   on(signal: 'SIGTERM' | 'SIGINT', listener: (signal: string) => void): unknown
 }
@@ -18,21 +18,21 @@
 /** Options of {@link runUntilStopped}. */
 export interface RunUntilStoppedOptions {
   signals: SignalSource
-  /** How long the process has from the signal until it is ended by force. */
+  /** Returns the time from the signal until the process is killed. */
   graceMs: () => Millis
-  /** Called once the machine has started, unless it is being stopped by then. */
+  /** Called once the machine has started, unless it is already stopping. */
   onStarted: () => void
   clock: Clock
   logger: Logger
 }
 
-/** Kept of the grace time for the end of the process itself, which takes some ten milliseconds of processor time. */
+/** Part of the grace time left for the exit of the process, which takes tens of milliseconds of processor time. */
 const EXIT_MARGIN_MS = 250
 
 /**
- * Starts a machine and stops it when a signal says so. Resolves when it has stopped, or has not in its time: a call, a
- * connection or a disk that hangs must not leave it to be ended by force, which nobody would find in its log.
- * @throws what the start of the machine throws.
+ * Starts a machine and stops it on a signal. Resolves when the machine has stopped or its grace time is over: if a call, a
+ * connection or a disk hangs, this is logged, whereas a kill would leave no trace in the log.
+ * @throws the error of the machine's start.
  */
 export async function runUntilStopped(
   machine: StoppableMachine,
@@ -47,7 +47,7 @@
       logger.info('box.stopping', { reason: signal, streams: 0 })
       void stopWithinGrace(machine, options).then(resolve)
     }
-    // A second signal must not end the process while requests run, as it would without a listener.
+    // The listeners stay: without one, a second signal would end the process while requests are running.
     signals.on('SIGTERM', stop)
     signals.on('SIGINT', stop)
   })
@@ -55,11 +55,11 @@
     if (!isStopping) onStarted()
     return stopped
   })
-  // A start that hangs does not hold up the stop.
+  // A start that hangs must not block the stop.
   await Promise.race([started, stopped])
 }
 
-/** Says how the stop went; never rejects. */
+/** Stops a machine within the grace time and logs the result. Never rejects. */
 async function stopWithinGrace(machine: StoppableMachine, options: RunUntilStoppedOptions): Promise<void> {
   const { clock, logger, graceMs } = options
   const timedOut = new Promise<undefined>((resolve) =>
@@ -67,7 +67,7 @@
   )
   try {
     const cut = await Promise.race([machine.stop(), timedOut])
-    if (cut === undefined) logger.warn('box.stop_cut_off', { reason: 'its time was up' })
+    if (cut === undefined) logger.warn('box.stop_cut_off', { reason: 'the grace time was over' })
     else logger.info('box.stopped', { cut })
   } catch (error) {
     logger.error('box.stop_cut_off', { reason: toErrorBody(error).message })
--- a/daemon/fleet/src/serveMetrics.ts
+++ b/daemon/fleet/src/serveMetrics.ts
@@ -4,7 +4,7 @@
 
 const PATH = '/metrics'
 
-/** Serves a machine's figures, where an address for them is set. */
+/** Serves a machine's metrics if an address is set. Returns the listeners, none without an address. */
 export async function serveMetrics(metrics: FleetMetrics, address: Address | undefined): Promise<Listener[]> {
   if (address === undefined) return []
   const listener = await listenOn((request, response) => {
--- a/daemon/fleet/src/sheetService.ts
+++ b/daemon/fleet/src/sheetService.ts
@@ -25,18 +25,18 @@
 const READ_DEADLINE_MS = 900
 const READ_CALL_TIMEOUT_MS = 450
 
-/** Puts sheets in force and reads the newest, from any control machine. */
+/** Puts route sheets in force and reads the newest one, at any control machine. */
 export class SheetService {
   constructor(private readonly options: SheetServiceOptions) {}
 
-  /** What other control machines call at the leader. */
+  /** Returns the methods that other control machines call at the leader. */
   methods(): Record<string, PeerMethod> {
     return { [`${this.options.group}.newest`]: () => this.newestAsLeader() }
   }
 
   /**
-   * Puts a sheet in force unless a newer one is.
-   * @throws GroupUnavailableError where it is not known whether it was taken.
+   * Puts a sheet in force unless the sheet in force has the same or a higher version.
+   * @throws GroupUnavailableError if the outcome is unknown.
    */
   async put(document: SheetDocument): Promise<PutResult> {
     const { client, logger } = this.options
@@ -47,8 +47,8 @@
   }
 
   /**
-   * The newest sheet, or undefined where none was ever put.
-   * @throws GroupUnavailableError where nobody can be sure.
+   * Returns the newest sheet, or undefined if none was ever put.
+   * @throws GroupUnavailableError if no leader with a lease can be reached.
    */
   async newest(): Promise<SheetDocument | undefined> {
     const { host, client, machine } = this.options
@@ -74,7 +74,7 @@
     return result as PutResult
   }
 
-  /** A leader that is sure of the newest need not write what changes nothing. */
+  /** Returns the result of a put that changes nothing, without a write, if this machine holds the lease. */
   private answerFromLease(document: SheetDocument): PutResult | undefined {
     const { host, machine } = this.options
     const held = machine.newest?.version
--- a/daemon/fleet/src/stageOrderSender.ts
+++ b/daemon/fleet/src/stageOrderSender.ts
@@ -14,15 +14,15 @@
   allocator: AllocatorService
   sheet: () => RouteSheet | undefined
   endpoint: (id: string) => RegisteredEndpoint | undefined
-  /** Whether an endpoint must get nothing now; asked again right before an order leaves. */
+  /** Whether an endpoint must get no orders now; checked again right before an order is sent. */
   isBarred?: (endpoint: RegisteredEndpoint) => boolean
-  /** The machine's name: who orders. */
+  /** The name of this machine, sent as the holder of the order. */
   holder: string
   /** Whether this machine leads. */
   isLeader: () => boolean
-  /** The term it leads in; no two machines lead in one, so that it fences orders. */
+  /** The term in which this machine leads; terms are unique to a leader and serve as fencing tokens. */
   term: () => number
-  /** An earlier leader may have ordered until its own lease ended: a new one waits this long. */
+  /** How long a new leader waits before its first order: an earlier leader may send orders until its lease ends. */
   firstOrderDelayMs: Millis
   clock: Clock
   logger: Logger
@@ -33,16 +33,16 @@
 const STATUS_ALREADY_HELD = 200
 const STATUS_OTHER_INSTANCE = 421
 const REPORT_POLL_MS = 1_000
-/** An engine that changes its part and cannot be reached this often in a row has crashed. */
+/** A changing engine counts as crashed after this many failed connections in a row. */
 const MAX_UNREACHABLE_POLLS = 2
-/** The longest that an engine may take to end what runs before it changes. */
+/** The longest time an engine may take to finish its running requests before it changes. */
 const MAX_DRAIN_MS = 15_000
 const ALREADY_HELD_PAUSE_MS = 700
-/** An order without an answer may be carried out this much later. */
+/** An engine may carry out an unanswered order up to this much later. */
 const UNANSWERED_PAUSE_MS = 14_000
 const REFUSED_PAUSE_MS = 4_000
 
-/** Orders engines to change their part while this machine leads, one at a time. */
+/** Sends orders to engines to change their stage, one at a time, while this machine leads. */
 export class StageOrderSender {
   private termSeenAt: Millis = 0
   private observedTerm = -1
@@ -70,7 +70,7 @@
     }
   }
 
-  /** In one term nobody else leads, so that a lease lost for a moment needs no new wait. */
+  /** Whether the delay for this term is over. A lease regained in the same term needs no new wait, as no other machine led. */
   private canOrder(): boolean {
     const { clock, isLeader, term, firstOrderDelayMs } = this.options
     if (!isLeader()) return false
@@ -87,10 +87,10 @@
     if (to === undefined || this.options.isBarred?.(to)) return
     const answer = await this.call(to, wire.reportCall())
     const report = this.readReport(to, answer)
-    // An order that this machine did not give, or that came late, is under way.
+    // The engine is carrying out an order of another leader, or one that arrived late.
     if (report?.isBusy === true)
       return allocator.markChanging(change.id, otherStage(to.stage!), REFUSED_PAUSE_MS)
-    // Whoever led while the engine was asked may have ordered: a term that is new by now waits like any other.
+    // If the term changed during the call, another leader may have given an order: the delay starts again.
     if (report === undefined || !this.canOrder())
       return allocator.markOrdered(change.id, to.stage!, REFUSED_PAUSE_MS)
     if (this.options.isBarred?.(to) || endpoint(change.id)?.state === 'ended') return
@@ -117,8 +117,8 @@
   }
 
   /**
-   * An engine first ends what runs there, so that only its own report tells when it is back. It gets no work
-   * meanwhile, so that only this question tells that it has crashed.
+   * Polls an engine until it reports the new stage. The engine finishes its running requests first and gets no others, so
+   * only its report shows that it is done, and only a failed poll that it has crashed.
    */
   private awaitChange(to: RegisteredEndpoint, stage: Stage, unreachablePolls = 0): void {
     const { clock, wire, allocator, isLeader, logger, endpoint } = this.options
@@ -138,7 +138,7 @@
     })
   }
 
-  /** What an engine says of itself; undefined where a later life of it answers, of which this one's says nothing. */
+  /** Returns an engine's report, or undefined if there is none or it comes from another incarnation of the engine. */
   private readReport(to: RegisteredEndpoint, answer: FetchOutcome): EngineReport | undefined {
     const report = answer.type === 'answer' ? this.options.wire.readReport(answer.body) : undefined
     return report?.born === undefined || to.born === undefined || report.born === to.born ? report : undefined
@@ -153,7 +153,7 @@
   return stage === 'prefill' ? 'decode' : 'prefill'
 }
 
-/** How long an engine gets no other order after one that it has not taken, as far as is known. */
+/** Returns how long to wait with the next order after one that the engine has not accepted. */
 function pauseAfter(status: number | undefined): Millis {
   if (status === undefined) return UNANSWERED_PAUSE_MS
   return status === STATUS_ALREADY_HELD ? ALREADY_HELD_PAUSE_MS : REFUSED_PAUSE_MS
--- a/daemon/fleet/src/stateFile.ts
+++ b/daemon/fleet/src/stateFile.ts
@@ -6,31 +6,31 @@
 
 /** Options of {@link StateFile}. */
 export interface StateFileOptions {
-  /** The folder of this machine's disk that holds the file. */
+  /** The folder that holds the file. */
   folder: string
   file: string
   files: FileSystem
-  /** What is to be kept now, as JSON holds it. */
+  /** Returns the value to save as JSON. */
   content: () => unknown
   clock: Clock
   logger: Logger
 }
 
-/** Changes come in groups, as when a service is replaced: one write takes them all. */
+/** Changes come in groups, for example when a service is replaced, and are combined into one write. */
 const WRITE_DELAY_MS: Millis = 1_000
 
-/** Keeps on disk what a machine would otherwise have to learn anew when it starts again. A hint: it may be a second old. */
+/** Saves state on disk that a machine would otherwise relearn after a restart. The file can be a second out of date. */
 export class StateFile {
   private cancelWrite: CancelTimer | undefined
   private stopped = false
-  /** Whether anything has changed since the write that is under way began. */
+  /** Whether anything has changed since the last write began. */
   private hasUnsavedChanges = false
   private currentWrite: Promise<unknown> = Promise.resolve()
   private nextWrite: Promise<boolean> | undefined
 
   constructor(private readonly options: StateFileOptions) {}
 
-  /** What was kept last; undefined where there is no file or it cannot be read. */
+  /** Returns the parsed content of the file, or undefined if there is no readable file. */
   async load(): Promise<unknown> {
     const { files, folder, file, logger } = this.options
     try {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Notes a change; it is written a moment later. */
+  /** Schedules a write after {@link WRITE_DELAY_MS}. */
   markChanged(): void {
     this.hasUnsavedChanges = true
     if (this.stopped || this.cancelWrite !== undefined) return
@@ -55,7 +55,10 @@
     })
   }
 
-  /** Writes at once what was noted; says whether all of it is on disk. Calls that come meanwhile share the next write. */
+  /**
+   * Writes unsaved changes at once; calls during a write share the next one.
+   * @returns whether all changes are on disk.
+   */
   flush(): Promise<boolean> {
     this.nextWrite ??= this.currentWrite.then(() => {
       this.nextWrite = undefined
@@ -79,7 +82,7 @@
       await files.replace(`${folder}/${file}`, Buffer.from(JSON.stringify(content())))
       return true
     } catch (error) {
-      // Tried again a moment later; until then a restart knows what was known before.
+      // Retried after the delay; until then a restart loads the previous content.
       this.hasUnsavedChanges = true
       logger.warn('file.not-kept', { file, reason: toErrorBody(error).message })
       return false
--- a/daemon/fleet/test/controlCrashes.test.ts
+++ b/daemon/fleet/test/controlCrashes.test.ts
@@ -21,7 +21,7 @@
   return folder
 }
 
-/** A control machine's part over a disk. */
+/** Creates the crash handling of a control machine that stores its records in a folder. */
 function setUp(folder: string, clock = new ManualClock()) {
   const tracker = new CrashTracker({ now: () => clock.now(), ends: 3, keepMs: KEEP_MS })
   let changes = 0
@@ -44,7 +44,7 @@
 
 const POISON_RECORD = { content: 'bad', ended: ['l1', 'l2', 'l3'], early: ['l1'], served: [], ageMs: 1_000 }
 
-it('takes what entries report, passes on what is new, and answers that it has it', async () => {
+it('merges reported crashes, notifies followers of new records only, and acknowledges both reports', async () => {
   const { crashes, tracker, changes } = setUp(newFolder())
   const report = crashes.methods()[CRASH_REPORT] as (params: unknown) => unknown
   expect(await report({ records: [POISON_RECORD, { content: 7 }] })).toBe(true)
@@ -53,12 +53,12 @@
   expect(tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
-it('knows after a start what it knew before, as old as it is by then', async () => {
+it('restores crash records after a restart, with their age increased by the time that has passed', async () => {
   const folder = newFolder()
   const first = setUp(folder)
   first.crashes.apply([POISON_RECORD])
   first.clock.advance(1_000)
-  await until('the file to be written', async () => {
+  await until('the file is written', async () => {
     const again = setUp(folder)
     await again.crashes.load()
     return again.tracker.size === 1
@@ -69,10 +69,10 @@
 })
 
 /**
- * A leader that is killed after its answer and leads again at the same address is told nothing more: its entries have its
- * answer. What it had been told stood in memory for up to a second, so that an end was missing from the count for good.
+ * Guards against crash records lost by a leader that is killed right after its answer and restarts at the same address:
+ * entries do not repeat acknowledged reports, and records were written to disk up to a second after the answer.
  */
-it('has on disk what it has answered for, also when it is killed right after', async () => {
+it('has written a report to disk before it acknowledges it', async () => {
   const folder = newFolder()
   const first = setUp(folder)
   const report = first.crashes.methods()[CRASH_REPORT] as (params: unknown) => unknown
@@ -82,16 +82,16 @@
   expect(again.tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
-it('answers for nothing while its disk takes nothing, and takes it in all the same', async () => {
+it('does not acknowledge a report that cannot be written to disk, but applies it in memory', async () => {
   const { crashes, tracker } = setUp('/dev/null/not-a-folder')
   const report = crashes.methods()[CRASH_REPORT] as (params: unknown) => Promise<unknown>
-  await expect(report({ records: [POISON_RECORD] })).rejects.toThrow('not on disk')
-  await expect(report({ records: [POISON_RECORD] })).rejects.toThrow('not on disk')
+  await expect(report({ records: [POISON_RECORD] })).rejects.toThrow('could not be written to disk')
+  await expect(report({ records: [POISON_RECORD] })).rejects.toThrow('could not be written to disk')
   expect(tracker.refusalByBlame('bad')).toMatchObject({ ends: 3 })
 })
 
 it.each(['', '{"savedAt":1', '[]', '{"savedAt":"x","records":[{"content":{}}]}', 'null'])(
-  'knows nothing after a file that cannot be read (%j)',
+  'starts without records if the file is not valid (%j)',
   async (text) => {
     const folder = newFolder()
     writeFileSync(join(folder, 'crashes.json'), text)
@@ -101,7 +101,7 @@
   },
 )
 
-describe('contents that must run alone', () => {
+describe('isolated trials at a control machine', () => {
   const plain = (id: string, fields: Partial<RegisteredEndpoint> = {}): RegisteredEndpoint => {
     const base = { service: 's', address: `${id}:1`, zone: 'z', slots: 4, models: [], sequence: 1 }
     return { id, state: 'ready', ...base, ...fields }
@@ -110,7 +110,7 @@
     one.crashes.methods()[TRIAL_REQUEST]!(raw as never, NO_PEER)
   const REQUEST = { service: 's', content: 'maybe' }
 
-  it('get an endpoint that is kept free, by the word of the machine that leads, and only of such as take work', async () => {
+  it('get a reserved endpoint from the leader only, and only an endpoint that takes requests', async () => {
     const one = setUp(newFolder())
     one.crashes.start()
     const others = [
@@ -134,7 +134,7 @@
     one.crashes.stop()
   })
 
-  it('leave an endpoint that has ended, and ask for nothing with words that are none', async () => {
+  it('reserve another endpoint after a crash, and ignore malformed requests', async () => {
     const one = setUp(newFolder())
     one.endpoints.push(...['p1', 'p2', 'p3', 'p4'].map((id) => plain(id)))
     const requestTrial = trialRequester(one)
@@ -148,8 +148,8 @@
     }
   })
 
-  // Guards against a new leader that lets a content run again because it has not heard of what the asking entry saw.
-  it('go by what the asking entry knows too, and by what it saw in its turn', async () => {
+  // Guards against a new leader that lets a content run again because it lacks crash records of the requesting entry.
+  it('use the crash records sent with the request and at the end of a turn', async () => {
     const one = setUp(newFolder())
     one.endpoints.push(plain('p1'), plain('p2'), plain('p3'))
     const requestTrial = trialRequester(one)
--- a/daemon/fleet/test/runUntilStopped.test.ts
+++ b/daemon/fleet/test/runUntilStopped.test.ts
@@ -14,7 +14,7 @@
   message?: string
 }
 
-/** Runs a machine with signals and a clock of the test's own. */
+/** Runs a machine with simulated signals and a manual clock. */
 function run(machine: Partial<StoppableMachine>) {
   const signals = new EventEmitter()
   const clock = new ManualClock()
@@ -39,12 +39,12 @@
   return observed
 }
 
-/** Lets everything that is ready to run do so. */
+/** Waits until all tasks that are ready have run. */
 const flushTasks = () => new Promise((resolve) => setImmediate(resolve))
 const named = (events: LoggedEvent[], name: string) => events.filter(({ event }) => event === name)
 
-describe('a machine that is told to stop', () => {
-  it('ends when its stop has, and tells how many requests were cut', async () => {
+describe('runUntilStopped', () => {
+  it('resolves when the stop has finished, and logs how many requests were cut', async () => {
     const observed = run({ stop: async () => 3 })
     await flushTasks()
     expect(observed.starts).toBe(1)
@@ -55,7 +55,7 @@
     expect(named(observed.events, 'box.stopped')).toMatchObject([{ cut: 3 }])
   })
 
-  it('ends within its grace time though its stop never does, and says what was cut off', async () => {
+  it('resolves within the grace time if the stop hangs, and logs that it was cut off', async () => {
     const observed = run({ stop: () => never })
     await flushTasks()
     observed.signals.emit('SIGTERM', 'SIGTERM')
@@ -65,11 +65,11 @@
     observed.clock.advance(999)
     await flushTasks()
     expect(observed.hasEnded).toBe(true)
-    expect(named(observed.events, 'box.stop_cut_off')).toMatchObject([{ reason: 'its time was up' }])
+    expect(named(observed.events, 'box.stop_cut_off')).toMatchObject([{ reason: 'the grace time was over' }])
     expect(named(observed.events, 'box.stopped')).toEqual([])
   })
 
-  it('ends though its stop fails, and says why', async () => {
+  it('resolves if the stop fails, and logs the reason', async () => {
     const observed = run({ stop: () => Promise.reject(new Error('the disk is gone')) })
     await flushTasks()
     observed.signals.emit('SIGTERM', 'SIGTERM')
@@ -78,7 +78,7 @@
     expect(named(observed.events, 'box.stop_cut_off')[0]?.reason).toContain('the disk is gone')
   })
 
-  it('ends though its start never does', async () => {
+  it('resolves after a signal if the start hangs', async () => {
     const observed = run({ start: () => never })
     observed.signals.emit('SIGTERM', 'SIGTERM')
     await flushTasks()
@@ -86,7 +86,7 @@
     expect(observed.starts).toBe(0)
   })
 
-  it('does not go on starting once it has been told to stop', async () => {
+  it('does not report a start that finishes after a signal', async () => {
     let goOn = () => {}
     const observed = run({ start: () => new Promise((resolve) => (goOn = resolve)), stop: () => never })
     observed.signals.emit('SIGTERM', 'SIGTERM')
@@ -95,7 +95,7 @@
     expect(observed.starts).toBe(0)
   })
 
-  it('stops once, whichever signals come', async () => {
+  it('stops once, however many signals arrive', async () => {
     let stops = 0
     const observed = run({ stop: () => ((stops += 1), never) })
     await flushTasks()
@@ -105,7 +105,7 @@
     expect(named(observed.events, 'box.stopping')).toHaveLength(1)
   })
 
-  it('fails with the error of its start', async () => {
+  it('rejects with the error of the start', async () => {
     const observed = run({ start: () => Promise.reject(new Error('the port is taken')) })
     await flushTasks()
     expect(observed.error).toMatchObject({ message: 'the port is taken' })
