--- a/daemon/fleet/test/coldEndpointTracker.test.ts
+++ b/daemon/fleet/test/coldEndpointTracker.test.ts
@@ -32,8 +32,8 @@
   return { clock, cold, lines, turnedCold, merge, directory }
 }
 
-describe('ColdEndpoints', () => {
-  it('says in one line which turn cold together and in one that they are warm again, with the age', () => {
+describe('ColdEndpointTracker', () => {
+  it('logs endpoints that turn cold together in one line, and in another, with the age, that they are warm again', () => {
     const { clock, cold, lines, turnedCold, merge } = setUp()
     merge(...['a', 'b', 'c'].map((id) => endpoint(id, { coldMs: 3_000 })))
     expect(turnedCold).toEqual(['a', 'b', 'c'])
@@ -47,17 +47,17 @@
     expect(lines).toHaveLength(2)
   })
 
-  it('takes one that has not said how long for cold, and one of a service without a limit for warm', () => {
+  it('treats an endpoint without a reported cold time as cold, and one of a service without a limit as warm', () => {
     const { clock, cold, merge } = setUp()
     merge(endpoint('a'), endpoint('b', { service: 'other', coldMs: 9_000 }))
     expect(cold.leftMs('a', clock.now())).toBe(3_000)
     expect(cold.leftMs('b', clock.now())).toBe(0)
-    expect(cold.leftMs('never heard of', clock.now())).toBe(0)
+    expect(cold.leftMs('unknown', clock.now())).toBe(0)
     expect(cold.perSecond('s')).toBe(54.5)
     expect(cold.perSecond('other')).toBe(Infinity)
   })
 
-  it('tells of one that turns cold again under the same id, also while it is cold', () => {
+  it('reports an endpoint that turns cold again under the same id, also while it is cold', () => {
     const { clock, turnedCold, merge } = setUp()
     merge(endpoint('a', { coldMs: 3_000 }))
     clock.advance(1_000)
@@ -70,7 +70,7 @@
     expect(turnedCold).toEqual(['a', 'a', 'a'])
   })
 
-  it('doubts that a domain that is taken back is warm', () => {
+  it('treats the endpoints of a domain as cold after the evacuation was withdrawn', () => {
     const { cold, turnedCold, merge } = setUp()
     merge(endpoint('a', { zone: 'back', coldMs: 0 }), endpoint('b', { coldMs: 0 }))
     cold.markCold('back')
@@ -80,7 +80,7 @@
     expect(cold.count).toBe(0)
   })
 
-  it('does not call warm one that has left', () => {
+  it('does not report an endpoint that has left as warm', () => {
     const { cold, lines, merge } = setUp()
     merge(endpoint('a', { coldMs: 3_000 }))
     merge(endpoint('a', { state: 'left' }))
@@ -88,7 +88,7 @@
     expect(lines).toHaveLength(1)
   })
 
-  it('counts no change for the heartbeats of a domain that is cold, so that nobody is told of them', () => {
+  it('does not advance the directory position for heartbeats of cold endpoints, so that followers are not notified', () => {
     const { clock, directory, merge } = setUp()
     const domain = (sequence: number, coldMs: number) =>
       Array.from({ length: 15 }, (_, index) => endpoint(`i-${index}`, { sequence, coldMs }))
--- a/daemon/fleet/test/crashes.test.ts
+++ b/daemon/fleet/test/crashes.test.ts
@@ -4,24 +4,21 @@
 import { FleetHarness, sheet, until } from './fleetHarness'
 
 /*
- * The story of the failure. A caller sent the same request again and again, each time under another id and to whichever entry it met. Each
- * engine that began to run it ended, and with it the answers of everybody else there: ten engines within thirteen seconds, all engines that
- * decode at one moment. Callers got 502 and answers that broke off.
- * In order: an entry places the request, the engine ends before the first event, the entry puts the engine out for a while; another life of the
- * engine registers and is taken for sound; the request comes to another entry, which knows nothing of it.
- * The cause: what a request's content did to an endpoint ended with the attempt. Nothing named the content, nothing told a lost answer from an
- * ended endpoint, and no entry heard of the others' losses, so the blame lay with endpoints that were gone.
- * The evidence: eleven attempts of one prompt of 7,590 tokens at seven entries in our own log lines, one decode sending each, so that it was not
- * our own repeats; ejections after each end, none in the way of the next attempt.
+ * Guards against a poison request that crashes one endpoint after another. A caller repeated one prompt of 7,590 tokens
+ * under new ids at seven entries, eleven attempts with one decode send each. Every engine that began to run it crashed:
+ * ten engines within thirteen seconds, at one moment all that decode, so that other callers got 502 and broken answers.
+ * Entries ejected only the crashed engine, whose next incarnation registered as healthy. They did not identify the
+ * request's content, tell a lost answer from a crash, or share their losses with each other.
  */
 
 const ENTRIES = [100, 101]
 const WORKERS = ['one', 'two', 'three', 'four']
-/** Ends after which a request is refused, and attempts on their way meanwhile. */
+/** Crashes after which a request is refused. */
 const CRASHES_UNTIL_REFUSED = 3
+/** Attempts that can be under way at that time. */
 const MAX_LATER_ARRIVALS = 3
 const ATTEMPTS = 16
-/** Callers of one kind come from many addresses. */
+/** Attempts come from this many caller addresses. */
 const CALLER_ADDRESSES = 5
 
 let harness: FleetHarness
@@ -34,7 +31,7 @@
 async function startFleet(port: number): Promise<void> {
   harness = new FleetHarness(port)
   await Promise.all([1, 2, 3].map((number) => harness.startControl(number)))
-  await until('a sheet is taken', async () => (await harness.put(1, JSON.stringify(sheet(1)))) === 200)
+  await until('a sheet is accepted', async () => (await harness.put(1, JSON.stringify(sheet(1)))) === 200)
   workers = WORKERS.map((name) => new CrashingWorker(harness, name))
   await Promise.all(workers.map((worker) => worker.start()))
   await Promise.all(ENTRIES.map((number) => harness.startEntry(number)))
@@ -44,13 +41,13 @@
 const crashCount = () => workers.reduce((sum, worker) => sum + worker.ends, 0)
 const arrivals = (body: string) => workers.flatMap(({ seen }) => seen.filter((one) => one === body)).length
 
-/** The fatal body, from another address and to another entry each time. */
+/** Sends the fatal body, from another address and to another entry in each attempt. */
 function sendFatal(attempt: number): Promise<{ status: number; text: string }> {
   const from = `127.0.1.${1 + (attempt % CALLER_ADDRESSES)}`
   return harness.call('/p/a', { body: 'fatal', entry: ENTRIES[attempt % ENTRIES.length], from })
 }
 
-/** Sends the fatal body until three workers have ended under it. */
+/** Sends the fatal body until it has crashed three workers. */
 async function crashThree(): Promise<void> {
   for (let attempt = 0; crashCount() < CRASHES_UNTIL_REFUSED; attempt += 1) {
     await sendFatal(attempt)
@@ -60,7 +57,7 @@
 
 async function isRefusedEverywhere(): Promise<void> {
   for (const entry of ENTRIES)
-    await until(`entry ${entry} refuses it`, async () => {
+    await until(`entry ${entry} refuses the request`, async () => {
       const { status, text } = await harness.call('/p/a', { body: 'fatal', entry })
       return status === 503 && text.includes('ends its endpoints')
     })
@@ -71,8 +68,8 @@
     await until(`entry ${entry} serves`, async () => (await harness.call('/p/', { entry })).status === 200)
 }
 
-describe('a request that ends each endpoint that runs it', () => {
-  it('reaches at most three more after it has ended three, whichever entry it comes to', async () => {
+describe('a request that crashes each endpoint that runs it', () => {
+  it('reaches at most three more endpoints after it has crashed three, at whichever entry it arrives', async () => {
     await startFleet(17_860)
     let arrivalsAtThird: number | undefined
     for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
@@ -86,7 +83,7 @@
       expect((await harness.call('/p/a', { body: 'good', entry })).status).toBe(200)
   })
 
-  it('stays refused when the machine that leads is lost, and at an entry that starts anew', async () => {
+  it('stays refused when the leader is lost, and at an entry that restarts', async () => {
     await startFleet(17_870)
     await crashThree()
     await isRefusedEverywhere()
@@ -95,7 +92,7 @@
     await harness.stopEntry(ENTRIES[1]!)
     await harness.startEntry(ENTRIES[1]!)
     const before = arrivals('fatal')
-    await until('the new entry knows its routes', async () => {
+    await until('the restarted entry knows its routes', async () => {
       const { text } = await harness.call('/p/a', { body: 'fatal', entry: ENTRIES[1]! })
       return !text.includes('FORKSTAGE_NO_SHEET') && !text.includes('no endpoint')
     })
@@ -103,16 +100,16 @@
     expect(arrivals('fatal')).toBe(before)
   })
 
-  it('stays refused after every machine has stopped at once', async () => {
+  it('stays refused after all machines have stopped at once', async () => {
     await startFleet(17_880)
     await crashThree()
     await isRefusedEverywhere()
-    await until('it is on a disk', () => existsSync(`${harness.folderOf(1)}/crashes.json`))
+    await until('the crash records are on a disk', () => existsSync(`${harness.folderOf(1)}/crashes.json`))
     await Promise.all(ENTRIES.map((number) => harness.stopEntry(number)))
     await Promise.all([1, 2, 3].map((number) => harness.stopControl(number)))
     await Promise.all([1, 2, 3].map((number) => harness.startControl(number, false)))
     await Promise.all(ENTRIES.map((number) => harness.startEntry(number)))
-    for (const worker of workers) await until('a worker is known again', () => worker.sendHeartbeat())
+    for (const worker of workers) await until('a worker is registered again', () => worker.sendHeartbeat())
     await allServe()
     await isRefusedEverywhere()
   })
--- a/daemon/fleet/test/crashingWorker.ts
+++ b/daemon/fleet/test/crashingWorker.ts
@@ -4,16 +4,16 @@
 const FATAL_BODY = 'fatal'
 const RESTART_DELAY_MS = 120
 
-/** A plain worker that ends when it begins to run a fatal body, and is back a moment later under another id. */
+/** A plain worker that crashes when it receives a fatal body and restarts shortly after under another id. */
 export class CrashingWorker {
   private incarnations = 0
   private heartbeats = 0
   private port = 0
   private server: Server | undefined
   private isStopped = false
-  /** How often it has ended. */
+  /** The number of crashes so far. */
   ends = 0
-  /** Bodies in the order in which they arrived. */
+  /** Received bodies in order of arrival. */
   readonly seen: string[] = []
 
   constructor(
@@ -29,7 +29,7 @@
     await this.sendHeartbeat()
   }
 
-  /** Says of itself what it is; whether that was taken. */
+  /** Registers at control machine 1; returns whether the registration was accepted. */
   async sendHeartbeat(): Promise<boolean> {
     this.heartbeats += 1
     const fields = { address: `127.0.0.1:${this.port}`, sequence: this.heartbeats }
--- a/daemon/fleet/test/entryCrashes.test.ts
+++ b/daemon/fleet/test/entryCrashes.test.ts
@@ -7,7 +7,7 @@
 import { EntryCrashes } from '../src/entryCrashes'
 import { endpointWithDefaults } from '../../../request/gateway/test/rowsWithDefaults'
 
-/** What an entry knows of a content that was at three ends, each beside one that was at four. */
+/** Sets up an entry that has recorded four crashes for content `bad`, three of them shared with content `other`. */
 function start(endpoints: number, stage?: Stage, barred?: string) {
   const clock = new ManualClock()
   const logger = createSilentLogger()
@@ -41,7 +41,7 @@
   return { isRefused, crashes, tracker }
 }
 
-it('counts three ends whoever else was there only where one endpoint may be kept free for what has two', () => {
+it('refuses a content by its number of crashes alone only if the service can reserve an endpoint', () => {
   expect(start(3).isRefused('other')).toBe(true)
   expect(start(2).isRefused('other')).toBe(false)
   expect(start(3, undefined, 'i-1').isRefused('other')).toBe(false)
@@ -49,8 +49,8 @@
   for (const entry of [start(3), start(2), start(6, 'decode')]) expect(entry.isRefused('bad')).toBe(true)
 })
 
-// Guards against requests that are refused for want of a leader, who only spares endpoints by giving turns.
-it('lets a content run without its turn where no leader answers, and has one that must be isolated come back', async () => {
+// Guards against requests refused because there is no leader: turns only protect endpoints.
+it('lets a content run without its turn if no leader answers, and delays one that needs an isolated trial', async () => {
   const { crashes } = start(3)
   expect(await crashes.askTurn('other' as ContentDigest, 'plain', 'r1')).toEqual({ type: 'anywhere' })
   expect(await crashes.askIsolated('other' as ContentDigest, 'plain')).toEqual({
@@ -59,14 +59,14 @@
   })
 })
 
-it('decides by its book, and by losses of the request only while these are unconfirmed', () => {
+it('decides by the recorded crashes, and by the losses of the request only while these are unconfirmed', () => {
   const { crashes, tracker } = start(3)
   const decide = (content: string, lost: string[] = []) =>
     crashes.decide(() => content as ContentDigest, 'plain', lost).type
   expect(decide('bad')).toBe('refuse')
   tracker.recordServed('other' as ContentDigest)
   expect(decide('other')).toBe('send')
-  // Four endpoints have crashed within a moment: what nobody was served lately takes turns.
+  // After four crashes in quick succession, content that has not been served recently runs one request at a time.
   expect(decide('never seen')).toBe('serialize')
   const endpoint = endpointWithDefaults({ address: '127.0.0.1:9' }, 0)
   const lose = (request: string) =>
--- a/daemon/fleet/test/evacuationService.test.ts
+++ b/daemon/fleet/test/evacuationService.test.ts
@@ -7,16 +7,16 @@
 import { EvacuationTracker } from '../src/evacuationTracker'
 import { EvacuationService } from '../src/evacuationService'
 
-/** A group whose commits happen at once and whose answers may be lost, with offices of two machines. */
+/** Sets up the service of one machine, with a group that commits at once and can lose its answers. */
 function setUp() {
   const clock = new ManualClock()
   const machine = new SheetStateMachine()
   const group = {
     index: 10,
-    /** Commands as they reached the leader. */
+    /** Commands that reached the leader. */
     sent: [] as SetEvacuation[],
     losesAnswers: false,
-    /** Happens once, before the next command is applied. */
+    /** Called once, before the next command is applied. */
     beforeApply: undefined as (() => void) | undefined,
     apply: (command: SheetCommand) => machine.apply(command, (group.index += 1)),
     order: (domain: string, isEvacuated: boolean) =>
@@ -42,12 +42,12 @@
 
 const order = (isEvacuated: boolean, isWaitedFor = () => true) => ({ domain: 'a', isEvacuated, isWaitedFor })
 
-describe('EvacuationOffice', () => {
-  it('keeps an order that its own disk holds though another machine has told an older set first', () => {
+describe('EvacuationService', () => {
+  it('keeps an evacuation from its own disk when another machine first sends an older set', () => {
     const { group, machine } = setUp()
     group.order('a', true)
     const restarted = setUp()
-    // Read while nothing was heard and no leader was known, so that it was not believed yet.
+    // The restored state is not used while no set was received and no commit position is known.
     restarted.machine.restore(machine.snapshot())
     restarted.service.mergeCommitted()
     expect(restarted.tracker.view.isEvacuated('a')).toBe(false)
@@ -55,20 +55,20 @@
     expect(restarted.tracker.view.current).toEqual({ index: 11, domains: ['a'] })
   })
 
-  it('answers a resend the same where the leader was killed between the commit and its answer', async () => {
+  it('answers a repeated request when the leader was killed between the commit and its answer', async () => {
     const { group, machine, replica, service } = setUp()
     group.losesAnswers = true
     await expect(service.set(order(true))).rejects.toThrow(GroupUnavailableError)
     expect(machine.evacuations.current).toEqual({ index: 11, domains: ['a'] })
     group.losesAnswers = false
     expect(await service.set(order(true))).toEqual({ index: 11, outcome: 'held' })
-    // The machine that leads now answers without a write.
+    // The new leader answers without a write.
     replica.holdsLease = true
     expect(await service.set(order(true))).toEqual({ index: 11, outcome: 'held' })
     expect(group.sent).toHaveLength(2)
   })
 
-  it('proposes anew on top of what came between while its caller waits', async () => {
+  it('proposes again after another request was committed first, while the caller waits', async () => {
     const { group, machine, service } = setUp()
     group.beforeApply = () => void group.order('b', true)
     expect(await service.set(order(true))).toEqual({ index: 13, outcome: 'changed' })
@@ -76,7 +76,7 @@
     expect(machine.evacuations.current.domains).toEqual(['a', 'b'])
   })
 
-  it('does not bring an evacuation back that was withdrawn meanwhile, once nobody waits for it', async () => {
+  it('does not repeat an evacuation that was withdrawn meanwhile, once the caller has stopped waiting', async () => {
     const { group, machine, tracker, service } = setUp()
     group.order('b', true)
     tracker.merge(machine.evacuations.current)
@@ -91,7 +91,7 @@
     expect(group.sent).toHaveLength(1)
   })
 
-  it('believes what its disk says only once it knows what is committed, and supposes what may be', () => {
+  it('applies the state of its disk only once the commit position is known, and supposes domains until then', () => {
     const { group, machine, replica, tracker, service } = setUp()
     machine.onEvacuations = () => service.mergeCommitted()
     group.order('a', true)
@@ -102,7 +102,7 @@
     replica.knowsCommitted = true
     service.mergeCommitted()
     expect(tracker.view.current).toEqual({ index: 11, domains: ['a'] })
-    // What is applied later is committed, also while another leader is being elected.
+    // Later changes are committed, also while another leader is being elected.
     replica.knowsCommitted = false
     group.order('b', true)
     expect(tracker.view.current).toEqual({ index: 12, domains: ['a', 'b'] })
--- a/daemon/fleet/test/evacuationTracker.test.ts
+++ b/daemon/fleet/test/evacuationTracker.test.ts
@@ -2,7 +2,7 @@
 import { createSilentLogger } from '@forkstage/logger'
 import { EvacuationTracker } from '../src/evacuationTracker'
 
-describe('what a machine believes of evacuations', () => {
+describe('EvacuationTracker', () => {
   function start() {
     const withdrawn: string[] = []
     const onWithdrawn = (domain: string) => void withdrawn.push(domain)
@@ -10,7 +10,7 @@
     return { tracker, withdrawn }
   }
 
-  it('tells of each domain that is evacuated no more, once', () => {
+  it('reports each withdrawn domain once', () => {
     const { tracker, withdrawn } = start()
     tracker.merge({ index: 4, domains: ['a', 'b'] })
     expect(withdrawn).toEqual([])
@@ -19,7 +19,7 @@
     expect(withdrawn).toEqual(['a'])
   })
 
-  it('tells of none where an older set arrives late', () => {
+  it('ignores an older set that arrives late', () => {
     const { tracker, withdrawn } = start()
     tracker.merge({ index: 6, domains: ['a'] })
     tracker.merge({ index: 5, domains: [] })
@@ -27,7 +27,7 @@
     expect(tracker.view.isEvacuated('a')).toBe(true)
   })
 
-  it('tells of one that was only supposed to be evacuated', () => {
+  it('reports a domain that was only supposed to be evacuated', () => {
     const { tracker, withdrawn } = start()
     tracker.addSupposed(['a'])
     tracker.merge({ index: 3, domains: [] })
--- a/daemon/fleet/test/fleetHarness.ts
+++ b/daemon/fleet/test/fleetHarness.ts
@@ -10,7 +10,7 @@
 import { TEST_WIRE } from '../../../request/gateway/test/testWire'
 import { ControlMachine, createMachineContext, EntryMachine, type ControlWire } from '../src'
 
-/** The formats of no deployment at all. */
+/** Minimal formats for tests, of no real deployment. */
 export const CONTROL_WIRE: ControlWire = {
   sheetPath: '/sheet',
   registrationPath: '/endpoints/:id',
@@ -33,7 +33,7 @@
   readProbe: ({ head }) => ({ isHealthy: true, instance: String(head.headers['x-sound']) }),
 }
 
-/** A statement of an endpoint; undefined where it has no slots to speak of. */
+/** Parses a registration. Returns undefined if it has no number of slots. */
 function readEndpoint(name: string, text: string): RegisteredEndpoint | undefined {
   const statement = JSON.parse(text) as RegisteredEndpoint
   if (typeof statement.slots !== 'number') return undefined
@@ -58,34 +58,34 @@
   return { version, routes: [route], services: [{ name: 'plain', maxConnections: 10 }], limits }
 }
 
-/** Waits until a condition holds. */
+/** Waits until a condition holds, at most a minute. */
 export async function until(what: string, holds: () => Promise<boolean> | boolean): Promise<void> {
   const end = Date.now() + 60_000
   for (;;) {
     if (await Promise.resolve(holds()).catch(() => false)) return
-    if (Date.now() > end) throw new Error(`this never came: ${what}`)
+    if (Date.now() > end) throw new Error(`timed out waiting until ${what}`)
     await new Promise((resolve) => setTimeout(resolve, 20))
   }
 }
 
 const SEEDS = [1, 2, 3]
-/** A loopback network of this process's own, so that tests of two checkouts can run side by side. */
+/** A loopback network derived from the process id, so that tests of two checkouts can run side by side. */
 const NETWORK = `127.${64 + ((process.pid >> 8) & 63)}.${process.pid & 255}`
 const FIRST_ENTRY = 100
 
-/** Control machines at .1, .2 and so on of a loopback network, which share ports, and entries from .100 on. */
+/** Runs control machines at .1, .2 and so on of a loopback network and entries from .100 on, all on the same ports. */
 export class FleetHarness {
   private readonly folder = mkdtempSync(join(tmpdir(), 'forkstage-fleet-'))
   readonly control = new Map<number, ControlMachine>()
   private readonly entries = new Map<number, EntryMachine>()
   private workers: Server[] = []
-  /** When machines were last suspended, by their numbers. */
+  /** When machines were last suspended, by machine number. */
   readonly suspendedAt = new Map<number, number>()
-  /** Control machines whose calls to others do not arrive. */
+  /** Numbers of the control machines whose calls to others fail. */
   readonly cutControl = new Set<number>()
-  /** Warnings of all machines, as their event and its fields. */
+  /** Logged warnings of all machines, each with its event and fields. */
   readonly warnings: object[] = []
-  /** Whether the entry hears no control machine. */
+  /** Whether calls of entries to control machines fail. */
   isEntryCut = false
 
   constructor(private readonly port: number) {}
@@ -135,7 +135,7 @@
     rmSync(this.folderOf(number), { recursive: true, force: true })
   }
 
-  /** A worker of the plain service that never answers. */
+  /** Starts a worker of the plain service that never answers. */
   async startSilentWorker(): Promise<{ address: string; runs: () => number }> {
     let runs = 0
     const server = createServer(() => void (runs += 1))
@@ -144,7 +144,7 @@
     return { address: `127.0.0.1:${(server.address() as { port: number }).port}`, runs: () => runs }
   }
 
-  /** A worker of the plain service that answers with its name. */
+  /** Starts a worker of the plain service that answers with its name. */
   async startWorker(name: string): Promise<{ address: string; runs: () => number }> {
     let runs = 0
     const server = createServer((request, response) => {
@@ -176,7 +176,7 @@
     ).statusCode
   }
 
-  /** Begins or withdraws an evacuation; gives the status. */
+  /** Begins or withdraws an evacuation; returns the status. */
   async evacuate(number: number, domain: string, isEvacuated: boolean): Promise<number> {
     const url = `${this.operators(number)}/evacuations/${domain}`
     const method = isEvacuated ? 'POST' : 'DELETE'
@@ -189,7 +189,7 @@
     return (await got(url, options)).statusCode
   }
 
-  /** What a control machine believes of evacuations. */
+  /** Returns the evacuations known to a control machine. */
   evacuations(number: number): Promise<{ index: number; domains: string[] }> {
     return got(`${this.operators(number)}/evacuations`, { retry: { limit: 0 } }).json()
   }
@@ -271,7 +271,7 @@
   }
 }
 
-/** What is under way when a machine is cut off does not arrive either. */
+/** Fails all calls while a machine is cut off, also those already sent. */
 function cutWhile(peers: PeerClient, isCut: () => boolean): void {
   const call = peers.call.bind(peers)
   const notify = peers.notify.bind(peers)
--- a/daemon/fleet/test/logCodeCache.test.ts
+++ b/daemon/fleet/test/logCodeCache.test.ts
@@ -11,17 +11,17 @@
   return lines
 }
 
-describe('what a start says of its code cache', () => {
+describe('logCodeCache', () => {
   afterEach(() => void delete started.forkstageCodeCache)
 
-  it('is one line with the reason where the cache was not used', () => {
+  it('logs one line with the reason if the cache was not used', () => {
     const lines = linesFor('missing')
     expect(lines).toHaveLength(1)
     expect(lines[0]).toContain('start.code_cache_unused')
     expect(lines[0]).toContain('missing')
   })
 
-  it('is nothing where it was used, or where the program has none', () => {
+  it('logs nothing if the cache was used or the program has none', () => {
     expect(linesFor('used')).toEqual([])
     expect(linesFor(undefined)).toEqual([])
   })
--- a/daemon/fleet/test/logEndpoints.test.ts
+++ b/daemon/fleet/test/logEndpoints.test.ts
@@ -16,7 +16,7 @@
   }))
 }
 
-/** What is written for some endpoints: the event and its fields. */
+/** Returns the lines logged for a number of endpoints, each with its event and fields. */
 function written(count: number): [string, unknown][] {
   const lines: [string, unknown][] = []
   const logger = { info: (event: string, fields: unknown) => void lines.push([event, fields]) }
@@ -25,11 +25,11 @@
 }
 
 describe('logEndpoints', () => {
-  it('writes a line for each of a few endpoints', () => {
+  it('logs a line for each of a few endpoints', () => {
     expect(written(3).map(([event]) => event)).toEqual(Array(3).fill('endpoint.registered'))
   })
 
-  it('sums many up in one bounded line', () => {
+  it('logs many endpoints in one line of bounded length', () => {
     const lines = written(400)
     expect(lines).toHaveLength(1)
     expect(lines[0]).toMatchObject(['endpoints.changed', { count: 400, states: { 'ready plain': 200 } }])
--- a/daemon/fleet/test/probeSavedEndpoints.test.ts
+++ b/daemon/fleet/test/probeSavedEndpoints.test.ts
@@ -27,7 +27,7 @@
   return { id, service: 's', address, zone: 'z', slots: 1, state, models: [], sequence: 3 }
 }
 
-/** A process at an address that calls itself by a name while it takes work. */
+/** Starts a process that answers probes with a name; returns its address. */
 async function startProcess(name: string): Promise<string> {
   const server = createServer((_request, response) => void response.setHeader('x-sound', name).end())
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
@@ -41,8 +41,8 @@
   return folder
 }
 
-describe('recallEndpoints', () => {
-  it('does not know how long an endpoint is cold that does not say so again', async () => {
+describe('probeSavedEndpoints', () => {
+  it('drops the saved cold time of an endpoint whose answer has none', async () => {
     const coldTimes: (number | undefined)[] = []
     await probeSavedEndpoints([{ ...endpoint('i-1', await startProcess('i-1')), coldMs: 0 }], {
       wire: CONTROL_WIRE,
@@ -55,7 +55,7 @@
     expect(coldTimes).toEqual([undefined])
   })
 
-  it('takes an endpoint back only when it says itself that it takes work', async () => {
+  it('restores an endpoint only if it confirms itself that it takes requests', async () => {
     const healthy = endpoint('i-1', await startProcess('i-1'))
     const replaced = endpoint('i-2', await startProcess('i-9'))
     const gone = endpoint('i-3', '127.0.0.1:9')
@@ -74,7 +74,7 @@
 })
 
 describe('callEndpoint', () => {
-  it('gives up an endpoint that takes the call and says nothing', async () => {
+  it('times out when an endpoint accepts the call and does not answer', async () => {
     const clock = new ManualClock()
     let asked: () => void = () => undefined
     const isAsked = new Promise<void>((resolve) => (asked = resolve))
@@ -90,24 +90,24 @@
   })
 })
 
-describe('EndpointMemory', () => {
+describe('EndpointStore', () => {
   function memory(folder: string, endpoints: RegisteredEndpoint[]) {
     const clock = new ManualClock()
     const options = { folder, files: createFileSystem(), clock, logger: createSilentLogger() }
     return { clock, memory: new EndpointStore({ ...options, endpoints: () => endpoints }) }
   }
 
-  it('keeps those that take work, over a start', async () => {
+  it('restores ready endpoints after a restart', async () => {
     const folder = newFolder()
     const endpoints = [endpoint('i-1'), endpoint('i-2', 'b:1', 'draining')]
     const { clock, memory: first } = memory(folder, endpoints)
     first.markChanged()
     clock.advance(1_000)
-    await until('the file to be written', async () => (await memory(folder, []).memory.load()).length > 0)
+    await until('the file is written', async () => (await memory(folder, []).memory.load()).length > 0)
     expect(await memory(folder, []).memory.load()).toEqual([endpoint('i-1')])
   })
 
-  it('keeps what changes while it writes, though nothing changes after', async () => {
+  it('writes a change made during a write, also if no other change follows', async () => {
     const clock = new ManualClock()
     const endpoints = [endpoint('i-1')]
     const written: string[] = []
@@ -124,18 +124,18 @@
     const store = new EndpointStore({ ...options, endpoints: () => endpoints })
     store.markChanged()
     clock.advance(1_000)
-    await until('the write to begin', async () => written.length === 1)
+    await until('the write begins', async () => written.length === 1)
     endpoints.push(endpoint('i-2', 'b:1'))
     store.markChanged()
     finish()
-    await until('the next write to begin', async () => {
+    await until('the next write begins', async () => {
       clock.advance(100)
       return written.length === 2
     })
     expect(written[1]).toContain('i-2')
   })
 
-  it('recalls nobody from an empty disk or a torn file', async () => {
+  it('loads nothing from an empty disk or a truncated file', async () => {
     const folder = newFolder()
     expect(await memory(folder, []).memory.load()).toEqual([])
     writeFileSync(join(folder, 'endpoints.json'), '{"endpoints":[{"id"')
@@ -147,7 +147,7 @@
     }
   })
 
-  it('recalls those that another writer has left whole, and no other', async () => {
+  it('loads only the valid endpoints of a file', async () => {
     const folder = newFolder()
     const odd = [
       { ...endpoint('i-2'), slots: '4' },
--- a/daemon/fleet/test/stageOrderSender.test.ts
+++ b/daemon/fleet/test/stageOrderSender.test.ts
@@ -12,7 +12,7 @@
 const servers: Server[] = []
 afterEach(() => servers.splice(0).forEach((server) => server.close()))
 
-/** An engine that answers reports and orders, and a leader that wants it to decode. */
+/** Sets up an engine that answers report calls and orders, and a leader whose plan is to let it decode. */
 async function start(status: number | 'no answer' = 202) {
   const state = {
     leads: true,
@@ -117,7 +117,7 @@
     ordered,
     uses,
     waitUntil,
-    /** The next question after a second of the clock has been answered. */
+    /** Advances the clock by a second and waits until the engine has answered `count` report calls. */
     asked: async (count: number) => {
       clock.advance(1_000)
       await waitUntil(() => state.reports >= count)
@@ -129,13 +129,13 @@
   }
 }
 
-/** Lets all that is under way in this process go on. */
+/** Waits until pending tasks of this process have run. */
 async function flushTasks(): Promise<void> {
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve))
 }
 
-describe('StageOrders', () => {
-  it('orders nothing by the report of a later life of the engine, nor once a later life is known', async () => {
+describe('StageOrderSender', () => {
+  it('sends no order after a report of a later incarnation, nor once a later incarnation is known', async () => {
     const later = await start()
     later.state.born = 200
     later.clock.advance(FIRST_ORDER_DELAY_MS + 600)
@@ -151,7 +151,7 @@
     ended.stop()
   })
 
-  it('orders only once an earlier leader cannot order any more, with its term as fence and what the engine has taken', async () => {
+  it('waits until an earlier leader cannot order, then sends the term as fence and the expected order count', async () => {
     const { state, clock, changing, waitUntil, stop } = await start()
     clock.advance(FIRST_ORDER_DELAY_MS)
     expect(state.reports).toBe(0)
@@ -165,7 +165,7 @@
     stop()
   })
 
-  it('waits anew in each term that it leads', async () => {
+  it('starts the delay again in each term in which it leads', async () => {
     const { state, clock, stop } = await start()
     clock.advance(FIRST_ORDER_DELAY_MS - 500)
     state.term = 6
@@ -175,11 +175,10 @@
   })
 
   /**
-   * Found by reading, for a leader that changes while an order is on its way: between the question and the order this machine
-   * loses its lead and wins it again. Whoever led in between may have given an order, which an engine that checks no
-   * fence would carry out beside this one.
+   * Guards against two orders at once: between the report call and the order, this machine loses the lead and wins it again.
+   * The leader in between may have given an order, and an engine that checks no fence would carry out both.
    */
-  it('gives no order in a term that began while the engine was asked how it stands', async () => {
+  it('sends no order in a term that began during the report call', async () => {
     const { state, clock, ordered, changing, waitUntil, stop } = await start()
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     state.term = 6
@@ -190,7 +189,7 @@
     stop()
   })
 
-  it('gives no order while it does not lead, nor to an engine that carries one out', async () => {
+  it('sends no order while it does not lead, nor to an engine that is carrying one out', async () => {
     const { state, clock, changing, waitUntil, stop } = await start()
     state.leads = false
     clock.advance(20_000)
@@ -200,18 +199,18 @@
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     await waitUntil(() => changing.length === 1)
     expect(state.orders).toEqual([])
-    // What it is busy with can only be a change to the other part.
+    // The order under way can only be a change to the other stage.
     expect(changing[0]!.slice(0, 2)).toEqual(['i-1', 'decode'])
     stop()
   })
 
-  it('gives no order to an engine that must get nothing, also from one moment to the next', async () => {
+  it('sends no order to a barred engine, also if it becomes barred during the report call', async () => {
     const { state, clock, ordered, changing, waitUntil, stop } = await start()
     state.barred = true
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     await flushTasks()
     expect(state.reports).toBe(0)
-    // It turns so while it is asked how it stands.
+    // The engine becomes barred during the report call.
     state.barred = false
     clock.advance(500)
     state.barred = true
@@ -221,7 +220,7 @@
     stop()
   })
 
-  it('counts an engine back only when its own report says that it has changed', async () => {
+  it('counts a change as done only when the engine reports the new stage and no order under way', async () => {
     const { state, clock, changing, asked, waitUntil, stop } = await start()
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     await waitUntil(() => changing.length === 1)
@@ -239,7 +238,7 @@
     stop()
   })
 
-  it('does not wait for an engine that has crashed on its way: two questions that reach nobody end it', async () => {
+  it('stops waiting for an engine that crashes during the change, after two report calls that cannot connect', async () => {
     const { clock, changing, uses, waitUntil, crash, stop } = await start()
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     await waitUntil(() => changing.length === 1)
@@ -257,7 +256,7 @@
     stop()
   })
 
-  it('leaves an engine alone for a while that refused, in the part that it has', async () => {
+  it('pauses after a refused order, with the engine in its present stage', async () => {
     const { clock, changing, ordered, waitUntil, stop } = await start(412)
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     await waitUntil(() => ordered.length === 1)
@@ -266,7 +265,7 @@
     stop()
   })
 
-  it('lets an engine work on whose order got no answer, and gives it no other one meanwhile', async () => {
+  it('expects the new stage after an unanswered order, and sends no other one meanwhile', async () => {
     const { clock, changing, ordered, waitUntil, stop } = await start('no answer')
     clock.advance(FIRST_ORDER_DELAY_MS + 600)
     await waitUntil(() => ordered.length === 1)
--- a/daemon/fleet/test/suspended.test.ts
+++ b/daemon/fleet/test/suspended.test.ts
@@ -7,7 +7,7 @@
 async function startFleet(port: number): Promise<number> {
   harness = new FleetHarness(port)
   await Promise.all([1, 2, 3].map((number) => harness.startControl(number)))
-  await until('a sheet is taken', async () => (await harness.put(1, JSON.stringify(sheet(1)))) === 200)
+  await until('a sheet is accepted', async () => (await harness.put(1, JSON.stringify(sheet(1)))) === 200)
   return leader()
 }
 
@@ -15,29 +15,29 @@
   return [...harness.control].find(([, machine]) => machine.status()?.role === 'leader')![0]
 }
 
-/** As if the machine had just come back from a suspension that its steady clock does not count. */
+/** Simulates that the machine has just resumed from a suspension, which its steady clock does not count. */
 const suspend = (number: number) => harness.suspendedAt.set(number, performance.now())
 
-describe('a control machine that leads and was suspended', () => {
-  it('says nothing by its lease from before, and is sure again once a majority has answered it since', async () => {
+describe('a leader that was suspended', () => {
+  it('does not use its lease from before, and answers again once a majority has answered it', async () => {
     const leading = await startFleet(17_900)
-    await until('it is sure', async () => (await harness.read(leading)).status === 200)
+    await until('the leader answers', async () => (await harness.read(leading)).status === 200)
     harness.cutControl.add(leading)
     suspend(leading)
-    // Its steady clock still counts the lease as running.
+    // By its steady clock the lease is still valid.
     expect((await harness.read(leading)).status).toBe(503)
     harness.cutControl.delete(leading)
     await until(
-      'it is sure again, or another leads',
+      'the machine answers again, or another one leads',
       async () => (await harness.read(leading)).status === 200,
     )
   })
 
-  it('shows nothing older than what another leader has taken meanwhile', async () => {
+  it('does not return an older sheet than one accepted by another leader meanwhile', async () => {
     const leading = await startFleet(17_910)
     harness.cutControl.add(leading)
     const other = leading === 1 ? 2 : 1
-    await until('another leader takes a newer sheet', async () => {
+    await until('another leader accepts a newer sheet', async () => {
       suspend(leading)
       return (await harness.put(other, JSON.stringify(sheet(2)))) === 200 && leader() !== leading
     })
@@ -46,19 +46,19 @@
     expect(status === 503 || text === JSON.stringify(sheet(2))).toBe(true)
     harness.cutControl.delete(leading)
     await until(
-      'it knows the newer one',
+      'the machine knows the newer sheet',
       async () => (await harness.read(leading)).text === JSON.stringify(sheet(2)),
     )
   })
 })
 
 describe('an entry that was suspended', () => {
-  it('takes requests again once a control machine has answered it since, and also where none does', async () => {
+  it('serves requests again once a control machine has answered it, and also if none does', async () => {
     await startFleet(17_920)
     const worker = await harness.startWorker('one')
     await harness.register(1, 'i-1', { address: worker.address })
     await harness.startEntry()
-    await until('it serves', async () => (await harness.call('/p/')).status === 200)
+    await until('the entry serves', async () => (await harness.call('/p/')).status === 200)
     suspend(100)
     expect((await harness.call('/p/')).status).toBe(200)
     harness.isEntryCut = true
