--- a/tools/bench/src/tableExperiment.ts
+++ b/tools/bench/src/tableExperiment.ts
@@ -47,7 +47,7 @@
 }
 
 const tableOn = (deployment: Deployment, box: BoxHandle) =>
-  deployment.operator<VersionedTable>(box, 'GET', '/v1/table')
+  deployment.callOperator<VersionedTable>(box, 'GET', '/v1/table')
 
 /** Wall-clock time at which a box logged that it installed a version. */
 function installedAt(box: BoxHandle, version: number): number | undefined {
@@ -73,14 +73,14 @@
 
 /** How long the control leader says that a cut box may still act, at most. */
 async function measureCutOffLease(deployment: Deployment, cutOffBox: BoxHandle): Promise<Row> {
-  const { boxes } = await deployment.control(deployment.boxes[0])
+  const { boxes } = await deployment.readControlStatus(deployment.boxes[0])
   const left = boxes.find((box) => box.box === cutOffBox.name)?.leaseLeftMs ?? 0
   return { what: 'lease left to the box cut off by then', ...percentiles([left]), unit: 'ms', count: 1 }
 }
 
 async function leaderOf(deployment: Deployment): Promise<BoxHandle> {
   type Status = { boxes: { box: string; replicas?: { group: string; role?: string }[] }[] }
-  const status = await deployment.operator<Status>(deployment.boxes[3]!, 'GET', '/v1/status')
+  const status = await deployment.callOperator<Status>(deployment.boxes[3]!, 'GET', '/v1/status')
   const leading = status.boxes.find((box) =>
     box.replicas?.some((replica) => replica.group === 'control' && replica.role === 'leader'),
   )
--- a/tools/days/src/variantOf.ts
+++ b/tools/days/src/createVariant.ts
@@ -10,15 +10,15 @@
   time?: number
 }
 
-interface Engines {
+interface Service {
   llm?: { kv_tokens: number; step_ms: number; prefill_tokens_per_ms: number }
   servers: { count: number }[]
 }
 
 /** The text of a deployment file with other engines, so that nothing can depend on the ones that stand there. */
-export function variantOf(deployment: string, variant: Variant): string {
+export function createVariant(deployment: string, variant: Variant): string {
   const { engines = 1, memory = 1, time = 1 } = variant
-  const file = parse(deployment) as { services?: Engines[] }
+  const file = parse(deployment) as { services?: Service[] }
   for (const { llm, servers } of file.services ?? []) {
     if (llm === undefined) continue
     for (const group of servers) group.count = Math.max(1, Math.round(group.count * engines))
--- a/tools/days/src/drawFaults.ts
+++ b/tools/days/src/drawFaults.ts
@@ -10,28 +10,28 @@
 }
 
 /** Troubles begin after the first seconds and end before the last ones, so that what follows is seen as well. */
-const FIRST_AT_S = 2
-const LAST_AT_S = 26
-const SHORTEST_S = 2
-const LONGEST_S = 8
-const LEAST_SHARE = 0.1
-const MOST_SHARE = 0.5
+const MIN_START_S = 2
+const MAX_START_S = 26
+const MIN_DURATION_S = 2
+const MAX_DURATION_S = 8
+const MIN_SHARE = 0.1
+const MAX_SHARE = 0.5
 
 /** Draws one trouble of each kind: when, for how long, and how many are struck. */
 export function drawFaults(kinds: string[], random: Random): Fault[] {
   return kinds.map((kind) => ({
     kind,
-    at: between(random, FIRST_AT_S, LAST_AT_S),
-    for_s: between(random, SHORTEST_S, LONGEST_S),
-    share: between(random, LEAST_SHARE, MOST_SHARE),
+    at: between(random, MIN_START_S, MAX_START_S),
+    for_s: between(random, MIN_DURATION_S, MAX_DURATION_S),
+    share: between(random, MIN_SHARE, MAX_SHARE),
   }))
 }
 
 /** Engines of a service that are slow from 4 to 14 s and again from 18 to 28 s. */
-export function slowFaults(service: string, share: number, x: number): Fault[] {
-  return [4, 18].map((at) => ({ kind: 'srv_slow', at, for_s: 10, service, share, x }))
+export function slowFaults(service: string, share: number, factor: number): Fault[] {
+  return [4, 18].map((at) => ({ kind: 'srv_slow', at, for_s: 10, service, share, x: factor }))
 }
 
-function between(random: Random, least: number, most: number): number {
-  return Math.round((least + (most - least) * random()) * 100) / 100
+function between(random: Random, min: number, max: number): number {
+  return Math.round((min + (max - min) * random()) * 100) / 100
 }
--- a/tools/days/src/index.ts
+++ b/tools/days/src/index.ts
@@ -1,5 +1,5 @@
 export { drawFaults, slowFaults } from './drawFaults'
 export type { Fault } from './drawFaults'
-export { variantOf } from './variantOf'
-export type { Variant } from './variantOf'
-export { dayOf } from './dayOf'
+export { createVariant } from './createVariant'
+export type { Variant } from './createVariant'
+export { createDay } from './createDay'
--- a/tools/days/src/main.ts
+++ b/tools/days/src/main.ts
@@ -3,8 +3,8 @@
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
 import { createSeededRandom } from '@forkstage/clock'
-import { dayOf, engineServiceOf } from './dayOf'
-import { variantOf } from './variantOf'
+import { createDay, findEngineService } from './createDay'
+import { createVariant } from './createVariant'
 import { drawFaults, slowFaults, type Fault } from './drawFaults'
 
 async function main(): Promise<void> {
@@ -24,18 +24,18 @@
   mkdirSync(args.out, { recursive: true })
   const write = (name: string, faults: Fault[]) => {
     const path = join(args.out, `${name}.toml`)
-    writeFileSync(path, dayOf(deployment, name, faults))
+    writeFileSync(path, createDay(deployment, name, faults))
     process.stdout.write(`${path}\n`)
   }
   if (args.variant !== undefined) {
     const [engines, memory, time] = args.variant.split(',').map(Number)
     const path = join(args.out, `variant-${args.variant}.toml`)
-    writeFileSync(path, variantOf(deployment, { engines, memory, time }))
+    writeFileSync(path, createVariant(deployment, { engines, memory, time }))
     return void process.stdout.write(`${path}\n`)
   }
   if (args.slow !== undefined) {
     const [share = 0, factor = 1] = args.slow.split('x').map(Number)
-    return write(`slow-${args.slow}`, slowFaults(engineServiceOf(deployment), share, factor))
+    return write(`slow-${args.slow}`, slowFaults(findEngineService(deployment), share, factor))
   }
   const kinds = args.kinds.split(',').filter((kind) => kind !== '')
   for (let index = 0; index < args.count; index += 1)
--- a/tools/days/test/days.test.ts
+++ b/tools/days/test/days.test.ts
@@ -1,7 +1,7 @@
 import { parse } from 'smol-toml'
 import { describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { dayOf, drawFaults, slowFaults, variantOf } from '../src'
+import { createDay, drawFaults, slowFaults, createVariant } from '../src'
 
 const DEPLOYMENT = `
 [[day]]
@@ -23,7 +23,7 @@
   })
 
   it('keep the traffic of the first day and nothing of its troubles', () => {
-    const { day: days } = parse(dayOf(DEPLOYMENT, 'own', slowFaults('s', 0.33, 5))) as { day: unknown[] }
+    const { day: days } = parse(createDay(DEPLOYMENT, 'own', slowFaults('s', 0.33, 5))) as { day: unknown[] }
     const [day] = days
     expect(day).toMatchObject({ name: 'own', seed: 7, plan: [], traffic: [{ per_s: 2.5 }] })
     expect((day as { faults: unknown[] }).faults).toHaveLength(2)
@@ -37,7 +37,7 @@
 [[services]]
 servers = [ { zone = "a", count = 3 } ]
 `
-    expect(parse(variantOf(deployment, { engines: 0.5, memory: 1.3, time: 2 }))).toMatchObject({
+    expect(parse(createVariant(deployment, { engines: 0.5, memory: 1.3, time: 2 }))).toMatchObject({
       services: [
         {
           servers: [{ count: 1 }, { count: 1 }],
@@ -49,6 +49,6 @@
   })
 
   it('are refused for a file without a day', () => {
-    expect(() => dayOf('name = "x"', 'own', [])).toThrow('no day')
+    expect(() => createDay('name = "x"', 'own', [])).toThrow('no day')
   })
 })
--- a/tools/deployment/src/caller.ts
+++ b/tools/deployment/src/caller.ts
@@ -88,7 +88,7 @@
   let lastAt = 0
   let id = 0
   let isError = false
-  const take = (line: string) => {
+  const readLine = (line: string) => {
     if (line.startsWith('id: ')) return void (id = Number(line.slice(4)))
     if (line.startsWith('event: error')) return void (isError = true)
     if (!line.startsWith('data: ')) return
@@ -109,7 +109,7 @@
     onToken?.(text, id)
   }
   try {
-    await readLines(body as never, take)
+    await readLines(body as never, readLine)
   } finally {
     if (answer.tokens > 0) answer.ttftMs = firstAt - sentAt
     if (answer.tokens > 1) answer.tbtMs = (lastAt - firstAt) / (answer.tokens - 1)
--- a/tools/deployment/src/claimPorts.ts
+++ b/tools/deployment/src/claimPorts.ts
@@ -1,10 +1,10 @@
 import { createServer, type Server } from 'node:net'
 
 /** Ports that a deployment uses, with the one by which they are claimed. */
-const PORTS_A_CLAIM = 700
+const PORTS_PER_CLAIM = 700
 /** Below those that the system gives to connections. */
 const FIRST_PORT = 10_000
-const CLAIMS = 31
+const CLAIM_COUNT = 31
 
 /** Claims of this process; they are given back when it ends. */
 const claimed: Server[] = []
@@ -14,15 +14,15 @@
  * @returns the first of them.
  */
 export async function claimPorts(random: () => number = Math.random): Promise<number> {
-  const first = Math.floor(random() * CLAIMS)
-  for (let turn = 0; turn < CLAIMS; turn += 1) {
-    const base = FIRST_PORT + ((first + turn) % CLAIMS) * PORTS_A_CLAIM
-    const server = await listen(base + PORTS_A_CLAIM - 1)
+  const first = Math.floor(random() * CLAIM_COUNT)
+  for (let turn = 0; turn < CLAIM_COUNT; turn += 1) {
+    const base = FIRST_PORT + ((first + turn) % CLAIM_COUNT) * PORTS_PER_CLAIM
+    const server = await listen(base + PORTS_PER_CLAIM - 1)
     if (server === undefined) continue
     claimed.push(server)
     return base
   }
-  throw new Error(`all ${CLAIMS} ranges of ports are in use by other runs`)
+  throw new Error(`all ${CLAIM_COUNT} ranges of ports are in use by other runs`)
 }
 
 function listen(port: number): Promise<Server | undefined> {
--- a/tools/deployment/src/cutProxy.ts
+++ b/tools/deployment/src/cutProxy.ts
@@ -1,7 +1,7 @@
 import { connect, createServer, type Server, type Socket } from 'node:net'
 
 /** A connection through the proxy. */
-interface Pair {
+interface ProxiedConnection {
   inbound: Socket
   outbound: Socket
 }
@@ -33,7 +33,7 @@
 }
 
 export async function startCutProxy({ listen, target }: CutProxyOptions): Promise<CutProxy> {
-  const pairs = new Set<Pair>()
+  const connections = new Set<ProxiedConnection>()
   let cutHosts: string[] = []
   let isCutOff = false
   const counted = new Map<string, Traffic>()
@@ -45,8 +45,8 @@
   const isCut = (socket: Socket) => isCutOff || cutHosts.includes(socket.remoteAddress ?? '')
   const server: Server = createServer((inbound) => {
     const outbound = connect(target)
-    const pair = { inbound, outbound }
-    pairs.add(pair)
+    const connection = { inbound, outbound }
+    connections.add(connection)
     const counts = countsOf(inbound.remoteAddress ?? '')
     inbound.on('data', (chunk) => {
       counts.toBox += chunk.length
@@ -57,7 +57,7 @@
       if (!isCut(inbound)) inbound.write(chunk)
     })
     const close = () => {
-      pairs.delete(pair)
+      connections.delete(connection)
       inbound.destroy()
       outbound.destroy()
     }
@@ -65,23 +65,23 @@
   })
   await new Promise<void>((resolve) => server.listen(listen.port, listen.host, resolve))
   /** A stream with a hole in it is useless: what was cut is closed when the cut heals. */
-  const dropCutPairs = () => {
-    for (const pair of pairs) if (isCut(pair.inbound)) pair.inbound.destroy()
+  const closeCutConnections = () => {
+    for (const connection of connections) if (isCut(connection.inbound)) connection.inbound.destroy()
   }
   return {
     cut(hosts) {
-      dropCutPairs()
+      closeCutConnections()
       cutHosts = hosts
     },
     cutAll(cut) {
-      if (!cut) dropCutPairs()
+      if (!cut) closeCutConnections()
       isCutOff = cut
     },
     traffic: () => counted,
     close: () =>
       new Promise((resolve) => {
         server.close(() => resolve())
-        for (const pair of pairs) pair.inbound.destroy()
+        for (const connection of connections) connection.inbound.destroy()
       }),
   }
 }
--- a/tools/deployment/src/deployment.ts
+++ b/tools/deployment/src/deployment.ts
@@ -55,7 +55,7 @@
 /** Where the bundled programs are. */
 const DIST = process.env.FORKSTAGE_DIST ?? 'dist'
 /** Ports kept for each kind of listener. */
-const PORTS_A_KIND = 100
+const PORTS_PER_KIND = 100
 
 /** A whole site on loopback, each box and each kind of stand-in a process of its own. */
 export class Deployment {
@@ -67,10 +67,10 @@
   constructor(readonly options: DeploymentOptions) {
     const { portBase, site, boxes = site.boxes.length } = options
     const ports = (kind: number, count: number) =>
-      Array.from({ length: count }, (_, index) => portBase + kind * PORTS_A_KIND + index)
+      Array.from({ length: count }, (_, index) => portBase + kind * PORTS_PER_KIND + index)
     const { engines = 3 } = options
     this.ports = { prefill: ports(0, engines), decode: ports(1, engines), plain: ports(2, 3) }
-    this.platformPort = portBase + 3 * PORTS_A_KIND - 1
+    this.platformPort = portBase + 3 * PORTS_PER_KIND - 1
     this.boxes = site.boxes.slice(0, boxes).map((box, index) => this.describeBox(box, index))
   }
 
@@ -95,14 +95,14 @@
   }
 
   async waitForOperators(box: BoxHandle): Promise<void> {
-    const alive = async () =>
+    const isListening = async () =>
       (await got(`http://${box.operators}/healthz`, { retry: { limit: 0 }, timeout: { request: 1_000 } }))
         .statusCode === 200
-    await waitUntil(alive, { what: `${box.name} to listen` })
+    await waitUntil(isListening, { what: `${box.name} to listen` })
   }
 
   async waitReady(boxes = this.boxes): Promise<void> {
-    const ready = async (box: BoxHandle) =>
+    const isReady = async (box: BoxHandle) =>
       (
         await got(`http://${box.operators}/readyz`, {
           throwHttpErrors: false,
@@ -110,7 +110,7 @@
           timeout: { request: 1_000 },
         })
       ).statusCode === 200
-    await Promise.all(boxes.map((box) => waitUntil(() => ready(box), { what: `${box.name} to be ready` })))
+    await Promise.all(boxes.map((box) => waitUntil(() => isReady(box), { what: `${box.name} to be ready` })))
   }
 
   /** Confirms a table through a box; retried under the same id until there is an answer. */
@@ -119,11 +119,11 @@
     options: { box?: BoxHandle; base?: number; confirmId?: string } = {},
   ): Promise<ConfirmAnswer> {
     const { box = this.boxes[0]! } = options
-    const base = options.base ?? (await this.operator<VersionedTable>(box, 'GET', '/v1/table')).version
+    const base = options.base ?? (await this.callOperator<VersionedTable>(box, 'GET', '/v1/table')).version
     const confirmId = options.confirmId ?? `confirm-${Math.random()}`
     let answer: ConfirmAnswer | undefined
     const send = async () => {
-      answer = await this.operator<ConfirmAnswer>(box, 'POST', '/v1/table/confirm', {
+      answer = await this.callOperator<ConfirmAnswer>(box, 'POST', '/v1/table/confirm', {
         base,
         confirmId,
         table,
@@ -136,18 +136,23 @@
 
   /** Waits until a version is in force on all boxes that run. */
   async waitInForce(version: number, boxes = this.boxes): Promise<void> {
-    const inForce = async (box: BoxHandle) =>
-      (await this.operator<VersionedTable>(box, 'GET', '/v1/table')).version >= version
+    const isInForce = async (box: BoxHandle) =>
+      (await this.callOperator<VersionedTable>(box, 'GET', '/v1/table')).version >= version
     await Promise.all(
-      boxes.map((box) => waitUntil(() => inForce(box), { what: `version ${version} on ${box.name}` })),
+      boxes.map((box) => waitUntil(() => isInForce(box), { what: `version ${version} on ${box.name}` })),
     )
   }
 
-  control(box = this.boxes[0]!): Promise<ControlStatus> {
-    return this.operator(box, 'GET', '/v1/control')
+  readControlStatus(box = this.boxes[0]!): Promise<ControlStatus> {
+    return this.callOperator(box, 'GET', '/v1/control')
   }
 
-  operator<Answer>(box: BoxHandle, method: 'GET' | 'POST', path: string, json?: unknown): Promise<Answer> {
+  callOperator<Answer>(
+    box: BoxHandle,
+    method: 'GET' | 'POST',
+    path: string,
+    json?: unknown,
+  ): Promise<Answer> {
     const headers = { authorization: `Bearer ${OPERATOR_TOKEN}` }
     return got(`http://${box.operators}${path}`, {
       method,
@@ -200,8 +205,8 @@
     return {
       name: box.name,
       control: box.control,
-      callers: `127.0.0.1:${portBase + 3 * PORTS_A_KIND + index}`,
-      operators: `127.0.0.1:${portBase + 4 * PORTS_A_KIND + index}`,
+      callers: `127.0.0.1:${portBase + 3 * PORTS_PER_KIND + index}`,
+      operators: `127.0.0.1:${portBase + 4 * PORTS_PER_KIND + index}`,
       peers: this.peerAddress(index),
       host: `127.0.1.${index + 1}`,
       settingsFile: join(folder, `${box.name}.toml`),
@@ -210,7 +215,7 @@
   }
 
   private peerPort(index: number): number {
-    return this.options.portBase + 5 * PORTS_A_KIND + index
+    return this.options.portBase + 5 * PORTS_PER_KIND + index
   }
 
   private peerAddress(index: number): string {
--- a/tools/deployment/src/startProcess.ts
+++ b/tools/deployment/src/startProcess.ts
@@ -38,7 +38,7 @@
     const parts = (rest + chunk).split('\n')
     rest = parts.pop()!
     if (keepLines) lines.push(...parts)
-    else if (lines.length < FIRST_LINES) lines.push(...parts)
+    else if (lines.length < MAX_FIRST_LINES) lines.push(...parts)
   })
   if (logFile !== undefined) {
     const log = createWriteStream(logFile, { flags: 'a' })
@@ -56,7 +56,7 @@
   return { child, lines, exited, kill: (signal) => void child.kill(signal) }
 }
 
-const FIRST_LINES = 50
+const MAX_FIRST_LINES = 50
 
 /** Waits until a process has printed a line. */
 export async function waitForLine(started: RunningProcess, text: string, timeoutMs = 15_000): Promise<void> {
--- a/tools/deployment/test/binary.test.ts
+++ b/tools/deployment/test/binary.test.ts
@@ -25,14 +25,14 @@
 })
 
 /** Runs a command of the one binary, in a folder without node_modules. */
-async function forkstage(...words: string[]): Promise<{ code: number; out: string; err: string }> {
+async function forkstage(...args: string[]): Promise<{ code: number; out: string; err: string }> {
   const env = {
     ...process.env,
     FORKSTAGE_BOX: deployment.boxes[1]!.operators,
     FORKSTAGE_TOKEN: OPERATOR_TOKEN,
   }
   try {
-    const { stdout, stderr } = await run(binary, words, { cwd: folder, env })
+    const { stdout, stderr } = await run(binary, args, { cwd: folder, env })
     return { code: 0, out: stdout, err: stderr }
   } catch (error) {
     const { code, stdout, stderr } = error as { code: number; stdout: string; stderr: string }
--- a/tools/deployment/test/harness.ts
+++ b/tools/deployment/test/harness.ts
@@ -58,9 +58,9 @@
   await Promise.all(ports.map((port) => readJson(port, '/faults', 'POST', faults)))
 }
 
-export const readRecord = (port: number) => readJson<EngineRecord>(port, '/record')
+export const readEngineRecord = (port: number) => readJson<EngineRecord>(port, '/record')
 
-export const readCalls = async (deployment: Deployment): Promise<PlainCall[]> =>
+export const readPlainCalls = async (deployment: Deployment): Promise<PlainCall[]> =>
   (await Promise.all(deployment.ports.plain.map((port) => readJson<PlainCall[]>(port, '/record')))).flat()
 
 export const readHolds = async (deployment: Deployment): Promise<EngineHold[]> =>
@@ -75,10 +75,10 @@
 }
 
 /** How often each request was decoded to its end, over all engines. */
-export async function readAnswered(deployment: Deployment): Promise<Map<string, number>> {
+export async function readDecodeCounts(deployment: Deployment): Promise<Map<string, number>> {
   const answered = new Map<string, number>()
   for (const port of deployment.ports.decode) {
-    const record = await readRecord(port)
+    const record = await readEngineRecord(port)
     for (const [request, count] of Object.entries(record.answered))
       answered.set(request, (answered.get(request) ?? 0) + count)
   }
--- a/tools/deployment/test/requests.test.ts
+++ b/tools/deployment/test/requests.test.ts
@@ -3,8 +3,8 @@
 import { ADDIS, sendChat, sendPlain, waitUntil, type Deployment } from '../src'
 import {
   enginePorts,
-  readAnswered,
-  readCalls,
+  readDecodeCounts,
+  readPlainCalls,
   readHolds,
   setFaults,
   startDeployment,
@@ -25,7 +25,7 @@
 })
 
 const handbook = 'valve gate seal reading '.repeat(300)
-const ask = (key: string, tokens: number) => ({
+const chatOptions = (key: string, tokens: number) => ({
   model: ADDIS.model,
   prompt: `${handbook} question ${key} [[answer=${tokens}]]`,
   maxTokens: 400,
@@ -63,23 +63,23 @@
 
   it('gives one answer to the same key at two boxes at once, from one decode', async () => {
     const [left, right] = await Promise.all([
-      sendChat(first!(), ask('both', 20)),
-      sendChat(second!(), ask('both', 20)),
+      sendChat(first!(), chatOptions('both', 20)),
+      sendChat(second!(), chatOptions('both', 20)),
     ])
     expect([left.whole, right.whole]).toEqual([true, true])
     expect(left.text).toBe(right.text)
     expect(left.request).toBe(right.request)
-    const answered = await readAnswered(deployment)
+    const answered = await readDecodeCounts(deployment)
     expect(answered.get(left.request)).toBe(1)
-    const again = await sendChat(third!(), ask('both', 20))
+    const again = await sendChat(third!(), chatOptions('both', 20))
     expect(again.text).toBe(left.text)
-    expect((await readAnswered(deployment)).get(left.request)).toBe(1)
+    expect((await readDecodeCounts(deployment)).get(left.request)).toBe(1)
     await waitNothingHeld(deployment)
   })
 
   it('refuses a key that stands for another request', async () => {
-    await sendChat(first!(), ask('reused', 3))
-    const other = await sendChat(second!(), { ...ask('reused', 3), prompt: 'something else' })
+    await sendChat(first!(), chatOptions('reused', 3))
+    const other = await sendChat(second!(), { ...chatOptions('reused', 3), prompt: 'something else' })
     expect([other.status, other.execution, other.error?.code]).toEqual([
       422,
       'not-run',
@@ -88,25 +88,25 @@
   })
 
   it('goes on at another box after the entry died in the middle of a stream: nothing doubled, nothing missing', async () => {
-    const whole = await sendChat(first!(), ask('whole', 120))
-    const doomed = last!()
+    const whole = await sendChat(first!(), chatOptions('whole', 120))
+    const killedBox = last!()
     let tokens = ''
     let lastId = 0
-    const cut = sendChat(doomed, {
-      ...ask('resumed', 120),
+    const cut = sendChat(killedBox, {
+      ...chatOptions('resumed', 120),
       onToken: (text, id) => {
         tokens += text
         lastId = id
-        if (id === 20) doomed.process?.kill('SIGKILL')
+        if (id === 20) killedBox.process?.kill('SIGKILL')
       },
     })
     await cut.catch(() => undefined)
     expect(lastId).toBeGreaterThanOrEqual(20)
     expect(lastId).toBeLessThan(120)
     const headers = { 'idempotency-key': 'resumed', 'last-event-id': String(lastId) }
-    const rest = await sendChat(second!(), { ...ask('resumed', 120), headers })
+    const rest = await sendChat(second!(), { ...chatOptions('resumed', 120), headers })
     expect([rest.whole, rest.lastEventId, rest.tokens]).toEqual([true, 120, 120 - lastId])
-    const all = await sendChat(third!(), ask('resumed', 120))
+    const all = await sendChat(third!(), chatOptions('resumed', 120))
     expect(all.text).toBe(tokens + rest.text)
     expect(all.text.length).toBeGreaterThan(whole.text.length / 2)
     await waitNothingHeld(deployment)
@@ -115,7 +115,7 @@
   it('holds nothing for a caller that is gone, at whatever step it left', async () => {
     for (const afterTokens of [0, 1, 5]) {
       const abort = new AbortController()
-      const gone = sendChat(first!(), {
+      const abandoned = sendChat(first!(), {
         model: ADDIS.model,
         prompt: handbook,
         maxTokens: 300,
@@ -131,19 +131,19 @@
         })
         abort.abort()
       }
-      await gone.catch(() => undefined)
+      await abandoned.catch(() => undefined)
       await waitNothingHeld(deployment, 5_000)
     }
   })
 
   it('releases what an entry held that died before its first token', async () => {
     await setFaults(deployment.ports.prefill, { hangPrefills: true })
-    const doomed = last!()
-    const lost = sendChat(doomed, ask('dies-in-prefill', 10)).catch(() => undefined)
+    const killedBox = last!()
+    const lost = sendChat(killedBox, chatOptions('dies-in-prefill', 10)).catch(() => undefined)
     await waitUntil(async () => (await readHolds(deployment)).some((hold) => hold.kind === 'prefill'), {
       what: 'a prefill',
     })
-    await deployment.kill(doomed)
+    await deployment.kill(killedBox)
     await lost
     await setFaults(deployment.ports.prefill, {})
     await waitNothingHeld(deployment)
@@ -151,15 +151,17 @@
 
   it('keeps an answer whole through doubled, swapped and cut frames', async () => {
     await setFaults(deployment.ports.decode, { doubleFrames: true, swapFrames: true })
-    const swapped = await sendChat(first!(), ask('swapped', 40))
+    const swapped = await sendChat(first!(), chatOptions('swapped', 40))
     await setFaults(deployment.ports.decode, { cutStreamsAfter: 25 })
-    const cut = await sendChat(second!(), ask('cut', 40))
+    const cut = await sendChat(second!(), chatOptions('cut', 40))
     expect([swapped.whole, swapped.tokens, cut.whole, cut.tokens]).toEqual([true, 40, true, 40])
   })
 
   it('goes to another engine when transfers into one stall', async () => {
     await setFaults([deployment.ports.decode[0]!, deployment.ports.decode[1]!], { stallTransfers: true })
-    const answers = await Promise.all([0, 1, 2, 3].map((n) => sendChat(first!(), ask(`stall-${n}`, 5))))
+    const answers = await Promise.all(
+      [0, 1, 2, 3].map((n) => sendChat(first!(), chatOptions(`stall-${n}`, 5))),
+    )
     expect(answers.map(({ whole }) => whole)).toEqual([true, true, true, true])
     await setFaults(deployment.ports.decode, {})
     await waitNothingHeld(deployment)
@@ -168,11 +170,11 @@
   it('says "not run" when every engine refuses, and tells when to come back', async () => {
     await setFaults(deployment.ports.prefill, { refuse: true })
     await setFaults(deployment.ports.decode, { refuse: true })
-    const refused = await sendChat(second!(), ask('refused', 5))
+    const refused = await sendChat(second!(), chatOptions('refused', 5))
     expect([refused.whole, refused.execution]).toEqual([false, 'not-run'])
     expect(refused.retryAfterMs).toBeGreaterThan(0)
     await setFaults(enginePorts(deployment), {})
-    await waitUntil(async () => (await sendChat(second!(), ask('refused', 5))).whole, {
+    await waitUntil(async () => (await sendChat(second!(), chatOptions('refused', 5))).whole, {
       what: 'the same key to be served',
     })
   })
@@ -185,8 +187,8 @@
       body: 'known',
       headers: { 'idempotency-key': key },
     })
-  const timesRun = async (key: string) =>
-    (await readCalls(deployment)).filter((call) => call.key === key).length
+  const countRuns = async (key: string) =>
+    (await readPlainCalls(deployment)).filter((call) => call.key === key).length
 
   it('run once, and a resend at any box gets the first answer', async () => {
     const answers = await Promise.all([first!(), second!(), third!()].map((box) => save(box, 'save-1')))
@@ -195,7 +197,7 @@
     expect(answers.every(({ execution }) => execution === 'ran' || execution === 'may-have-run')).toBe(true)
     const later = await save(third!(), 'save-1')
     expect([later.execution, later.body.toString()]).toEqual(['ran', 'known'])
-    expect(await timesRun('save-1')).toBe(1)
+    expect(await countRuns('save-1')).toBe(1)
   })
 
   it('answer "may have run" when the outcome is lost, and are never run again', async () => {
@@ -204,30 +206,30 @@
     await setFaults(deployment.ports.plain, {})
     const again = await save(second!(), 'save-2')
     expect([lost.execution, again.execution, again.status]).toEqual(['may-have-run', 'may-have-run', 409])
-    expect(await timesRun('save-2')).toBe(1)
+    expect(await countRuns('save-2')).toBe(1)
   })
 
   it('are not run again by anyone after their entry was killed in the middle', async () => {
     await setFaults(deployment.ports.plain, { delayMs: 600_000 })
-    const doomed = last!()
-    const lost = save(doomed, 'save-3').catch(() => undefined)
-    await waitUntil(async () => (await timesRun('save-3')) === 1, { what: 'the save to reach the service' })
-    await deployment.kill(doomed)
+    const killedBox = last!()
+    const lost = save(killedBox, 'save-3').catch(() => undefined)
+    await waitUntil(async () => (await countRuns('save-3')) === 1, { what: 'the save to reach the service' })
+    await deployment.kill(killedBox)
     await lost
     await setFaults(deployment.ports.plain, {})
     const again = await save(second!(), 'save-3')
-    expect([again.execution, await timesRun('save-3')]).toEqual(['may-have-run', 1])
+    expect([again.execution, await countRuns('save-3')]).toEqual(['may-have-run', 1])
   })
 
   it('say "not run" when the service proves it, and then run under the same key', async () => {
     await setFaults(deployment.ports.plain, { refuse: true })
     const refused = await save(first!(), 'save-4')
     await setFaults(deployment.ports.plain, {})
-    expect([refused.execution, await timesRun('save-4')]).toEqual(['not-run', 0])
+    expect([refused.execution, await countRuns('save-4')]).toEqual(['not-run', 0])
     await waitUntil(async () => (await save(second!(), 'save-4')).execution === 'ran', {
       what: 'the save to run',
     })
-    expect(await timesRun('save-4')).toBe(1)
+    expect(await countRuns('save-4')).toBe(1)
   })
 
   it('keep method, query, headers and bytes', async () => {
@@ -239,7 +241,7 @@
     })
     expect(answer.body.equals(bytes)).toBe(true)
     expect(
-      (await readCalls(deployment)).some(
+      (await readPlainCalls(deployment)).some(
         (call) => call.method === 'PUT' && call.url === '/decks/a%20b?x=1&x=2' && call.bytes === 5,
       ),
     ).toBe(true)
@@ -248,8 +250,8 @@
 
 describe('when every box restarts', () => {
   it('an open claim is served again, and a settled one gets its answer', async () => {
-    const settled = await sendChat(first!(), ask('settled', 6))
-    const open = sendChat(second!(), ask('open', 300)).catch(() => undefined)
+    const settled = await sendChat(first!(), chatOptions('settled', 6))
+    const open = sendChat(second!(), chatOptions('open', 300)).catch(() => undefined)
     await waitUntil(async () => (await readHolds(deployment)).some((hold) => hold.kind === 'stream'), {
       what: 'the stream',
     })
@@ -257,15 +259,15 @@
     await open
     deployment.boxes.forEach((box) => deployment.startBox(box))
     await deployment.waitReady()
-    const again = await sendChat(third!(), ask('settled', 6))
+    const again = await sendChat(third!(), chatOptions('settled', 6))
     expect([again.whole, again.text, again.request]).toEqual([true, settled.text, settled.request])
-    const reopened = await sendChat(first!(), ask('open', 300))
+    const reopened = await sendChat(first!(), chatOptions('open', 300))
     expect([reopened.whole, reopened.tokens]).toEqual([true, 300])
     await waitNothingHeld(deployment)
     // The outcome is settled after the last byte has left, see docs/PROMISES.md.
     const isSettled = async () => {
       const path = `/v1/explain/${encodeURIComponent(reopened.request)}`
-      const explained = await deployment.operator<{ claim?: { owner: ClaimOwner; outcome?: object } }>(
+      const explained = await deployment.callOperator<{ claim?: { owner: ClaimOwner; outcome?: object } }>(
         first!(),
         'GET',
         path,
--- a/tools/deployment/test/stop.test.ts
+++ b/tools/deployment/test/stop.test.ts
@@ -7,13 +7,13 @@
 afterAll(() => stopDeployment(deployment))
 
 /** How many requests a box has taken in: those that run or wait, and those that have ended. */
-async function takenIn(operators: string): Promise<number> {
+async function acceptedRequests(operators: string): Promise<number> {
   const text = await (await fetch(`http://${operators}/metrics`)).text()
   const rows = text.split('\n').filter((row) => /^forkstage_requests_(running|total)\b/.test(row))
   return rows.reduce((sum, row) => sum + Number(row.split(' ').at(-1)), 0)
 }
 
-const ask = (key: string, tokens: number) => ({
+const chatOptions = (key: string, tokens: number) => ({
   model: ADDIS.model,
   prompt: `question ${key} [[answer=${tokens}]]`,
   maxTokens: 400,
@@ -23,24 +23,24 @@
 it('a planned stop under load cuts no stream, turns unready first and exits with 0', async () => {
   const box = deployment.boxes[0]!
   const running: Promise<ChatAnswer>[] = Array.from({ length: 12 }, (_, n) =>
-    sendChat(box, ask(`stop-${n}`, 100)),
+    sendChat(box, chatOptions(`stop-${n}`, 100)),
   )
   // One that arrives after the stop is turned away, which is no cut: on a busy machine two of these did.
-  await waitUntil(async () => (await takenIn(box.operators)) >= running.length, {
+  await waitUntil(async () => (await acceptedRequests(box.operators)) >= running.length, {
     what: 'the box to have taken in every stream',
   })
-  const others = deployment.boxes.slice(1).map((other, n) => sendChat(other, ask(`other-${n}`, 100)))
-  await deployment.operator(box, 'POST', '/v1/stop')
+  const others = deployment.boxes.slice(1).map((other, n) => sendChat(other, chatOptions(`other-${n}`, 100)))
+  await deployment.callOperator(box, 'POST', '/v1/stop')
   await waitUntil(async () => (await fetch(`http://${box.operators}/readyz`)).status === 503, {
     what: 'the box to turn unready',
   })
-  const late = await sendChat(box, ask('late', 5))
+  const late = await sendChat(box, chatOptions('late', 5))
   expect(late.whole || late.execution === 'not-run').toBe(true)
   expect(await box.process!.exited).toBe(0)
   const answers = await Promise.all([...running, ...others])
   expect(answers.filter((answer) => !answer.whole).map((answer) => answer.error)).toEqual([])
   await waitNothingHeld(deployment)
-  const again = await sendChat(deployment.boxes[3]!, ask('stop-0', 100))
+  const again = await sendChat(deployment.boxes[3]!, chatOptions('stop-0', 100))
   expect(again.text).toBe((await running[0]!).text)
   deployment.startBox(box)
   await deployment.waitReady()
@@ -48,7 +48,7 @@
 
 it('a second signal cuts short, and says by its exit code that it did', async () => {
   const box = deployment.boxes[4]!
-  const long = sendChat(box, ask('cut-short', 390)).catch(() => undefined)
+  const long = sendChat(box, chatOptions('cut-short', 390)).catch(() => undefined)
   await waitUntil(
     async () =>
       (await (await fetch(`http://${box.operators}/metrics`)).text()).includes(
--- a/tools/deployment/test/table.test.ts
+++ b/tools/deployment/test/table.test.ts
@@ -4,14 +4,14 @@
 import type { ConfirmAnswer, FleetStatus } from '@forkstage/operator-api'
 import type { Table, VersionedTable } from '@forkstage/types'
 import { ADDIS, sendChat, waitUntil, type BoxHandle, type ChatAnswer, type Deployment } from '../src'
-import { readRecord, setFaults, startDeployment, stopDeployment } from './harness'
+import { readEngineRecord, setFaults, startDeployment, stopDeployment } from './harness'
 
 let deployment: Deployment
 beforeAll(async () => void (deployment = await startDeployment({ cutProxies: true, platform: true })))
 afterAll(() => stopDeployment(deployment))
 
 const boxNamed = (name: string) => deployment.boxes.find((box) => box.name === name)!
-const tableOn = (box: BoxHandle) => deployment.operator<VersionedTable>(box, 'GET', '/v1/table')
+const tableOn = (box: BoxHandle) => deployment.callOperator<VersionedTable>(box, 'GET', '/v1/table')
 const newest = async () => (await tableOn(deployment.boxes[3]!)).table
 const withWeight = (table: Table, weight: number): Table => ({
   ...table,
@@ -22,11 +22,11 @@
   const metrics = await (await fetch(`http://${box.operators}/metrics`)).text()
   return !metrics.includes('forkstage_table_lease_held 0')
 }
-const ask = { model: ADDIS.model, prompt: 'is the seal intact? [[answer=3]]', maxTokens: 10 }
+const chatOptions = { model: ADDIS.model, prompt: 'is the seal intact? [[answer=3]]', maxTokens: 10 }
 
-async function leader(): Promise<BoxHandle> {
+async function findLeader(): Promise<BoxHandle> {
   let found: BoxHandle | undefined
-  const look = async () => {
+  const lookUp = async () => {
     for (const box of deployment.boxes.filter(
       (each) =>
         each.control && each.process?.child.exitCode === null && each.process.child.signalCode === null,
@@ -45,7 +45,7 @@
     }
     return false
   }
-  await waitUntil(look, { what: 'a leader' })
+  await waitUntil(lookUp, { what: 'a leader' })
   return found!
 }
 
@@ -88,7 +88,7 @@
     expect(first).toMatchObject({ outcome: 'accepted', version: version + 1 })
     await deployment.waitInForce(version + 1)
     const last = await confirmMany(250, deployment.boxes[3]!)
-    await deployment.kill(await leader())
+    await deployment.kill(await findLeader())
     expect(
       await deployment.confirm(sent, { box: deployment.boxes[4]!, base: version, confirmId: 'lost-reply' }),
     ).toEqual(first)
@@ -107,18 +107,18 @@
     // It turns unready before that, once the owners' shares have lapsed; until then it may still begin work.
     await waitUntil(async () => !(await holdsLease(entry)), { what: "the cut box's lease to end" })
     expect(await isReady(entry)).toBe(false)
-    const refused = await sendChat(entry, ask)
+    const refused = await sendChat(entry, chatOptions)
     expect([refused.status, refused.execution]).toEqual([503, 'not-run'])
     const version = await confirmMany(3, deployment.boxes[3]!)
     expect((await tableOn(entry)).version).toBeLessThan(version)
     deployment.cutOff(entry, false)
     await deployment.waitInForce(version, [entry])
     await deployment.waitReady([entry])
-    expect((await sendChat(entry, ask)).whole).toBe(true)
+    expect((await sendChat(entry, chatOptions)).whole).toBe(true)
   })
 
   it('a control box cut off while hundreds of tables pass catches up and never shows an older one', async () => {
-    const cut = (await leader()) === boxNamed('arada-1') ? boxNamed('kality-1') : boxNamed('arada-1')
+    const cut = (await findLeader()) === boxNamed('arada-1') ? boxNamed('kality-1') : boxNamed('arada-1')
     deployment.cutOff(cut, true)
     const version = await confirmMany(200, deployment.boxes[3]!)
     deployment.cutOff(cut, false)
@@ -128,7 +128,7 @@
   })
 
   it('a leader frozen past its lease accepts nothing when it wakes, and what was accepted meanwhile stays', async () => {
-    const frozen = await leader()
+    const frozen = await findLeader()
     const { version, table } = await tableOn(deployment.boxes[3]!)
     deployment.freeze(frozen)
     const others = deployment.boxes.filter((box) => box !== frozen && box.control)
@@ -143,11 +143,11 @@
   it('loses no accepted table when its leader is killed at any moment', async () => {
     const accepted: number[] = []
     for (let round = 0; round < 3; round += 1) {
-      const doomed = await leader()
+      const killedLeader = await findLeader()
       const through = deployment.boxes[3 + round]!
-      let going = true
+      let isConfirming = true
       const confirming = (async () => {
-        while (going) {
+        while (isConfirming) {
           const { version, table } = await tableOn(through)
           const answer = await deployment.confirm(withWeight(table, 1 + (version % 5)), {
             box: through,
@@ -158,12 +158,12 @@
       })()
       const before = accepted.length
       await waitUntil(() => accepted.length > before + 5, { what: 'some confirms' })
-      await deployment.kill(doomed)
+      await deployment.kill(killedLeader)
       const afterKill = accepted.length
       await waitUntil(() => accepted.length > afterKill + 3, { what: 'confirms under the next leader' })
-      going = false
+      isConfirming = false
       await confirming
-      deployment.startBox(doomed)
+      deployment.startBox(killedLeader)
       await deployment.waitReady()
     }
     expect(new Set(accepted).size).toBe(accepted.length)
@@ -180,7 +180,7 @@
     const withAddress = lost.peers
     await waitUntil(
       async () => {
-        await deployment.operator(deployment.boxes[3]!, 'POST', '/v1/control/replace', {
+        await deployment.callOperator(deployment.boxes[3]!, 'POST', '/v1/control/replace', {
           lost: 'kality-1',
           withAddress,
         })
@@ -225,12 +225,12 @@
 })
 
 describe('leaving endpoints and orders', () => {
-  const decodes = async (index: number) => (await readRecord(deployment.ports.decode[index]!)).decodes
+  const decodes = async (index: number) => (await readEngineRecord(deployment.ports.decode[index]!)).decodes
 
   /** Waits until every box says why it sends an endpoint nothing. */
   async function waitClosed(endpoint: string, reason: string): Promise<void> {
     const closedEverywhere = async () => {
-      const { boxes } = await deployment.operator<FleetStatus>(deployment.boxes[0]!, 'GET', '/v1/status')
+      const { boxes } = await deployment.callOperator<FleetStatus>(deployment.boxes[0]!, 'GET', '/v1/status')
       return boxes.length === 7 && boxes.every((box) => 'closed' in box && box.closed[endpoint] === reason)
     }
     await waitUntil(closedEverywhere, { what: `${endpoint} to be closed as ${reason}` })
@@ -239,7 +239,7 @@
   async function expectNoNewWork(index: number): Promise<void> {
     const before = await decodes(index)
     const answers = await Promise.all(
-      Array.from({ length: 12 }, (_, n) => sendChat(deployment.boxes[n % 7]!, ask)),
+      Array.from({ length: 12 }, (_, n) => sendChat(deployment.boxes[n % 7]!, chatOptions)),
     )
     expect(answers.filter((answer) => !answer.whole).map((answer) => answer.error)).toEqual([])
     expect(await decodes(index)).toBe(before)
@@ -250,7 +250,7 @@
     const sendMore = async () => {
       running.push(
         sendChat(deployment.boxes[running.length % 7]!, {
-          ...ask,
+          ...chatOptions,
           prompt: `long ${running.length} [[answer=150]]`,
           maxTokens: 200,
         }),
@@ -296,16 +296,16 @@
 
   it('orders carry a fence that never goes back, also over a change of leader', async () => {
     const order = (argument: string) =>
-      deployment.operator<{ fence: number }>(deployment.boxes[3]!, 'POST', '/v1/orders', {
+      deployment.callOperator<{ fence: number }>(deployment.boxes[3]!, 'POST', '/v1/orders', {
         endpoint: 'kelem-llm-prefill-1',
         action: 'setVersion',
         argument,
       })
     const first = await order('v1')
-    await deployment.kill(await leader())
+    await deployment.kill(await findLeader())
     const second = await order('v2')
     expect(second.fence).toBeGreaterThan(first.fence)
-    const { orders } = await readRecord(deployment.ports.prefill[0]!)
+    const { orders } = await readEngineRecord(deployment.ports.prefill[0]!)
     expect(orders.map((each) => each.argument)).toEqual(['v1', 'v2'])
   })
 })
--- a/tools/fleet-soak/src/checkFleet.ts
+++ b/tools/fleet-soak/src/checkCalls.ts
@@ -1,10 +1,10 @@
 import type { CallRecord } from './soakCallers'
 
 /** Statuses that promise that the request has not run and never will. */
-const PROMISES = new Set([408, 421, 429, 503])
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
 
-const MAY_RUN_AGAIN = new Set<CallRecord['kind']>(['safe', 'large', 'long'])
-const STREAMS = new Set<CallRecord['kind']>(['stream', 'long', 'once'])
+const REPEATABLE_KINDS = new Set<CallRecord['kind']>(['safe', 'large', 'long'])
+const STREAM_KINDS = new Set<CallRecord['kind']>(['stream', 'long', 'once'])
 
 /** What does not hold of the calls, given how often each request ran. */
 export function checkCalls(calls: CallRecord[], runs: ReadonlyMap<string, number>): string[] {
@@ -12,25 +12,25 @@
 }
 
 function checkRuns(call: CallRecord, runs: number): string[] {
-  if (MAY_RUN_AGAIN.has(call.kind)) return []
-  const broken: string[] = []
-  if (runs > 1) broken.push(`${call.id} (${call.kind}) ran ${runs} times`)
-  if (PROMISES.has(call.status) && runs > 0)
-    broken.push(`${call.id} (${call.kind}) was answered ${call.status} and ran`)
-  return broken
+  if (REPEATABLE_KINDS.has(call.kind)) return []
+  const violations: string[] = []
+  if (runs > 1) violations.push(`${call.id} (${call.kind}) ran ${runs} times`)
+  if (NOT_RUN_STATUSES.has(call.status) && runs > 0)
+    violations.push(`${call.id} (${call.kind}) was answered ${call.status} and ran`)
+  return violations
 }
 
 function checkAnswer(call: CallRecord): string[] {
   if (call.status !== 200 || !call.isWhole) return []
   if (call.stamp !== `stamp-${call.id}`) return [`${call.id} got the stamp ${call.stamp}`]
-  const expected = STREAMS.has(call.kind) ? wholeStream(call.id, call.body) : `answer to ${call.id}`
+  const expected = STREAM_KINDS.has(call.kind) ? expectedStream(call.id, call.body) : `answer to ${call.id}`
   return call.body !== '' && call.body === expected
     ? []
     : [`${call.id} (${call.kind}) got a body that is not its own and whole`]
 }
 
 /** The stream that an answer must be, by the number of events that its own last event names. */
-function wholeStream(id: string, body: string): string {
+function expectedStream(id: string, body: string): string {
   const count = Number(/ of (\d+)\n\n$/.exec(body)?.[1] ?? 0)
   return Array.from(
     { length: count },
--- a/tools/fleet-soak/src/checkEvacuations.ts
+++ b/tools/fleet-soak/src/checkEvacuations.ts
@@ -1,5 +1,5 @@
 /** One evacuation, as its operator saw it; times in milliseconds. */
-export interface SeenEvacuation {
+export interface ObservedEvacuation {
   domain: string
   acknowledgedAt: number
   /** When its withdrawal was sent for the first time; absent while it was not. */
@@ -7,7 +7,7 @@
 }
 
 /** One request that arrived at an endpoint, other than those of control machines. */
-export interface Arrival {
+export interface DomainArrival {
   request: string
   domain: string
   at: number
@@ -21,12 +21,12 @@
 }
 
 /** How long requests may arrive after the acknowledgement; the deployment's sheet has `evac_ms` 5,000. */
-export const EVACUATED_WITHIN_MS = 5_000
+export const EVACUATION_BOUND_MS = 5_000
 
 /** Which requests arrived in a failure domain that was evacuated; times without control do not count for the bound. */
 export function checkEvacuations(
-  evacuations: SeenEvacuation[],
-  arrivals: Arrival[],
+  evacuations: ObservedEvacuation[],
+  arrivals: DomainArrival[],
   outages: ControlOutage[],
 ): string[] {
   return evacuations.flatMap((evacuation) =>
@@ -38,13 +38,17 @@
   )
 }
 
-function isLate(evacuation: SeenEvacuation, { domain, at }: Arrival, outages: ControlOutage[]): boolean {
+function isLate(
+  evacuation: ObservedEvacuation,
+  { domain, at }: DomainArrival,
+  outages: ControlOutage[],
+): boolean {
   const { acknowledgedAt, withdrawnAt = Infinity } = evacuation
   if (domain !== evacuation.domain || at >= withdrawnAt) return false
-  return at - acknowledgedAt - awayBetween(acknowledgedAt, at, outages) > EVACUATED_WITHIN_MS
+  return at - acknowledgedAt - outageMsBetween(acknowledgedAt, at, outages) > EVACUATION_BOUND_MS
 }
 
-function awayBetween(start: number, end: number, outages: ControlOutage[]): number {
+function outageMsBetween(start: number, end: number, outages: ControlOutage[]): number {
   return outages
     .map(({ from, to }) => Math.max(0, Math.min(end, to) - Math.max(start, from)))
     .reduce((sum, each) => sum + each, 0)
--- a/tools/fleet-soak/src/fleetFaults.ts
+++ b/tools/fleet-soak/src/fleetFaults.ts
@@ -1,5 +1,5 @@
 import type { Random } from '@forkstage/clock'
-import type { Span } from './checkBegun'
+import type { TimeSpan } from './checkInterruptedAnswers'
 import type { ControlOutage } from './checkEvacuations'
 import type { SoakFleet } from './soakFleet'
 import type { SoakMachine } from './machineSettings'
@@ -33,9 +33,9 @@
   target: number
 }
 
-const LEAST_GAP_MS = 700
-const MOST_GAP_MS = 3_500
-const LONGEST_MS = 3_000
+const MIN_GAP_MS = 700
+const MAX_GAP_MS = 3_500
+const MAX_FAULT_MS = 3_000
 /** Faults end this long before the run does. */
 const QUIET_END_MS = 8_000
 /** A machine counts as lost until this long after it is back. */
@@ -43,15 +43,15 @@
 /** From the signal until an entry ends what still runs: its grace time, but for what it keeps for its own end. */
 const STOP_LASTS_MS = 3_500
 /** How many control machines may be lost at once while everything holds. */
-const LOSSES = 2
+const MAX_CONTROL_LOSSES = 2
 
 /** Faults drawn from a seed, some of them overlapping. */
 export function planFleetFaults(durationMs: number, random: Random): FleetFault[] {
   const faults: FleetFault[] = []
-  const gap = () => LEAST_GAP_MS + random() * (MOST_GAP_MS - LEAST_GAP_MS)
+  const gap = () => MIN_GAP_MS + random() * (MAX_GAP_MS - MIN_GAP_MS)
   for (let at = gap(); at < durationMs - QUIET_END_MS; at += gap()) {
     const kind = KINDS[Math.floor(random() * KINDS.length)]!
-    faults.push({ at, forMs: 300 + random() * LONGEST_MS, kind, target: random() })
+    faults.push({ at, forMs: 300 + random() * MAX_FAULT_MS, kind, target: random() })
   }
   return faults
 }
@@ -61,7 +61,7 @@
   private readonly busy = new Set<string>()
   readonly done: string[] = []
   /** When entries were killed, frozen or at the end of their stop, by name. */
-  readonly entriesAway = new Map<string, Span[]>()
+  readonly entryOutages = new Map<string, TimeSpan[]>()
   /** When all control machines were away, with the time that they get to catch up. */
   readonly outages: ControlOutage[] = []
 
@@ -71,19 +71,19 @@
   ) {}
 
   async inject(fault: FleetFault): Promise<void> {
-    const [what, where] = fault.kind.split('-') as [string, string | undefined]
+    const [action, place] = fault.kind.split('-') as [string, string | undefined]
     if (fault.kind === 'kill-all-control') return this.killAllControl(fault)
-    if (fault.kind === 'lose-disk') return this.atMachine(fault, this.fleet.control, 'lose')
-    if (where === 'entry') return this.atMachine(fault, this.fleet.entries, what)
-    if (where === 'control') return this.atMachine(fault, this.fleet.control, what)
-    return this.atEndpoint(fault)
+    if (fault.kind === 'lose-disk') return this.injectAtMachine(fault, this.fleet.control, 'lose')
+    if (place === 'entry') return this.injectAtMachine(fault, this.fleet.entries, action)
+    if (place === 'control') return this.injectAtMachine(fault, this.fleet.control, action)
+    return this.injectAtEndpoint(fault)
   }
 
   private async killAllControl(fault: FleetFault): Promise<void> {
-    if (this.busyControl() > 0) return
+    if (this.busyControlCount() > 0) return
     const { control } = this.fleet
     control.forEach((machine) => this.busy.add(machine.name))
-    this.note(fault, 'control')
+    this.record(fault, 'control')
     await this.restartControl()
     control.forEach((machine) => this.busy.delete(machine.name))
   }
@@ -99,57 +99,57 @@
     outage.to = Date.now()
   }
 
-  private async atMachine(fault: FleetFault, machines: SoakMachine[], what: string): Promise<void> {
+  private async injectAtMachine(fault: FleetFault, machines: SoakMachine[], action: string): Promise<void> {
     const machine = machines[Math.floor(fault.target * machines.length)]!
     const isControl = machine.role === 'control'
-    if (this.busy.has(machine.name) || (isControl && this.busyControl() >= LOSSES)) return
+    if (this.busy.has(machine.name) || (isControl && this.busyControlCount() >= MAX_CONTROL_LOSSES)) return
     this.busy.add(machine.name)
-    this.note(fault, machine.name)
+    this.record(fault, machine.name)
     // Until its grace time is nearly over, a stop entitles an entry to end nothing.
-    const away: Span = { from: Date.now() + (what === 'stop' ? STOP_LASTS_MS : 0), to: Infinity }
-    this.entriesAway.set(machine.name, [...(this.entriesAway.get(machine.name) ?? []), away])
-    await this.disturb(machine, what, fault.forMs)
+    const away: TimeSpan = { from: Date.now() + (action === 'stop' ? STOP_LASTS_MS : 0), to: Infinity }
+    this.entryOutages.set(machine.name, [...(this.entryOutages.get(machine.name) ?? []), away])
+    await this.disruptMachine(machine, action, fault.forMs)
     away.to = Date.now()
     if (isControl) await pause(CATCH_UP_MS)
     this.busy.delete(machine.name)
   }
 
-  private async disturb(machine: SoakMachine, what: string, forMs: number): Promise<void> {
-    if (what === 'freeze') {
+  private async disruptMachine(machine: SoakMachine, action: string, forMs: number): Promise<void> {
+    if (action === 'freeze') {
       this.fleet.signal(machine, 'SIGSTOP')
       await pause(forMs)
       return this.fleet.signal(machine, 'SIGCONT')
     }
-    await this.fleet.end(machine, what === 'stop' ? 'SIGTERM' : 'SIGKILL')
-    if (what === 'lose') this.fleet.loseDisk(machine)
+    await this.fleet.end(machine, action === 'stop' ? 'SIGTERM' : 'SIGKILL')
+    if (action === 'lose') this.fleet.loseDisk(machine)
     await pause(forMs)
     this.fleet.start(machine)
   }
 
-  private async atEndpoint(fault: FleetFault): Promise<void> {
+  private async injectAtEndpoint(fault: FleetFault): Promise<void> {
     const index = Math.floor(fault.target * this.endpoints.length)
     const endpoint = this.endpoints[index]!
     const name = `endpoint ${index}`
     if (this.busy.has(name)) return
     this.busy.add(name)
-    this.note(fault, name)
+    this.record(fault, name)
     if (fault.kind === 'crash-endpoint') await endpoint.crash()
     else if (fault.kind === 'drain-endpoint') await endpoint.drain()
-    else await this.spoil(endpoint, fault.kind as EndpointFault, fault.forMs)
+    else await this.setFaultFor(endpoint, fault.kind as EndpointFault, fault.forMs)
     this.busy.delete(name)
   }
 
-  private async spoil(endpoint: StandInEndpoint, fault: EndpointFault, forMs: number): Promise<void> {
+  private async setFaultFor(endpoint: StandInEndpoint, fault: EndpointFault, forMs: number): Promise<void> {
     endpoint.fault = fault
     await pause(forMs)
     endpoint.fault = 'none'
   }
 
-  private busyControl(): number {
+  private busyControlCount(): number {
     return this.fleet.control.filter((machine) => this.busy.has(machine.name)).length
   }
 
-  private note(fault: FleetFault, where: string): void {
-    this.done.push(`${(fault.at / 1_000).toFixed(1)} s ${fault.kind} ${where}, ${Math.round(fault.forMs)} ms`)
+  private record(fault: FleetFault, place: string): void {
+    this.done.push(`${(fault.at / 1_000).toFixed(1)} s ${fault.kind} ${place}, ${Math.round(fault.forMs)} ms`)
   }
 }
--- a/tools/fleet-soak/src/brokenFields.ts
+++ b/tools/fleet-soak/src/invalidFields.ts
@@ -1,5 +1,5 @@
 /** What makes a statement one that says nothing of an endpoint to use, each by itself. */
-export const BROKEN_FIELDS = [
+export const INVALID_FIELDS = [
   { slots: 'many' },
   { state: 'resting' },
   { call_seq: null },
--- a/tools/fleet-soak/src/main.ts
+++ b/tools/fleet-soak/src/main.ts
@@ -1,6 +1,6 @@
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
-import { ownNetwork } from './ownNetwork'
+import { processNetwork } from './processNetwork'
 import { runFleetSoak } from './runFleetSoak'
 
 async function main(): Promise<void> {
@@ -8,7 +8,7 @@
     .scriptName('npm run soak:fleet --')
     .option('minutes', { type: 'number', default: 2 })
     .option('seed', { type: 'number', default: 1 })
-    .option('network', { type: 'string', default: ownNetwork(), describe: 'loopback addresses to use' })
+    .option('network', { type: 'string', default: processNetwork(), describe: 'loopback addresses to use' })
     .option('keep', { type: 'boolean', default: false, describe: 'keep settings, data and logs' })
     .option('fatalMs', {
       type: 'number',
@@ -22,12 +22,16 @@
   const write = (text: string) => process.stdout.write(`${text}\n`)
   report.faults.forEach((fault) => write(`fault: ${fault}`))
   write(
-    `seed ${report.seed}: ${report.answered} of ${report.calls} calls answered, ${report.acknowledged} sheets and ${report.evacuations} evacuations acknowledged, ${report.ended} endpoints ended under requests that end them, ${report.wholeLong} of ${report.begunLong} long answers that had begun ended whole`,
+    `seed ${report.seed}: ${report.answered} of ${report.calls} calls answered, ${report.acknowledged} sheets and ${report.evacuations} evacuations acknowledged, ${report.ended} endpoints ended under requests that end them, ${report.longCompleted} of ${report.longBegun} long answers that had begun ended whole`,
   )
   if (args.keep) write(`kept in ${report.folder}`)
-  report.broken.forEach((fault) => write(`BROKEN: ${fault}`))
-  write(report.broken.length === 0 ? 'verdict: every rule held' : `verdict: ${report.broken.length} broken`)
-  process.exit(report.broken.length === 0 ? 0 : 1)
+  report.violations.forEach((fault) => write(`BROKEN: ${fault}`))
+  write(
+    report.violations.length === 0
+      ? 'verdict: every rule held'
+      : `verdict: ${report.violations.length} broken`,
+  )
+  process.exit(report.violations.length === 0 ? 0 : 1)
 }
 
 main().catch((error: unknown) => {
--- a/tools/fleet-soak/src/runFleetSoak.ts
+++ b/tools/fleet-soak/src/runFleetSoak.ts
@@ -3,24 +3,24 @@
 import { join } from 'node:path'
 import { createSeededRandom } from '@forkstage/clock'
 import { waitUntil } from '@forkstage/deployment'
-import { checkBegun } from './checkBegun'
+import { checkInterruptedAnswers } from './checkInterruptedAnswers'
 import { checkEvacuations } from './checkEvacuations'
-import { checkFatal, type FatalArrivals } from './checkFatal'
-import { checkRates, RATE } from './checkRates'
-import { checkCalls } from './checkFleet'
-import { checkWords, type SaidWords } from './checkWords'
+import { checkPoisonRequest, type PoisonArrivals } from './checkPoisonRequest'
+import { checkRates, RATE_PER_SECOND } from './checkRates'
+import { checkCalls } from './checkCalls'
+import { checkEndpointSignals, type EndpointSignals } from './checkEndpointSignals'
 import { planEngineFaults, runEngineFaults } from './engineFaults'
 import { FleetFaultInjector, planFleetFaults } from './fleetFaults'
 import { DOMAINS } from './machineSettings'
-import { planRests, runRests } from './restFaults'
+import { planBackoffFaults, runBackoffFaults } from './backoffFaults'
 import { SoakCallers, type CallRecord } from './soakCallers'
 import { planEvacuations, SoakEvacuations } from './soakEvacuations'
 import { SoakFleet } from './soakFleet'
 import { SoakOperator } from './soakOperator'
-import { checkWorkspaceRuns, turningKey, type SeenRun } from './soakWorkspaces'
+import { checkWorkspaceRuns, rotatingKey, type ObservedRun } from './soakWorkspaces'
 import { pause } from './pause'
 import { StandInEndpoint } from './standInEndpoint'
-import { newBegunAnswers, type BegunAnswers } from './standInRuns'
+import { newStreamInterruptions, type StreamInterruptions } from './standInRuns'
 
 /** Options of {@link runFleetSoak}. */
 export interface FleetSoakOptions {
@@ -48,10 +48,10 @@
   /** Endpoints that ended under the requests that end each one that runs them. */
   ended: number
   /** Answers of seconds that have begun, and those of them that ended whole. */
-  begunLong: number
-  wholeLong: number
+  longBegun: number
+  longCompleted: number
   /** What did not hold; empty is the verdict "held". */
-  broken: string[]
+  violations: string[]
 }
 
 const CALL_EVERY_MS = 25
@@ -67,9 +67,9 @@
 const UNAUTHORIZED = 401
 const SHOWN_CHARACTERS = 160
 /** Apart from the other generators of a seed. */
-const WORDS = 50
+const SIGNAL_SEED_OFFSET = 50
 /** At each entry, once all control machines are back. */
-const LAST_CALLS = 10
+const CALLS_PER_ENTRY = 10
 const ENDPOINTS = [
   { service: 'plain' },
   { service: 'plain' },
@@ -80,8 +80,8 @@
 ] as const
 /** Beside those that faults are planned for: with fewer than three plain ones none is kept free for what may end it. */
 const STEADY_ENDPOINTS = [
-  { service: 'plain', rate: RATE },
-  { service: 'plain', rate: RATE },
+  { service: 'plain', rate: RATE_PER_SECOND },
+  { service: 'plain', rate: RATE_PER_SECOND },
 ] as const
 
 /** Runs entries and control machines under load and seeded faults, then checks what must hold. */
@@ -89,9 +89,9 @@
   const folder = mkdtempSync(join(tmpdir(), 'forkstage-fleet-soak-'))
   const fleet = new SoakFleet(folder, options.network)
   const runs = new Map<string, number>()
-  const seen: SeenRun[] = []
-  const fatal = new Map<string, FatalArrivals>()
-  const begun = newBegunAnswers(createSeededRandom(options.seed * 100 + ENDPOINTS.length))
+  const observedRuns: ObservedRun[] = []
+  const poisonArrivals = new Map<string, PoisonArrivals>()
+  const interruptions = newStreamInterruptions(createSeededRandom(options.seed * 100 + ENDPOINTS.length))
   const endpoints = [...ENDPOINTS, ...STEADY_ENDPOINTS].map(
     (one, index) =>
       new StandInEndpoint({
@@ -100,17 +100,22 @@
         zone: DOMAINS[index % DOMAINS.length],
         control: () => fleet.control.map((machine) => fleet.operators(machine)),
         random: createSeededRandom(options.seed * 100 + index),
-        words: createSeededRandom(options.seed * 100 + WORDS + index),
-        begun,
+        signalRandom: createSeededRandom(options.seed * 100 + SIGNAL_SEED_OFFSET + index),
+        interruptions,
         runs,
-        seen,
-        fatal,
+        observedRuns,
+        poisonArrivals,
       }),
   )
   try {
     fleet.startAll()
     await Promise.all(endpoints.map((endpoint) => endpoint.start()))
-    return await soak(options, folder, fleet, endpoints, { runs, seen, fatal, begun })
+    return await soak(options, folder, fleet, endpoints, {
+      runs,
+      observedRuns,
+      poisonArrivals,
+      interruptions,
+    })
   } finally {
     endpoints.forEach((endpoint) => endpoint.end())
     await fleet.stopAll()
@@ -119,11 +124,11 @@
 }
 
 /** What the stand-ins saw. */
-interface Observed {
+interface Observations {
   runs: ReadonlyMap<string, number>
-  seen: SeenRun[]
-  fatal: Map<string, FatalArrivals>
-  begun: BegunAnswers
+  observedRuns: ObservedRun[]
+  poisonArrivals: Map<string, PoisonArrivals>
+  interruptions: StreamInterruptions
 }
 
 async function soak(
@@ -131,15 +136,15 @@
   folder: string,
   fleet: SoakFleet,
   endpoints: StandInEndpoint[],
-  { runs, seen, fatal, begun }: Observed,
+  { runs, observedRuns, poisonArrivals, interruptions }: Observations,
 ): Promise<FleetSoakReport> {
   const operator = new SoakOperator(fleet, createSeededRandom(seed + 1))
   const callers = new SoakCallers(fleet, createSeededRandom(seed + 2), () => operator.newest)
-  const faulty = endpoints.slice(0, ENDPOINTS.length)
-  const injector = new FleetFaultInjector(fleet, faulty)
+  const faultyEndpoints = endpoints.slice(0, ENDPOINTS.length)
+  const injector = new FleetFaultInjector(fleet, faultyEndpoints)
   const evacuations = new SoakEvacuations(fleet, createSeededRandom(seed + 3))
   while (operator.newest === 0) {
-    await operator.change()
+    await operator.putNext()
     await pause(READ_EVERY_MS)
   }
   await fleet.waitReady()
@@ -156,38 +161,44 @@
   await Promise.all([
     repeat(CALL_EVERY_MS, () => callers.call()),
     repeat(LARGE_EVERY_MS, () => callers.callLarge()),
-    repeat(fatalMs, () => callers.callFatal(fatalKinds)),
-    runEngineFaults(planEngineFaults(durationMs, createSeededRandom(seed + 5)), faulty.slice(-ENGINES)),
-    runRests(planRests(durationMs, createSeededRandom(seed + 6)), faulty.slice(0, -ENGINES)),
-    repeat(CHANGE_EVERY_MS, () => operator.change()),
+    repeat(fatalMs, () => callers.callPoison(fatalKinds)),
+    runEngineFaults(
+      planEngineFaults(durationMs, createSeededRandom(seed + 5)),
+      faultyEndpoints.slice(-ENGINES),
+    ),
+    runBackoffFaults(
+      planBackoffFaults(durationMs, createSeededRandom(seed + 6)),
+      faultyEndpoints.slice(0, -ENGINES),
+    ),
+    repeat(CHANGE_EVERY_MS, () => operator.putNext()),
     repeat(READ_EVERY_MS, () => operator.read()),
     evacuations.run(planEvacuations(durationMs, createSeededRandom(seed + 4))),
     ...faults,
   ])
   await Promise.all(work)
-  const broken = [
+  const violations = [
     ...checkCalls(callers.calls, runs),
-    ...checkBegun(callers.calls, {
-      ...begun,
-      entries: injector.entriesAway,
-      evacuations: evacuations.seen.map(({ acknowledgedAt, withdrawnAt }) => ({
+    ...checkInterruptedAnswers(callers.calls, {
+      ...interruptions,
+      entries: injector.entryOutages,
+      evacuations: evacuations.observed.map(({ acknowledgedAt, withdrawnAt }) => ({
         from: acknowledgedAt - EVACUATION_SLACK_MS,
         to: (withdrawnAt ?? Infinity) + EVACUATION_SLACK_MS,
       })),
     }),
-    ...endpoints.flatMap((endpoint) => endpoint.broken),
-    ...[...fatal.values()].flatMap(checkFatal),
+    ...endpoints.flatMap((endpoint) => endpoint.violations),
+    ...[...poisonArrivals.values()].flatMap(checkPoisonRequest),
     ...checkRates(
-      endpoints.flatMap((endpoint) => endpoint.limitedArrivals),
+      endpoints.flatMap((endpoint) => endpoint.rateLimitedArrivals),
       callers.calls,
-      injector.entriesAway,
+      injector.entryOutages,
     ),
-    ...checkWords(wordsOf(endpoints), callers.calls, injector.entriesAway),
-    ...checkWorkspaceRuns(seen, callers.keys),
-    ...(await checkEnd(fleet, operator)),
-    ...(await checkOldKeys(fleet, callers)),
-    ...(await checkEmptied(evacuations, injector, { fleet, callers, endpoints })),
-    ...operator.broken,
+    ...checkEndpointSignals(signalsOf(endpoints), callers.calls, injector.entryOutages),
+    ...checkWorkspaceRuns(observedRuns, callers.keys),
+    ...(await checkRecovery(fleet, operator)),
+    ...(await checkRevokedKeys(fleet, callers)),
+    ...(await checkLastEvacuation(evacuations, injector, { fleet, callers, endpoints })),
+    ...operator.violations,
   ]
   return {
     seed,
@@ -196,20 +207,21 @@
     calls: callers.calls.length,
     answered: callers.calls.filter((call) => call.status === 200 && call.isWhole).length,
     acknowledged: new Set(operator.acknowledged.map((one) => one.version)).size,
-    evacuations: evacuations.seen.length,
-    ended: [...fatal.values()].reduce((sum, { at }) => sum + at.length, 0),
-    begunLong: callers.calls.filter(({ kind, status }) => isLong(kind) && status === OK).length,
-    wholeLong: callers.calls.filter((call) => isLong(call.kind) && call.status === OK && call.isWhole).length,
-    broken,
+    evacuations: evacuations.observed.length,
+    ended: [...poisonArrivals.values()].reduce((sum, { at }) => sum + at.length, 0),
+    longBegun: callers.calls.filter(({ kind, status }) => isLong(kind) && status === OK).length,
+    longCompleted: callers.calls.filter((call) => isLong(call.kind) && call.status === OK && call.isWhole)
+      .length,
+    violations,
   }
 }
 
 /** What all endpoints said of themselves, and what they got. */
-function wordsOf(endpoints: StandInEndpoint[]): SaidWords {
+function signalsOf(endpoints: StandInEndpoint[]): EndpointSignals {
   return {
-    arrivals: endpoints.flatMap(({ words }) => words.said.arrivals),
-    rests: endpoints.flatMap(({ words }) => words.said.rests),
-    leavings: endpoints.flatMap(({ words }) => words.said.leavings),
+    arrivals: endpoints.flatMap(({ signals }) => signals.recorded.arrivals),
+    backoffs: endpoints.flatMap(({ signals }) => signals.recorded.backoffs),
+    leavingNotices: endpoints.flatMap(({ signals }) => signals.recorded.leavingNotices),
   }
 }
 
@@ -218,20 +230,20 @@
 }
 
 /** The last evacuation outlives a kill of all control machines, by what they show and by where requests go. */
-async function checkEmptied(
+async function checkLastEvacuation(
   evacuations: SoakEvacuations,
   injector: FleetFaultInjector,
   { fleet, callers, endpoints }: { fleet: SoakFleet; callers: SoakCallers; endpoints: StandInEndpoint[] },
 ): Promise<string[]> {
   await injector.restartControl()
-  await evacuations.checkKept()
-  const calls = Array.from({ length: LAST_CALLS }, () => fleet.entries).flat()
+  await evacuations.checkLast()
+  const calls = Array.from({ length: CALLS_PER_ENTRY }, () => fleet.entries).flat()
   const answers = await Promise.all(calls.map((entry) => callers.callWith(entry, 'key-steady')))
   if (!answers.some(({ status }) => status === OK))
-    evacuations.broken.push(`nothing was served beside the evacuated domain: ${countAnswers(answers)}`)
-  await evacuations.withdrawKept()
+    evacuations.violations.push(`nothing was served beside the evacuated domain: ${countAnswers(answers)}`)
+  await evacuations.withdrawLast()
   const arrivals = endpoints.flatMap((endpoint) => endpoint.arrivals)
-  return [...evacuations.broken, ...checkEvacuations(evacuations.seen, arrivals, injector.outages)]
+  return [...evacuations.violations, ...checkEvacuations(evacuations.observed, arrivals, injector.outages)]
 }
 
 /** How many calls got which answer, each kind with its body, so that a log need not be searched for the reason. */
@@ -245,30 +257,30 @@
 }
 
 /** A key that versions took away long ago is refused by every entry. */
-async function checkOldKeys(fleet: SoakFleet, callers: SoakCallers): Promise<string[]> {
-  const broken: string[] = []
+async function checkRevokedKeys(fleet: SoakFleet, callers: SoakCallers): Promise<string[]> {
+  const violations: string[] = []
   for (const entry of fleet.entries) {
     const what = `${entry.name} to refuse a key that was taken away`
-    const isRefused = async () => (await callers.statusWith(entry, turningKey(1))) === UNAUTHORIZED
-    await waitUntil(isRefused, { what, timeoutMs: RECOVERY_MS }).catch(() => broken.push(what))
+    const isRefused = async () => (await callers.statusWith(entry, rotatingKey(1))) === UNAUTHORIZED
+    await waitUntil(isRefused, { what, timeoutMs: RECOVERY_MS }).catch(() => violations.push(what))
   }
-  return broken
+  return violations
 }
 
 /** Everything is back: every entry is ready, every control machine shows the newest sheet that was acknowledged. */
-async function checkEnd(fleet: SoakFleet, operator: SoakOperator): Promise<string[]> {
-  const broken: string[] = []
+async function checkRecovery(fleet: SoakFleet, operator: SoakOperator): Promise<string[]> {
+  const violations: string[] = []
   for (const entry of fleet.entries) {
     const what = `${entry.name} to be ready at the end`
     await waitUntil(() => fleet.isReady(entry), { what, timeoutMs: RECOVERY_MS }).catch(() =>
-      broken.push(what),
+      violations.push(what),
     )
   }
   for (const machine of fleet.control) {
     const what = `${machine.name} to show version ${operator.newest} or a later one at the end`
     const isNewest = async () => ((await operator.read(machine)) ?? -1) >= operator.newest
-    await waitUntil(isNewest, { what, timeoutMs: RECOVERY_MS }).catch(() => broken.push(what))
+    await waitUntil(isNewest, { what, timeoutMs: RECOVERY_MS }).catch(() => violations.push(what))
   }
   const ended = fleet.machines.filter((machine) => fleet.hasEnded(machine))
-  return [...broken, ...ended.map((machine) => `${machine.name} ended by itself`)]
+  return [...violations, ...ended.map((machine) => `${machine.name} ended by itself`)]
 }
--- a/tools/fleet-soak/src/soakCallers.ts
+++ b/tools/fleet-soak/src/soakCallers.ts
@@ -1,6 +1,6 @@
 import { request as httpRequest, type IncomingMessage } from 'node:http'
 import type { Random } from '@forkstage/clock'
-import { FATAL } from './checkFatal'
+import { POISON_PREFIX } from './checkPoisonRequest'
 import type { SoakMachine } from './machineSettings'
 import type { SoakFleet } from './soakFleet'
 import { drawKey, type SoakKey } from './soakWorkspaces'
@@ -19,7 +19,7 @@
 } as const
 
 /** Kinds that are drawn all the while; large answers come more seldom. */
-const KINDS_AT_ONCE = ['unsafe', 'safe', 'stream', 'long', 'once'] as const
+const DRAWN_KINDS = ['unsafe', 'safe', 'stream', 'long', 'once'] as const
 
 /** One request of a caller and what came back. */
 export interface CallRecord {
@@ -42,14 +42,14 @@
 const DEADLINE_MS = 3_000
 const LONG_DEADLINE_MS = 8_000
 /** A slow caller reads nothing for so long in the middle of its answer. */
-const SLOW_MS = 700
+const SLOW_READ_PAUSE_MS = 700
 const SLOW_SHARE = 0.2
 const STEADY_KEY = 'key-steady'
 const HOST = 'soak.example'
 
 /** Callers that send requests to any entry that takes them, each with an id of its own. */
 export class SoakCallers {
-  private fatalCalls = 0
+  private poisonCalls = 0
   readonly calls: CallRecord[] = []
   /** Who each caller was, by request. */
   readonly keys = new Map<string, SoakKey>()
@@ -64,7 +64,7 @@
 
   /** Sends one request of a drawn kind to a drawn entry. */
   async call(): Promise<void> {
-    const kinds = KINDS_AT_ONCE
+    const kinds = DRAWN_KINDS
     await this.callOf(kinds[Math.floor(this.random() * kinds.length)]!)
   }
 
@@ -83,11 +83,11 @@
   }
 
   /** One of the requests that end each endpoint that runs them, under an id of its own, at a drawn entry. */
-  async callFatal(kinds: number): Promise<void> {
+  async callPoison(kinds: number): Promise<void> {
     const entry = this.fleet.entries[Math.floor(this.random() * this.fleet.entries.length)]!
     const record = this.newRecord('safe')
-    this.fatalCalls += 1
-    await this.send(entry, record, { key: STEADY_KEY }, `${FATAL}${this.fatalCalls % kinds}`)
+    this.poisonCalls += 1
+    await this.send(entry, record, { key: STEADY_KEY }, `${POISON_PREFIX}${this.poisonCalls % kinds}`)
   }
 
   /** One request with a given key at an entry; its status, or 0 where no answer began. */
@@ -147,14 +147,14 @@
           record.isWhole = response.complete
           if (record.kind === 'large') record.body = record.body.trimEnd()
         })
-        if (isSlow) response.once('data', () => readLater(response))
+        if (isSlow) response.once('data', () => pauseReading(response))
       })
       request.end()
     })
   }
 }
 
-function readLater(response: IncomingMessage): void {
+function pauseReading(response: IncomingMessage): void {
   response.pause()
-  setTimeout(() => response.resume(), SLOW_MS)
+  setTimeout(() => response.resume(), SLOW_READ_PAUSE_MS)
 }
--- a/tools/fleet-soak/src/soakOperator.ts
+++ b/tools/fleet-soak/src/soakOperator.ts
@@ -5,26 +5,26 @@
 import { COLD, type SoakMachine } from './machineSettings'
 import { soakTenants } from './soakWorkspaces'
 
-interface Acknowledged {
+interface AcknowledgedSheet {
   version: number
   at: number
 }
 
 const IN_FORCE_MS = 2_000
-const ASK_MS = 1_500
+const REQUEST_TIMEOUT_MS = 1_500
 const RACE_SHARE = 0.3
 /** An engine answers so many requests at once, and a plain stand-in 8. */
 export const ENGINE_SLOTS = 64
-const BAD_SHARE = 0.1
+const INVALID_SHARE = 0.1
 
 /** Operators that send sheets to any control machine, race each other, send bad ones, and read back. */
 export class SoakOperator {
-  readonly acknowledged: Acknowledged[] = []
-  readonly broken: string[] = []
+  readonly acknowledged: AcknowledgedSheet[] = []
+  readonly violations: string[] = []
   /** Every content that was sent under a version. */
-  private readonly sent = new Map<number, Set<string>>()
+  private readonly sentTexts = new Map<number, Set<string>>()
   /** The content that was read under a version: there must be one only. */
-  private readonly seen = new Map<number, string>()
+  private readonly readTexts = new Map<number, string>()
   private version = 0
 
   constructor(
@@ -37,56 +37,60 @@
   }
 
   /** Sends the next sheet, at times two contents under one version, at times a bad one. */
-  async change(): Promise<void> {
+  async putNext(): Promise<void> {
     this.version += 1
     const { version } = this
-    if (this.random() < BAD_SHARE) return this.sendBad(version)
+    if (this.random() < INVALID_SHARE) return this.sendInvalid(version)
     const marks = this.random() < RACE_SHARE ? ['a', 'b'] : ['a']
     await Promise.all(marks.map((mark) => this.send(version, sheetText(version, mark))))
   }
 
   /** Reads the sheet at a drawn machine and checks it against what was acknowledged before. */
-  async read(machine: SoakMachine = this.drawn()): Promise<number | undefined> {
+  async read(machine: SoakMachine = this.drawMachine()): Promise<number | undefined> {
     const since = Date.now() - IN_FORCE_MS
-    const least = Math.max(0, ...this.acknowledged.filter((one) => one.at <= since).map((one) => one.version))
-    const answer = await this.ask(machine, 'GET')
+    const minVersion = Math.max(
+      0,
+      ...this.acknowledged.filter((one) => one.at <= since).map((one) => one.version),
+    )
+    const answer = await this.request(machine, 'GET')
     if (answer?.status !== 200) return undefined
     const { version } = JSON.parse(answer.body) as { version: number }
-    if (version < least)
-      this.broken.push(`${machine.name} showed version ${version} when ${least} was in force`)
-    if (this.sent.get(version)?.has(answer.body) !== true)
-      this.broken.push(`${machine.name} showed a content of version ${version} that nobody sent`)
-    const before = this.seen.get(version)
+    if (version < minVersion)
+      this.violations.push(`${machine.name} showed version ${version} when ${minVersion} was in force`)
+    if (this.sentTexts.get(version)?.has(answer.body) !== true)
+      this.violations.push(`${machine.name} showed a content of version ${version} that nobody sent`)
+    const before = this.readTexts.get(version)
     if (before !== undefined && before !== answer.body)
-      this.broken.push(`two contents of version ${version} were shown`)
-    this.seen.set(version, answer.body)
+      this.violations.push(`two contents of version ${version} were shown`)
+    this.readTexts.set(version, answer.body)
     return version
   }
 
   private async send(version: number, text: string): Promise<void> {
-    const all = this.sent.get(version) ?? new Set<string>()
-    this.sent.set(version, all.add(text))
-    const answer = await this.ask(this.drawn(), 'PUT', text)
+    const all = this.sentTexts.get(version) ?? new Set<string>()
+    this.sentTexts.set(version, all.add(text))
+    const answer = await this.request(this.drawMachine(), 'PUT', text)
     if (answer?.status === 200) this.acknowledged.push({ version, at: Date.now() })
   }
 
-  private async sendBad(version: number): Promise<void> {
+  private async sendInvalid(version: number): Promise<void> {
     const text = JSON.stringify({ ...JSON.parse(sheetText(version, 'bad')), services: [] })
-    const answer = await this.ask(this.drawn(), 'PUT', text)
-    if (answer?.status === 200) this.broken.push(`a sheet without services was taken as version ${version}`)
+    const answer = await this.request(this.drawMachine(), 'PUT', text)
+    if (answer?.status === 200)
+      this.violations.push(`a sheet without services was taken as version ${version}`)
   }
 
-  private drawn(): SoakMachine {
+  private drawMachine(): SoakMachine {
     return this.fleet.control[Math.floor(this.random() * this.fleet.control.length)]!
   }
 
-  private async ask(machine: SoakMachine, method: 'GET' | 'PUT', body?: string) {
+  private async request(machine: SoakMachine, method: 'GET' | 'PUT', body?: string) {
     const answer = await got(`${this.fleet.operators(machine)}/config`, {
       method,
       body,
       throwHttpErrors: false,
       retry: { limit: 0 },
-      timeout: { request: ASK_MS },
+      timeout: { request: REQUEST_TIMEOUT_MS },
     }).catch(() => undefined)
     return answer === undefined ? undefined : { status: answer.statusCode, body: answer.body }
   }
--- a/tools/fleet-soak/src/soakWorkspaces.ts
+++ b/tools/fleet-soak/src/soakWorkspaces.ts
@@ -4,13 +4,13 @@
 export const REQUEST_TOKENS = 200
 
 const STEADY = 'steady'
-const TURNING = 'turning'
+const ROTATING = 'turning'
 const SMALL = 'small'
 
 /** The quota of the workspace that is asked for much more than it may have. */
 export const SMALL_QUOTA = { perSecond: 400, burst: 400, windowS: 8 } as const
 /** A sheet's deployment allows a tenth over, and a slack for what entries that are killed forget. */
-const SMALL_OVER = 1.1
+const SMALL_FACTOR = 1.1
 const SMALL_SLACK = 4_000
 const SECOND_MS = 1_000
 
@@ -27,7 +27,7 @@
   const common = { priority: 1, unit: 'tokens', plain_tokens: REQUEST_TOKENS }
   return [
     { ...common, name: STEADY, api_keys: ['key-steady'] },
-    { ...common, name: TURNING, api_keys: [turningKey(version), turningKey(version - 1)] },
+    { ...common, name: ROTATING, api_keys: [rotatingKey(version), rotatingKey(version - 1)] },
     {
       ...common,
       name: SMALL,
@@ -39,7 +39,7 @@
 }
 
 /** The key that a version brings, and the next one still has. */
-export function turningKey(version: number): string {
+export function rotatingKey(version: number): string {
   return `key-turning-${version}`
 }
 
@@ -48,12 +48,12 @@
   const draw = random()
   if (draw < 0.6) return { key: 'key-steady', workspace: STEADY }
   if (draw < 0.75) return { key: 'key-small', workspace: SMALL }
-  if (draw < 0.9) return { key: turningKey(version), workspace: TURNING }
+  if (draw < 0.9) return { key: rotatingKey(version), workspace: ROTATING }
   return draw < 0.95 ? { key: 'key-of-no-version' } : {}
 }
 
 /** One run as an endpoint saw it. */
-export interface SeenRun {
+export interface ObservedRun {
   request: string
   at: number
   /** As the endpoint was told; absent where it was told none. */
@@ -63,31 +63,31 @@
 }
 
 /** What does not hold of the runs, given who each caller was. */
-export function checkWorkspaceRuns(runs: SeenRun[], callers: ReadonlyMap<string, SoakKey>): string[] {
-  const broken = runs.flatMap((run) => checkRun(run, callers.get(run.request)))
-  const most = mostInWindow(runs.filter((run) => run.workspace === SMALL))
+export function checkWorkspaceRuns(runs: ObservedRun[], callers: ReadonlyMap<string, SoakKey>): string[] {
+  const violations = runs.flatMap((run) => checkRun(run, callers.get(run.request)))
+  const maxTokens = maxTokensInWindow(runs.filter((run) => run.workspace === SMALL))
   const { perSecond, burst, windowS } = SMALL_QUOTA
-  const allowed = (perSecond * windowS + burst) * SMALL_OVER + SMALL_SLACK
-  return most <= allowed
-    ? broken
-    : [...broken, `${SMALL} spent ${most} tokens in a window, ${allowed} may be`]
+  const allowed = (perSecond * windowS + burst) * SMALL_FACTOR + SMALL_SLACK
+  return maxTokens <= allowed
+    ? violations
+    : [...violations, `${SMALL} spent ${maxTokens} tokens in a window, ${allowed} may be`]
 }
 
-function checkRun(run: SeenRun, caller: SoakKey | undefined): string[] {
-  const broken: string[] = []
-  if (run.sawKey) broken.push(`the key of ${run.request} reached an endpoint`)
-  if (caller?.workspace === undefined) broken.push(`${run.request} ran without a key of any workspace`)
+function checkRun(run: ObservedRun, caller: SoakKey | undefined): string[] {
+  const violations: string[] = []
+  if (run.sawKey) violations.push(`the key of ${run.request} reached an endpoint`)
+  if (caller?.workspace === undefined) violations.push(`${run.request} ran without a key of any workspace`)
   else if (run.workspace !== caller.workspace)
-    broken.push(`${run.request} ran as ${run.workspace}, its key is of ${caller.workspace}`)
-  return broken
+    violations.push(`${run.request} ran as ${run.workspace}, its key is of ${caller.workspace}`)
+  return violations
 }
 
-function mostInWindow(runs: SeenRun[]): number {
+function maxTokensInWindow(runs: ObservedRun[]): number {
   const times = runs.map(({ at }) => at).sort((left, right) => left - right)
-  let most = 0
+  let maxTokens = 0
   for (let first = 0, last = 0; last < times.length; last += 1) {
     while (times[last]! - times[first]! > SMALL_QUOTA.windowS * SECOND_MS) first += 1
-    most = Math.max(most, (last - first + 1) * REQUEST_TOKENS)
+    maxTokens = Math.max(maxTokens, (last - first + 1) * REQUEST_TOKENS)
   }
-  return most
+  return maxTokens
 }
--- a/tools/fleet-soak/src/standInRuns.ts
+++ b/tools/fleet-soak/src/standInRuns.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http'
 import type { Random } from '@forkstage/clock'
-import { EngineMemories } from './engineMemories'
+import { RetainedKvStore } from './retainedKvStore'
 
 /** How one answer of a stand-in engine is made. */
 export interface RunPlan {
@@ -15,23 +15,23 @@
 }
 
 /** What becomes of begun answers, over all stand-in engines. */
-export interface BegunAnswers {
+export interface StreamInterruptions {
   /** How often engines have broken a request's answer off. */
-  brokenOff: Map<string, number>
+  interrupted: Map<string, number>
   /** How often an engine turned a stopped run away that came to go on. */
-  turnedAway: Map<string, number>
+  refusedResumptions: Map<string, number>
   /** Requests whose run stopped, and nobody was told so: without that word the run may still be going on. */
-  stoppedUnheard: Set<string>
-  memories: EngineMemories
+  stoppedWithoutReply: Set<string>
+  kvStore: RetainedKvStore
 }
 
 /** Nothing has been seen yet. */
-export function newBegunAnswers(random: Random): BegunAnswers {
+export function newStreamInterruptions(random: Random): StreamInterruptions {
   return {
-    brokenOff: new Map(),
-    turnedAway: new Map(),
-    stoppedUnheard: new Set(),
-    memories: new EngineMemories(random),
+    interrupted: new Map(),
+    refusedResumptions: new Map(),
+    stoppedWithoutReply: new Set(),
+    kvStore: new RetainedKvStore(random),
   }
 }
 
@@ -45,7 +45,7 @@
 }
 
 /** A body that asks for a run to be copied, and stopped where it says that this is the last time. */
-interface MoveCall {
+interface MoveRequest {
   id: string
   target_version: string
   last?: boolean
@@ -63,7 +63,7 @@
   private readonly runs = new Map<string, Run>()
 
   constructor(
-    private readonly begun: BegunAnswers,
+    private readonly interruptions: StreamInterruptions,
     private readonly random: Random,
   ) {}
 
@@ -81,33 +81,37 @@
 
   /** The engine ends: what it is making breaks off. */
   endAll(): void {
-    for (const run of [...this.runs.values()]) this.breakOff(run)
+    for (const run of [...this.runs.values()]) this.interrupt(run)
   }
 
   /** Copies a run's memory to another engine; stops the run with the last copy. */
-  move(body: string, own: string, response: ServerResponse): void {
-    const call = JSON.parse(body) as MoveCall
+  move(body: string, ownAddress: string, response: ServerResponse): void {
+    const call = JSON.parse(body) as MoveRequest
     const run = this.runs.get(call.id)
     if (run === undefined) return void response.writeHead(404).end()
     const isLast = call.last === true
     if (isLast) this.stop(run)
     const draw = this.random()
-    if (draw < UNANSWERED_SHARE) return isLast ? void this.begun.stoppedUnheard.add(call.id) : undefined
+    if (draw < UNANSWERED_SHARE)
+      return isLast ? void this.interruptions.stoppedWithoutReply.add(call.id) : undefined
     const hasRoom = draw >= UNANSWERED_SHARE + NO_ROOM_SHARE
     const isLate = draw >= 1 - LATE_SHARE
-    setTimeout(() => this.answerMove(run, call, { own, hasRoom }, response), COPY_MS + (isLate ? LATE_MS : 0))
+    setTimeout(
+      () => this.answerMove(run, call, { ownAddress, hasRoom }, response),
+      COPY_MS + (isLate ? LATE_MS : 0),
+    )
   }
 
   private answerMove(
     run: Run,
-    { target_version: to, last }: MoveCall,
-    { own, hasRoom }: { own: string; hasRoom: boolean },
+    { target_version: to, last }: MoveRequest,
+    { ownAddress, hasRoom }: { ownAddress: string; hasRoom: boolean },
     response: ServerResponse,
   ): void {
-    const { memories } = this.begun
+    const { kvStore } = this.interruptions
     if (!hasRoom && last !== true) return void response.writeHead(503).end()
-    const addresses = hasRoom ? [to, own] : [own]
-    run.handle = memories.keepRun(run.plan.request, addresses, run.handle)
+    const addresses = hasRoom ? [to, ownAddress] : [ownAddress]
+    run.handle = kvStore.retainRun(run.plan.request, addresses, run.handle)
     response.writeHead(hasRoom ? 200 : 503, { 'Content-Type': 'application/json' })
     response.end(JSON.stringify({ kv_handle: run.handle, made: run.made }))
   }
@@ -116,15 +120,15 @@
     const { plan, response } = run
     run.made += 1
     response.write(`id: ${run.made}\ndata: ${plan.request} ${run.made} of ${plan.events}\n\n`)
-    if (run.made === plan.breaksAfter) return this.breakOff(run)
+    if (run.made === plan.breaksAfter) return this.interrupt(run)
     if (run.made < plan.events) return
     response.end()
     this.end(run)
   }
 
-  private breakOff(run: Run): void {
-    const { brokenOff } = this.begun
-    brokenOff.set(run.plan.request, (brokenOff.get(run.plan.request) ?? 0) + 1)
+  private interrupt(run: Run): void {
+    const { interrupted } = this.interruptions
+    interrupted.set(run.plan.request, (interrupted.get(run.plan.request) ?? 0) + 1)
     this.stop(run)
   }
 
--- a/tools/fleet-soak/test/checkFleet.test.ts
+++ b/tools/fleet-soak/test/checkCalls.test.ts
@@ -2,11 +2,11 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { platformControl } from '@forkstage/platform-system'
 import { checkRouteSheet } from '@forkstage/routes'
-import { checkCalls } from '../src/checkFleet'
+import { checkCalls } from '../src/checkCalls'
 import { planFleetFaults } from '../src'
 import { sheetText } from '../src/soakOperator'
 import type { CallRecord } from '../src/soakCallers'
-import { checkWorkspaceRuns, REQUEST_TOKENS, SMALL_QUOTA, type SeenRun } from '../src/soakWorkspaces'
+import { checkWorkspaceRuns, REQUEST_TOKENS, SMALL_QUOTA, type ObservedRun } from '../src/soakWorkspaces'
 
 function call(fields: Partial<CallRecord>): CallRecord {
   return {
@@ -59,7 +59,7 @@
 })
 
 describe('checkWorkspaceRuns', () => {
-  const run = (fields: Partial<SeenRun>): SeenRun => {
+  const run = (fields: Partial<ObservedRun>): ObservedRun => {
     return { request: 'r1', at: 0, workspace: 'steady', sawKey: false, ...fields }
   }
   const callers = new Map([
--- a/tools/fleet-soak/test/checkWords.test.ts
+++ b/tools/fleet-soak/test/checkEndpointSignals.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
-import { checkWords, type EndpointArrival } from '../src/checkWords'
-import type { Span } from '../src/checkBegun'
+import { checkEndpointSignals, type EndpointArrival } from '../src/checkEndpointSignals'
+import type { TimeSpan } from '../src/checkInterruptedAnswers'
 import type { CallRecord } from '../src/soakCallers'
 
-const NOBODY_AWAY = new Map<string, Span[]>()
+const NO_OUTAGES = new Map<string, TimeSpan[]>()
 const call = (id: string, entry: string, startedAt: number, isWhole = true) =>
   ({ id, entry, startedAt, endedAt: startedAt + 20, isWhole }) as CallRecord
 const arrival = (request: string, at: number, endpoint = 'i-1'): EndpointArrival => ({
@@ -13,7 +13,7 @@
 })
 
 /** Requests of an entry that reach an endpoint at these times. */
-function reach(entry: string, times: number[], endpoint?: string) {
+function arrivalsOf(entry: string, times: number[], endpoint?: string) {
   const ids = times.map((at) => `${entry} ${at}`)
   return {
     calls: ids.map((id, index) => call(id, entry, times[index]! - 5)),
@@ -22,13 +22,17 @@
 }
 
 describe('checkWords', () => {
-  const rest = { ...arrival('r1', 0), forMs: 3_000 }
-  const told = call('r1', 'e1', -5)
+  const backoff = { ...arrival('r1', 0), forMs: 3_000 }
+  const refusedCall = call('r1', 'e1', -5)
 
   it('lets two requests in while an endpoint rests, and not three', () => {
     const check = (times: number[], entry = 'e1', endpoint?: string) => {
-      const { calls, arrivals } = reach(entry, times, endpoint)
-      return checkWords({ arrivals, rests: [rest], leavings: [] }, [told, ...calls], NOBODY_AWAY)
+      const { calls, arrivals } = arrivalsOf(entry, times, endpoint)
+      return checkEndpointSignals(
+        { arrivals, backoffs: [backoff], leavingNotices: [] },
+        [refusedCall, ...calls],
+        NO_OUTAGES,
+      )
     }
     expect(check([600, 700])).toEqual([])
     expect(check([600, 700, 2_900])).toEqual(['i-1 asked e1 for 3000 ms of rest and got 3 requests'])
@@ -40,10 +44,10 @@
   it('lets no request in that was sent after its entry had passed on that the endpoint leaves', () => {
     const leaving = call('r1', 'e1', 0)
     const check = (startedAt: number, entry = 'e1', isWhole = true) =>
-      checkWords(
-        { arrivals: [arrival('r2', startedAt + 5)], rests: [], leavings: [arrival('r1', 5)] },
+      checkEndpointSignals(
+        { arrivals: [arrival('r2', startedAt + 5)], backoffs: [], leavingNotices: [arrival('r1', 5)] },
         [{ ...leaving, isWhole }, call('r2', entry, startedAt)],
-        NOBODY_AWAY,
+        NO_OUTAGES,
       )
     expect(check(500)).toEqual([])
     expect(check(600)).toEqual(['r2 reached i-1, which had told e1 that it leaves'])
@@ -52,9 +56,10 @@
   })
 
   it('excuses an entry that was away since', () => {
-    const { calls, arrivals } = reach('e1', [1_000, 1_100, 1_200])
-    const words = { arrivals, rests: [rest], leavings: [arrival('r1', 0)] }
-    const check = (away: Span) => checkWords(words, [told, ...calls], new Map([['e1', [away]]]))
+    const { calls, arrivals } = arrivalsOf('e1', [1_000, 1_100, 1_200])
+    const signals = { arrivals, backoffs: [backoff], leavingNotices: [arrival('r1', 0)] }
+    const check = (away: TimeSpan) =>
+      checkEndpointSignals(signals, [refusedCall, ...calls], new Map([['e1', [away]]]))
     expect(check({ from: 100, to: 900 })).toEqual([])
     expect(check({ from: 1_300, to: 1_400 })).not.toEqual([])
   })
--- a/tools/fleet-soak/test/checkEvacuations.test.ts
+++ b/tools/fleet-soak/test/checkEvacuations.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
 import { createSeededRandom } from '@forkstage/clock'
-import { checkEvacuations, EVACUATED_WITHIN_MS, type Arrival } from '../src/checkEvacuations'
+import { checkEvacuations, EVACUATION_BOUND_MS, type DomainArrival } from '../src/checkEvacuations'
 import { planEvacuations } from '../src/soakEvacuations'
 
 const evacuation = { domain: 'z', acknowledgedAt: 1_000, withdrawnAt: 9_000 }
-const bound = evacuation.acknowledgedAt + EVACUATED_WITHIN_MS
-const arrival = (at: number, domain = 'z'): Arrival => ({ request: 'r1', domain, at })
+const bound = evacuation.acknowledgedAt + EVACUATION_BOUND_MS
+const arrival = (at: number, domain = 'z'): DomainArrival => ({ request: 'r1', domain, at })
 
 describe('checkEvacuations', () => {
   it.each([
@@ -49,9 +49,9 @@
     for (let seed = 1; seed <= 200; seed += 1) {
       const all = plan(seed, 18_000)
       expect(all.map(({ forMs }) => forMs === undefined)).toEqual([false, true])
-      expect(all[0]!.forMs).toBeGreaterThan(EVACUATED_WITHIN_MS)
+      expect(all[0]!.forMs).toBeGreaterThan(EVACUATION_BOUND_MS)
       expect(all[0]!.at + all[0]!.forMs!).toBeLessThan(all[1]!.at)
-      expect(18_000 - all[1]!.at).toBeGreaterThan(EVACUATED_WITHIN_MS)
+      expect(18_000 - all[1]!.at).toBeGreaterThan(EVACUATION_BOUND_MS)
     }
   })
 })
--- /dev/null
+++ b/tools/fleet-soak/test/checkInterruptedAnswers.test.ts
@@ -0,0 +1,82 @@
+import { describe, expect, it } from 'vitest'
+import { createSeededRandom } from '@forkstage/clock'
+import { checkInterruptedAnswers, type InterruptionCauses } from '../src/checkInterruptedAnswers'
+import { planEngineFaults } from '../src/engineFaults'
+import type { CallRecord } from '../src/soakCallers'
+import { newStreamInterruptions } from '../src/standInRuns'
+
+const call = (fields: Partial<CallRecord> = {}): CallRecord => ({
+  id: 'r1',
+  kind: 'long',
+  status: 200,
+  body: 'id: 1',
+  isWhole: false,
+  stamp: '',
+  entry: 'entry-1',
+  startedAt: 10_000,
+  endedAt: 11_000,
+  deadlineMs: 8_000,
+  ...fields,
+})
+const causes = (fields: Partial<InterruptionCauses> = {}): InterruptionCauses => ({
+  ...newStreamInterruptions(createSeededRandom(1)),
+  entries: new Map(),
+  evacuations: [],
+  ...fields,
+})
+const expired = (refusals: number) => {
+  const interruptions = newStreamInterruptions(createSeededRandom(1))
+  interruptions.kvStore.expiredRuns.add('r1')
+  interruptions.refusedResumptions.set('r1', refusals)
+  return causes(interruptions)
+}
+
+describe('checkBegun', () => {
+  it('finds an answer that was cut for nothing, of each kind', () => {
+    for (const kind of ['long', 'once', 'stream', 'large'] as const)
+      expect(checkInterruptedAnswers([call({ kind })], causes())).toEqual([
+        expect.stringContaining('was cut after 1000 ms'),
+      ])
+  })
+
+  it.each([
+    ['is whole', call({ isWhole: true }), causes()],
+    ['never began', call({ status: 0 }), causes()],
+    ['had no time left', call({ endedAt: 17_000 }), causes()],
+    ['lost its entry', call(), causes({ entries: new Map([['entry-1', [{ from: 10_900, to: 12_000 }]]]) })],
+    ['was broken off twice', call(), causes({ interrupted: new Map([['r1', 2]]) })],
+    [
+      'was broken off and may not be made anew',
+      call({ kind: 'once' }),
+      causes({ interrupted: new Map([['r1', 1]]) }),
+    ],
+    ['was stopped without word', call({ kind: 'once' }), causes({ stoppedWithoutReply: new Set(['r1']) })],
+    ['was taken by no engine that had its memory', call({ kind: 'once' }), expired(2)],
+  ])('finds nothing in one that %s', (_what, one, causesOfOne) => {
+    expect(checkInterruptedAnswers([one], causesOfOne)).toEqual([])
+  })
+
+  it.each([
+    ['away before', call(), causes({ entries: new Map([['entry-1', [{ from: 0, to: 9_999 }]]]) })],
+    ['another entry away', call(), causes({ entries: new Map([['entry-2', [{ from: 0, to: Infinity }]]]) })],
+    ['one loss of two that it may have', call(), causes({ interrupted: new Map([['r1', 1]]) })],
+    ['tried once where its memory was', call({ kind: 'once' }), expired(1)],
+    [
+      'a stop without word, though it may be made anew',
+      call(),
+      causes({ stoppedWithoutReply: new Set(['r1']) }),
+    ],
+    ['a lapse, though it may be made anew', call(), expired(9)],
+  ])('is not content with %s', (_what, one, causesOfOne) => {
+    expect(checkInterruptedAnswers([one], causesOfOne)).toHaveLength(1)
+  })
+})
+
+describe('planEngineFaults', () => {
+  it('draws the same from the same seed, and both kinds', () => {
+    const plan = (seed: number) => planEngineFaults(60_000, createSeededRandom(seed))
+    expect(plan(1)).toEqual(plan(1))
+    expect(plan(1)).not.toEqual(plan(2))
+    expect(new Set(plan(1).map(({ kind }) => kind)).size).toBe(2)
+  })
+})
--- a/tools/fleet-soak/test/checkFatal.test.ts
+++ b/tools/fleet-soak/test/checkPoisonRequest.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { checkFatal } from '../src/checkFatal'
+import { checkPoisonRequest } from '../src/checkPoisonRequest'
 
 const at = (...times: number[]) => ({ at: times })
 
@@ -8,9 +8,11 @@
     ['two ends', at(0, 1)],
     ['what was on its way', at(0, 1, 2, 500, 1_000, 2_900, 3_000, 3_001)],
     ['three more', at(0, 1, 2, 4_000, 5_000, 6_000)],
-  ])('holds with %s', (_name, arrivals) => expect(checkFatal(arrivals)).toEqual([]))
+  ])('holds with %s', (_name, arrivals) => expect(checkPoisonRequest(arrivals)).toEqual([]))
 
   it('does not hold with a fourth that comes later', () => {
-    expect(checkFatal(at(0, 1, 2, 4_000, 5_000, 6_000, 7_000))).toEqual([expect.stringContaining('4 more')])
+    expect(checkPoisonRequest(at(0, 1, 2, 4_000, 5_000, 6_000, 7_000))).toEqual([
+      expect.stringContaining('4 more'),
+    ])
   })
 })
--- a/tools/fleet-soak/test/checkRates.test.ts
+++ b/tools/fleet-soak/test/checkRates.test.ts
@@ -6,7 +6,7 @@
   ({ id, entry, startedAt: at, endedAt: at + 10, isWhole }) as CallRecord
 
 /** So many arrivals, evenly in a span, each of its own call at an entry. */
-function play(count: number, from: number, until: number, entry = 'e1') {
+function spreadArrivals(count: number, from: number, until: number, entry = 'e1') {
   const at = (index: number) => from + ((until - from) * index) / count
   const ids = Array.from({ length: count }, (_, index) => `${entry}-${from}-${index}`)
   return {
@@ -15,36 +15,36 @@
   }
 }
 
-const NOBODY_AWAY = new Map()
+const NO_OUTAGES = new Map()
 
 describe('checkRates', () => {
   it('holds with as many as are allowed, and not with one more', () => {
-    const first = play(1, 0, 1)
+    const first = spreadArrivals(1, 0, 1)
     const all = (count: number) => {
-      const rest = play(count, 5_000, 8_900)
-      return checkRates([...first.arrivals, ...rest.arrivals], [...first.calls, ...rest.calls], NOBODY_AWAY)
+      const rest = spreadArrivals(count, 5_000, 8_900)
+      return checkRates([...first.arrivals, ...rest.arrivals], [...first.calls, ...rest.calls], NO_OUTAGES)
     }
     expect(all(23)).toEqual([])
     expect(all(24)).toEqual([expect.stringContaining('got 24 in 4 s, 23 allowed')])
   })
 
   it('counts over all entries that had been told, and none that had not', () => {
-    const told = [play(1, 0, 1, 'e1'), play(1, 0, 1, 'e2')]
-    const bursts = [play(12, 5_000, 8_900, 'e1'), play(12, 5_000, 8_900, 'e2')]
-    const check = (worlds: ReturnType<typeof play>[]) =>
+    const informed = [spreadArrivals(1, 0, 1, 'e1'), spreadArrivals(1, 0, 1, 'e2')]
+    const bursts = [spreadArrivals(12, 5_000, 8_900, 'e1'), spreadArrivals(12, 5_000, 8_900, 'e2')]
+    const check = (loads: ReturnType<typeof spreadArrivals>[]) =>
       checkRates(
-        worlds.flatMap(({ arrivals }) => arrivals),
-        worlds.flatMap(({ calls }) => calls),
-        NOBODY_AWAY,
+        loads.flatMap(({ arrivals }) => arrivals),
+        loads.flatMap(({ calls }) => calls),
+        NO_OUTAGES,
       )
-    expect(check([...told, ...bursts])).toHaveLength(1)
+    expect(check([...informed, ...bursts])).toHaveLength(1)
     // The second entry hears of it only while its burst goes on.
-    expect(check([told[0]!, ...bursts])).toEqual([])
+    expect(check([informed[0]!, ...bursts])).toEqual([])
   })
 
   it('excuses an entry that was away, until it has been told again', () => {
-    const first = play(1, 0, 1)
-    const rest = play(30, 5_000, 8_900)
+    const first = spreadArrivals(1, 0, 1)
+    const rest = spreadArrivals(30, 5_000, 8_900)
     const away = new Map([['e1', [{ from: 4_000, to: 4_800 }]]])
     const check = (spans: typeof away) =>
       checkRates([...first.arrivals, ...rest.arrivals], [...first.calls, ...rest.calls], spans)
@@ -53,7 +53,7 @@
   })
 
   it('says nothing of the first seconds after the rate was named', () => {
-    const burst = play(60, 0, 2_900)
-    expect(checkRates(burst.arrivals, burst.calls, NOBODY_AWAY)).toEqual([])
+    const burst = spreadArrivals(60, 0, 2_900)
+    expect(checkRates(burst.arrivals, burst.calls, NO_OUTAGES)).toEqual([])
   })
 })
--- a/tools/fleet-soak/test/evacuation.test.ts
+++ b/tools/fleet-soak/test/evacuation.test.ts
@@ -8,18 +8,18 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { waitUntil } from '@forkstage/deployment'
 import { SoakCallers } from '../src/soakCallers'
-import { ownNetwork } from '../src/ownNetwork'
+import { processNetwork } from '../src/processNetwork'
 import { SoakFleet } from '../src/soakFleet'
 import { sheetText } from '../src/soakOperator'
-import { turningKey, type SeenRun } from '../src/soakWorkspaces'
+import { rotatingKey, type ObservedRun } from '../src/soakWorkspaces'
 import { StandInEndpoint } from '../src/standInEndpoint'
-import { newBegunAnswers } from '../src/standInRuns'
+import { newStreamInterruptions } from '../src/standInRuns'
 
 const run = promisify(execFile)
 const folder = mkdtempSync(join(tmpdir(), 'forkstage-evacuation-'))
-const fleet = new SoakFleet(folder, ownNetwork())
-const seen: Record<string, SeenRun[]> = { a: [], b: [] }
-const endpoints = Object.entries(seen).map(
+const fleet = new SoakFleet(folder, processNetwork())
+const runsByDomain: Record<string, ObservedRun[]> = { a: [], b: [] }
+const endpoints = Object.entries(runsByDomain).map(
   ([zone, runs], index) =>
     new StandInEndpoint({
       name: `i-${zone}`,
@@ -27,27 +27,27 @@
       zone,
       control: () => fleet.control.map((machine) => fleet.operators(machine)),
       random: createSeededRandom(index + 1),
-      words: createSeededRandom(index + 51),
-      begun: newBegunAnswers(createSeededRandom(9)),
+      signalRandom: createSeededRandom(index + 51),
+      interruptions: newStreamInterruptions(createSeededRandom(9)),
       runs: new Map(),
-      seen: runs,
-      fatal: new Map(),
+      observedRuns: runs,
+      poisonArrivals: new Map(),
     }),
 )
 const callers = new SoakCallers(fleet, createSeededRandom(7), () => 1)
 
 /** Runs a command of the command line against the first three control machines. */
-async function forkstage(...words: string[]): Promise<string> {
+async function forkstage(...args: string[]): Promise<string> {
   const control = fleet.control.slice(0, 3).map((machine) => fleet.operators(machine).replace('http://', ''))
   const env = { ...process.env, FORKSTAGE_CONTROL: control.join(',') }
-  return (await run(process.execPath, ['dist/forkstage.cjs', ...words], { env })).stdout
+  return (await run(process.execPath, ['dist/forkstage.cjs', ...args], { env })).stdout
 }
 
 /** One call at each entry; says how many of them each domain got. */
 async function callAll() {
-  const counts = () => [seen.a!.length, seen.b!.length]
+  const counts = () => [runsByDomain.a!.length, runsByDomain.b!.length]
   const before = counts()
-  const statuses = await Promise.all(fleet.entries.map((entry) => callers.statusWith(entry, turningKey(1))))
+  const statuses = await Promise.all(fleet.entries.map((entry) => callers.statusWith(entry, rotatingKey(1))))
   return { statuses, ran: counts().map((count, at) => count - before[at]!) }
 }
 
@@ -78,7 +78,7 @@
     await waitUntil(async () => (await callAll()).ran[0]! > 0, { what: 'both domains', timeoutMs: 30_000 })
     expect(await forkstage('evacuate', 'a')).toMatch(/^a is evacuated \(index \d+\)/)
     await Promise.all(fleet.machines.map((machine) => fleet.end(machine, 'SIGKILL')))
-    const before = seen.a!.length
+    const before = runsByDomain.a!.length
     fleet.machines.forEach((machine) => fleet.start(machine))
     const allServe = async () => (await callAll()).statuses.every((status) => status === 200)
     await waitUntil(allServe, { what: 'all entries serve again', timeoutMs: 60_000 })
@@ -88,7 +88,7 @@
     })
     expect((await callAll()).ran).toEqual([0, fleet.entries.length])
     // Neither did a process send there that had only just started.
-    expect(seen.a!.length).toBe(before)
+    expect(runsByDomain.a!.length).toBe(before)
     expect(await forkstage('evacuate', 'a')).toContain('as before')
     await forkstage('evacuate', 'a', '--withdraw')
     await waitUntil(async () => (await callAll()).ran[0]! > 0, { what: 'work again', timeoutMs: 30_000 })
--- a/tools/soak/src/checkPromises.ts
+++ b/tools/soak/src/checkPromises.ts
@@ -21,7 +21,7 @@
     ...(await checkNothingHeld(engines)),
     ...callers.chats.flatMap((chat) => checkChat(chat, records)),
     ...callers.saves.flatMap((save) => checkSave(save, calls)),
-    ...operators.faults,
+    ...operators.violations,
     ...(await checkTables(deployment, operators)),
     ...checkLogs(deployment),
   ]
@@ -44,39 +44,39 @@
 }
 
 function checkChat(chat: KeyRecord, records: EngineRecord[]): string[] {
-  const faults: string[] = []
-  if (!chat.answered) faults.push(`${chat.key} got no answer: ${chat.executions.join(', ')}`)
-  if (new Set(chat.answers).size > 1) faults.push(`${chat.key} got different answers`)
-  faults.push(
+  const violations: string[] = []
+  if (!chat.answered) violations.push(`${chat.key} got no answer: ${chat.executions.join(', ')}`)
+  if (new Set(chat.answers).size > 1) violations.push(`${chat.key} got different answers`)
+  violations.push(
     ...chat.executions
       .filter((each) => each.startsWith('event'))
       .map((gap) => `${chat.key} had a gap or a double: ${gap}`),
   )
   for (const request of chat.notRun) {
-    const began = records.some((record) => record.begun[request] !== undefined)
-    if (began) faults.push(`${request} was called not run and had been begun`)
+    const wasBegun = records.some((record) => record.begun[request] !== undefined)
+    if (wasBegun) violations.push(`${request} was called not run and had been begun`)
   }
-  return faults
+  return violations
 }
 
 function checkSave(save: KeyRecord, calls: PlainCall[]): string[] {
   const times = calls.filter((call) => call.key === save.key).length
-  const faults: string[] = []
-  if (times > 1) faults.push(`${save.key} ran ${times} times`)
-  if (save.answered && times !== 1) faults.push(`${save.key} was answered and ran ${times} times`)
+  const violations: string[] = []
+  if (times > 1) violations.push(`${save.key} ran ${times} times`)
+  if (save.answered && times !== 1) violations.push(`${save.key} was answered and ran ${times} times`)
   const onlyNotRun = save.executions.every((each) => each === 'not-run')
-  if (onlyNotRun && times > 0) faults.push(`${save.key} was called not run and ran`)
-  return faults
+  if (onlyNotRun && times > 0) violations.push(`${save.key} was called not run and ran`)
+  return violations
 }
 
 async function checkTables(deployment: Deployment, operators: SoakOperators): Promise<string[]> {
   const newest = Math.max(0, ...operators.accepted.map((each) => each.version))
-  const faults: string[] = []
+  const violations: string[] = []
   for (const box of deployment.boxes) {
-    const { version } = await deployment.operator<VersionedTable>(box, 'GET', '/v1/table')
-    if (version < newest) faults.push(`${box.name} is on version ${version}, but ${newest} was accepted`)
+    const { version } = await deployment.callOperator<VersionedTable>(box, 'GET', '/v1/table')
+    if (version < newest) violations.push(`${box.name} is on version ${version}, but ${newest} was accepted`)
   }
-  return faults
+  return violations
 }
 
 /** Invariants are asserted inside the program too: none may have been broken. */
--- a/tools/soak/src/injectFaults.ts
+++ b/tools/soak/src/faultInjector.ts
@@ -1,6 +1,6 @@
 import got from 'got'
 import type { BoxHandle, Deployment } from '@forkstage/deployment'
-import type { PlannedFault } from './soakPlan'
+import type { PlannedFault } from './planFaults'
 
 const ENGINE_FAULTS: Partial<Record<PlannedFault['kind'], object>> = {
   'stall-transfers': { stallTransfers: true },
@@ -18,8 +18,8 @@
   constructor(private readonly deployment: Deployment) {}
 
   async inject(fault: PlannedFault): Promise<void> {
-    const boxFault = fault.kind === 'kill' || fault.kind === 'freeze' || fault.kind === 'cut'
-    if (boxFault) return this.injectAtBox(fault)
+    const isBoxFault = fault.kind === 'kill' || fault.kind === 'freeze' || fault.kind === 'cut'
+    if (isBoxFault) return this.injectAtBox(fault)
     const { plain, prefill, decode } = this.deployment.ports
     const engines = [...decode, ...prefill]
     const ports = fault.kind === 'lose-saves' ? plain : [engines[Math.floor(fault.target * engines.length)]!]
@@ -34,8 +34,8 @@
     const { boxes } = this.deployment
     const box = boxes[Math.floor(fault.target * boxes.length)]!
     // A second control box at the same time would only stop everything; that is tried by the tests.
-    const controlBusy = box.control && [...this.busy].some((each) => each.control)
-    if (this.busy.has(box) || controlBusy) return
+    const isControlBusy = box.control && [...this.busy].some((each) => each.control)
+    if (this.busy.has(box) || isControlBusy) return
     this.busy.add(box)
     this.done.push(`${fault.kind} ${box.name} for ${Math.round(fault.forMs)} ms`)
     if (fault.kind === 'kill') await this.killAndRestart(box, fault.forMs)
--- a/tools/soak/src/main.ts
+++ b/tools/soak/src/main.ts
@@ -8,9 +8,11 @@
   write(
     `${report.site}, seed ${report.seed}: ${report.answered} of ${report.chats} chats answered, ${report.saves} saves, ${report.accepted} tables accepted`,
   )
-  report.broken.forEach((fault) => write(`BROKEN: ${fault}`))
+  report.violations.forEach((fault) => write(`BROKEN: ${fault}`))
   write(
-    report.broken.length === 0 ? 'verdict: every promise held' : `verdict: ${report.broken.length} broken`,
+    report.violations.length === 0
+      ? 'verdict: every promise held'
+      : `verdict: ${report.violations.length} broken`,
   )
 }
 
@@ -25,7 +27,7 @@
     .strict()
     .parse()
   const sites = args.site === 'both' ? (['addis', 'colombo'] as const) : [args.site]
-  let broken = 0
+  let violations = 0
   for (const site of sites) {
     const report = await runSoak({
       site,
@@ -35,9 +37,9 @@
       keep: args.keep,
     })
     print(report)
-    broken += report.broken.length
+    violations += report.violations.length
   }
-  process.exit(broken === 0 ? 0 : 1)
+  process.exit(violations === 0 ? 0 : 1)
 }
 
 main().catch((error: unknown) => {
--- a/tools/soak/src/soakPlan.ts
+++ b/tools/soak/src/planFaults.ts
@@ -30,8 +30,8 @@
   'lose-saves',
   'drop-reports',
 ]
-const LEAST_GAP_MS = 1_500
-const MOST_GAP_MS = 6_000
+const MIN_GAP_MS = 1_500
+const MAX_GAP_MS = 6_000
 /** Faults end this long before the run does. */
 const QUIET_END_MS = 8_000
 
@@ -39,9 +39,9 @@
 export function planFaults(durationMs: number, random: Random): PlannedFault[] {
   const faults: PlannedFault[] = []
   for (
-    let at = LEAST_GAP_MS;
+    let at = MIN_GAP_MS;
     at < durationMs - QUIET_END_MS;
-    at += LEAST_GAP_MS + random() * (MOST_GAP_MS - LEAST_GAP_MS)
+    at += MIN_GAP_MS + random() * (MAX_GAP_MS - MIN_GAP_MS)
   ) {
     const kind = KINDS[Math.floor(random() * KINDS.length)]!
     faults.push({ at, forMs: 500 + random() * 6_000, kind, target: random() })
--- a/tools/soak/src/runSoak.ts
+++ b/tools/soak/src/runSoak.ts
@@ -4,10 +4,10 @@
 import { createSeededRandom } from '@forkstage/clock'
 import { ADDIS, COLOMBO, Deployment } from '@forkstage/deployment'
 import { checkPromises } from './checkPromises'
-import { FaultInjector, setFaults, wait } from './injectFaults'
+import { FaultInjector, setFaults, wait } from './faultInjector'
 import { SoakCallers } from './soakCallers'
 import { SoakOperators } from './soakOperators'
-import { planFaults } from './soakPlan'
+import { planFaults } from './planFaults'
 
 /** Options of {@link runSoak}. */
 export interface SoakOptions {
@@ -29,13 +29,13 @@
   saves: number
   accepted: number
   /** Promises that did not hold; empty is the verdict "held". */
-  broken: string[]
+  violations: string[]
 }
 
 const CHAT_EVERY_MS = 150
 const SAVE_EVERY_MS = 250
 const RACE_EVERY_MS = 900
-const LOOK_EVERY_MS = 200
+const READ_EVERY_MS = 200
 
 /** Runs real processes under load and seeded faults, then checks every promise. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
@@ -83,15 +83,15 @@
     repeat(CHAT_EVERY_MS, () => callers.chat()),
     repeat(SAVE_EVERY_MS, () => callers.save()),
     repeat(RACE_EVERY_MS, () => operators.race()),
-    repeat(LOOK_EVERY_MS, () => operators.look()),
+    repeat(READ_EVERY_MS, () => operators.checkVersion()),
     ...faults,
   ])
-  await heal(deployment)
+  await endFaults(deployment)
   await Promise.all(work)
   await deployment.waitReady()
   const newest = Math.max(0, ...operators.accepted.map((each) => each.version))
   await deployment.waitInForce(newest).catch(() => undefined)
-  const broken = await checkPromises(deployment, callers, operators)
+  const violations = await checkPromises(deployment, callers, operators)
   return {
     site: options.site,
     seed,
@@ -100,11 +100,11 @@
     answered: callers.chats.filter((chat) => chat.answered).length,
     saves: callers.saves.length,
     accepted: new Set(operators.accepted.map((each) => each.version)).size,
-    broken,
+    violations,
   }
 }
 
-async function heal(deployment: Deployment): Promise<void> {
+async function endFaults(deployment: Deployment): Promise<void> {
   const { prefill, decode, plain } = deployment.ports
   await setFaults([...prefill, ...decode, ...plain], {})
   for (const box of deployment.boxes) {
--- a/tools/soak/src/soakCallers.ts
+++ b/tools/soak/src/soakCallers.ts
@@ -1,6 +1,6 @@
 import type { Random } from '@forkstage/clock'
 import { sendChat, sendPlain, type BoxHandle, type ChatAnswer, type Deployment } from '@forkstage/deployment'
-import { wait } from './injectFaults'
+import { wait } from './faultInjector'
 
 /** All that callers learned about one key. */
 export interface KeyRecord {
@@ -16,8 +16,8 @@
 }
 
 const TRY_TIMEOUT_MS = 15_000
-const MOST_TRIES = 12
-const PAUSE_MS = 400
+const MAX_TRIES = 12
+const RETRY_DELAY_MS = 400
 
 /** Callers that send requests with keys and come back, at other boxes, until they have an answer. */
 export class SoakCallers {
@@ -32,12 +32,12 @@
 
   /** One chat: retried under its key, going on from the last event it saw. */
   async chat(): Promise<void> {
-    const record = this.open('chat', this.chats)
+    const record = this.addRecord('chat', this.chats)
     const tokens = 3 + Math.floor(this.random() * 60)
     const prompt = `${'valve gate seal reading '.repeat(100)} ${record.key} [[answer=${tokens}]]`
     let text = ''
     let lastId = 0
-    for (let tries = 0; tries < MOST_TRIES && !record.answered; tries += 1) {
+    for (let tries = 0; tries < MAX_TRIES && !record.answered; tries += 1) {
       const onToken = (token: string, id: number) => {
         if (id !== lastId + 1) record.executions.push(`event ${id} after ${lastId}`)
         text += token
@@ -45,7 +45,7 @@
       }
       const headers = { 'idempotency-key': record.key, 'last-event-id': String(lastId) }
       const answer = await this.tryOnce((signal) =>
-        sendChat(this.pick(), {
+        sendChat(this.drawBox(), {
           model: this.deployment.options.site.model,
           prompt,
           maxTokens: 100,
@@ -54,30 +54,30 @@
           onToken,
         }),
       )
-      this.note(record, answer)
+      this.recordExecution(record, answer)
       if (answer?.whole) record.answers.push(text)
       record.answered = answer?.whole ?? false
-      if (!record.answered) await wait(PAUSE_MS)
+      if (!record.answered) await wait(RETRY_DELAY_MS)
     }
-    if (record.answered) await this.askAgain(record, prompt)
+    if (record.answered) await this.repeatChat(record, prompt)
   }
 
   /** A save is sent again after every answer but `ran`; whoever gives up keeps what it was told. */
   async save(): Promise<void> {
-    const record = this.open('save', this.saves)
+    const record = this.addRecord('save', this.saves)
     const path = `/${this.deployment.options.site.plainService}/saves/${record.key}`
     for (let tries = 0; tries < 3 && !record.answered; tries += 1) {
       const headers = { 'idempotency-key': record.key }
       const answer = await this.tryOnce(() =>
-        sendPlain(this.pick(), path, { method: 'POST', body: 'known', headers }),
+        sendPlain(this.drawBox(), path, { method: 'POST', body: 'known', headers }),
       )
       record.executions.push(answer?.execution ?? 'no answer')
       record.answered = answer?.execution === 'ran'
-      if (!record.answered) await wait(PAUSE_MS)
+      if (!record.answered) await wait(RETRY_DELAY_MS)
     }
   }
 
-  private open(kind: string, list: KeyRecord[]): KeyRecord {
+  private addRecord(kind: string, list: KeyRecord[]): KeyRecord {
     this.count += 1
     const record: KeyRecord = {
       key: `${kind}-${this.count}`,
@@ -90,17 +90,17 @@
     return record
   }
 
-  private note(record: KeyRecord, answer: ChatAnswer | undefined): void {
+  private recordExecution(record: KeyRecord, answer: ChatAnswer | undefined): void {
     record.executions.push(answer?.execution ?? 'no answer')
     if (answer?.execution === 'not-run' && answer.request !== '') record.notRun.push(answer.request)
   }
 
   /** Now and then a caller asks again for what it has: it must be the same answer. */
-  private async askAgain(record: KeyRecord, prompt: string): Promise<void> {
+  private async repeatChat(record: KeyRecord, prompt: string): Promise<void> {
     if (this.random() > 0.2) return
     const headers = { 'idempotency-key': record.key }
     const again = await this.tryOnce((signal) =>
-      sendChat(this.pick(), {
+      sendChat(this.drawBox(), {
         model: this.deployment.options.site.model,
         prompt,
         maxTokens: 100,
@@ -124,7 +124,7 @@
     }
   }
 
-  private pick(): BoxHandle {
+  private drawBox(): BoxHandle {
     const { boxes } = this.deployment
     return boxes[Math.floor(this.random() * boxes.length)]!
   }
--- a/tools/soak/src/soakOperators.ts
+++ b/tools/soak/src/soakOperators.ts
@@ -14,8 +14,8 @@
 export class SoakOperators {
   readonly accepted: AcceptedTable[] = []
   /** What must not be: a version that fell at a box, or two digests under one version. */
-  readonly faults: string[] = []
-  private readonly seen = new Map<string, number>()
+  readonly violations: string[] = []
+  private readonly newestSeen = new Map<string, number>()
 
   constructor(
     private readonly deployment: Deployment,
@@ -24,57 +24,58 @@
 
   /** Two operators confirm from the same version at different boxes; sometimes one sends twice. */
   async race(): Promise<void> {
-    const through = this.pick()
+    const through = this.drawBox()
     const base = await this.read(through)
     if (base === undefined || base.version === 0) return
-    const [left, right] = [0, 1].map((which) =>
-      this.confirm(which === 0 ? through : this.pick(), base, which),
+    const [left, right] = [0, 1].map((operatorIndex) =>
+      this.confirm(operatorIndex === 0 ? through : this.drawBox(), base, operatorIndex),
     )
     await Promise.all([left, right])
   }
 
   /** Looks at a box: its version may only rise. */
-  async look(): Promise<void> {
-    const box = this.pick()
+  async checkVersion(): Promise<void> {
+    const box = this.drawBox()
     const pid = box.process?.child.pid
     const table = await this.read(box)
     if (table === undefined || box.process?.child.pid !== pid) return
     // A restarted process begins empty and takes no work until it has the newest table.
     const name = `${box.name}/${pid}`
-    const before = this.seen.get(name) ?? 0
-    if (table.version < before) this.faults.push(`${name} went from version ${before} to ${table.version}`)
-    this.seen.set(name, Math.max(before, table.version))
+    const before = this.newestSeen.get(name) ?? 0
+    if (table.version < before)
+      this.violations.push(`${name} went from version ${before} to ${table.version}`)
+    this.newestSeen.set(name, Math.max(before, table.version))
   }
 
-  private async confirm(box: BoxHandle, base: VersionedTable, which: number): Promise<void> {
-    const confirmId = `soak-${base.version}-${which}-${this.random()}`
+  private async confirm(box: BoxHandle, base: VersionedTable, operatorIndex: number): Promise<void> {
+    const confirmId = `soak-${base.version}-${operatorIndex}-${this.random()}`
     const weight = 1 + Math.floor(this.random() * 8)
     const endpoints = base.table.endpoints.map((row) => (row.pool === 'plain' ? { ...row, weight } : row))
     const sends = this.random() < 0.3 ? 2 : 1
     for (let n = 0; n < sends; n += 1) {
       const body = { base: base.version, confirmId, table: { ...base.table, endpoints } }
       const answer = await this.deployment
-        .operator<ConfirmAnswer>(box, 'POST', '/v1/table/confirm', body)
+        .callOperator<ConfirmAnswer>(box, 'POST', '/v1/table/confirm', body)
         .catch(() => undefined)
       if (answer?.outcome === 'accepted')
-        this.note({ version: answer.version, digest: answer.digest, confirmId })
+        this.recordAccepted({ version: answer.version, digest: answer.digest, confirmId })
     }
   }
 
-  private note(table: AcceptedTable): void {
+  private recordAccepted(table: AcceptedTable): void {
     const rival = this.accepted.find((each) => each.version === table.version && each.digest !== table.digest)
     if (rival !== undefined)
-      this.faults.push(
+      this.violations.push(
         `version ${table.version} was accepted twice: ${rival.confirmId} and ${table.confirmId}`,
       )
     this.accepted.push(table)
   }
 
   private read(box: BoxHandle): Promise<VersionedTable | undefined> {
-    return this.deployment.operator<VersionedTable>(box, 'GET', '/v1/table').catch(() => undefined)
+    return this.deployment.callOperator<VersionedTable>(box, 'GET', '/v1/table').catch(() => undefined)
   }
 
-  private pick(): BoxHandle {
+  private drawBox(): BoxHandle {
     const { boxes } = this.deployment
     return boxes[Math.floor(this.random() * boxes.length)]!
   }
