--- a/api/caller/src/createCallerApp.ts
+++ b/api/caller/src/createCallerApp.ts
@@ -25,7 +25,7 @@
   plain: PlainCalls
   rows: () => EndpointRow[]
   /** Why no new work may be taken now; undefined while it may. */
-  refusesWork: () => string | undefined
+  refusalReason: () => string | undefined
   /** Whether the balancer should send requests here. */
   isReady: () => boolean
   logger: Logger
@@ -103,7 +103,7 @@
 }
 
 function assertAcceptsWork(options: CallerAppOptions): void {
-  const reason = options.refusesWork()
+  const reason = options.refusalReason()
   if (reason === undefined) return
   throw new AnswerError(
     'FORKSTAGE_NOT_READY',
--- a/daemon/daemon/src/boxDaemon.ts
+++ b/daemon/daemon/src/boxDaemon.ts
@@ -117,7 +117,7 @@
       runs: container.get(TOKENS.runs),
       plain: container.get(TOKENS.plain),
       rows: () => container.get(TOKENS.follower).table.table.endpoints,
-      refusesWork: () => fleet.refusalReason(),
+      refusalReason: () => fleet.refusalReason(),
       isReady: () => fleet.isReady(),
       logger: container.get(TOKENS.logger),
     })
--- a/daemon/fleet/src/controlLimits.ts
+++ b/daemon/fleet/src/controlLimits.ts
@@ -47,7 +47,7 @@
     const { permits } = this
     return {
       isLimited: (id) => permits.isLimited(id),
-      mayTake: (id) => permits.mayTake(id),
+      canSend: (id) => permits.canSend(id),
       spend: (id) => permits.spend(id),
     }
   }
--- a/membership/control/src/boxRegistry.ts
+++ b/membership/control/src/boxRegistry.ts
@@ -15,7 +15,7 @@
   info: BoxInfo
   version: number
   versionSince: Millis
-  heardAt: Millis
+  lastHeartbeatAt: Millis
   leaseUntil: Millis
 }
 
@@ -44,7 +44,7 @@
       info: request.box,
       version: request.version,
       versionSince: sameVersion ? previous.versionSince : now,
-      heardAt: now,
+      lastHeartbeatAt: now,
       leaseUntil: now + Math.max(request.leaseLeft, this.options.tableLease),
     })
   }
@@ -57,7 +57,9 @@
   /** The boxes with a recent heartbeat to this replica. `term` orders the lists of successive leaders. */
   members(term: number): Members {
     const now = this.options.clock.now()
-    const live = [...this.records.values()].filter((record) => now - record.heardAt < this.options.goneAfter)
+    const live = [...this.records.values()].filter(
+      (record) => now - record.lastHeartbeatAt < this.options.goneAfter,
+    )
     const boxes = live
       .map((record) => this.withPlatformState(record.info))
       .sort((a, b) => (a.box < b.box ? -1 : 1))
@@ -70,19 +72,21 @@
   /** The addresses of the live boxes. */
   addresses(): Address[] {
     const now = this.options.clock.now()
-    const live = [...this.records.values()].filter((record) => now - record.heardAt < this.options.goneAfter)
+    const live = [...this.records.values()].filter(
+      (record) => now - record.lastHeartbeatAt < this.options.goneAfter,
+    )
     return live.map((record) => record.info.address)
   }
 
   status(): BoxStatus[] {
     const now = this.options.clock.now()
     for (const [box, record] of this.records)
-      if (now - record.heardAt > FORGET_AFTER_MS) this.records.delete(box)
+      if (now - record.lastHeartbeatAt > FORGET_AFTER_MS) this.records.delete(box)
     return [...this.records.values()].map((record) => ({
       ...record.info,
       version: record.version,
       versionForMs: Math.round(now - record.versionSince),
-      heardAgoMs: Math.round(now - record.heardAt),
+      heardAgoMs: Math.round(now - record.lastHeartbeatAt),
       leaseLeftMs: Math.max(0, Math.round(record.leaseUntil - now)),
     }))
   }
--- a/membership/directory/src/directory.ts
+++ b/membership/directory/src/directory.ts
@@ -23,7 +23,7 @@
   /** The directory's position after the entry's last change. */
   changedAt: number
   /** When this directory first received the incarnation, by its own clock. */
-  firstHeardAt: Millis
+  firstSeenAt: Millis
   /** When the reported cold time ends, by this directory's clock; absent if none was reported. */
   coldUntil?: Millis
 }
@@ -82,7 +82,7 @@
   coldUntil(id: InstanceId, unknownMs: Millis): Millis {
     const entry = this.entries.get(id)
     if (entry === undefined) return -Infinity
-    return entry.coldUntil ?? entry.firstHeardAt + unknownMs
+    return entry.coldUntil ?? entry.firstSeenAt + unknownMs
   }
 
   /**
@@ -97,7 +97,7 @@
       if (entry === undefined || (entry.coldUntil ?? 0) > now) continue
       entry.endpoint = { ...entry.endpoint, coldMs: undefined }
       entry.coldUntil = undefined
-      entry.firstHeardAt = now
+      entry.firstSeenAt = now
     }
   }
 
@@ -201,7 +201,7 @@
     this.entries.set(id, {
       endpoint,
       changedAt: this.changeCount,
-      firstHeardAt: known?.firstHeardAt ?? now,
+      firstSeenAt: known?.firstSeenAt ?? now,
       coldUntil,
     })
     this.recordChange(id)
--- a/membership/watch/src/controlFollower.ts
+++ b/membership/watch/src/controlFollower.ts
@@ -53,7 +53,7 @@
   members: Address[]
   sheetVersion: number
   /** When the machine last answered. */
-  heardAt: Millis
+  lastContactAt: Millis
   /** When the request of that answer was sent. */
   askedAt: Millis
   lost: boolean
@@ -102,7 +102,7 @@
         crashPosition: 0,
         members: [],
         sheetVersion: -1,
-        heardAt: clock.now(),
+        lastContactAt: clock.now(),
         askedAt: -Infinity,
         lost: false,
         entries: 0,
@@ -115,7 +115,7 @@
 
   /** The addresses of all known control machines, the most recently heard first. */
   addresses(): Address[] {
-    const known = [...this.followed].sort(([, left], [, right]) => right.heardAt - left.heardAt)
+    const known = [...this.followed].sort(([, left], [, right]) => right.lastContactAt - left.lastContactAt)
     return known.map(([address]) => address)
   }
 
@@ -158,7 +158,7 @@
       (machine) =>
         machine.epoch !== '' &&
         machine.askedAt >= suspendedAt &&
-        clock.now() - machine.heardAt < holdMs + ANSWER_SLACK_MS,
+        clock.now() - machine.lastContactAt < holdMs + ANSWER_SLACK_MS,
     )
   }
 
@@ -268,7 +268,7 @@
       leader: answer.leader,
       members: answer.members,
       sheetVersion: answer.sheetVersion,
-      heardAt: this.options.clock.now(),
+      lastContactAt: this.options.clock.now(),
       askedAt,
       entries: answer.entries,
       neighbours: answer.neighbours,
@@ -310,7 +310,7 @@
 
   private shouldForget(address: Address, machine: FollowedMachine): boolean {
     const { clock, seeds } = this.options
-    if (clock.now() - machine.heardAt < FORGET_AFTER_MS || seeds().includes(address)) return false
+    if (clock.now() - machine.lastContactAt < FORGET_AFTER_MS || seeds().includes(address)) return false
     return ![...this.followed.values()].some((other) => !other.lost && other.members.includes(address))
   }
 }
--- a/placement/allocator/src/allocatorService.ts
+++ b/placement/allocator/src/allocatorService.ts
@@ -89,7 +89,7 @@
   }
   private term = -1
   private since: Millis = 0
-  private readonly lastHeardAt = new Map<string, Millis>()
+  private readonly lastContactAt = new Map<string, Millis>()
   /** Entries that have reported in this term. */
   private readonly reportedEntries = new Set<string>()
   /** Requests that wait for a decision, with the callback that rejects them when this machine stops placing. */
@@ -170,7 +170,7 @@
     this.renewTerm()
     await this.waitForReports()
     if (!this.mayPlace()) throw new NotPlacingError()
-    this.lastHeardAt.set(ask.entry, this.options.clock.now())
+    this.lastContactAt.set(ask.entry, this.options.clock.now())
     const askedAt = this.options.clock.now()
     const decision = await this.decide(ask)
     this.log(ask, decision, this.options.clock.now() - askedAt)
@@ -218,7 +218,7 @@
     const reason = `${malformed} rows of the report are malformed`
     if (malformed > 0) this.options.logger.warn('place.report-refused', { entry, request: '', reason })
     const now = this.options.clock.now()
-    this.lastHeardAt.set(entry, now)
+    this.lastContactAt.set(entry, now)
     this.reportedEntries.add(entry)
     this.allocator.applyReport(
       entry,
@@ -245,9 +245,9 @@
     if (!isLeader()) return this.rejectPending()
     this.renewTerm()
     const now = clock.now()
-    for (const [entry, at] of this.lastHeardAt) {
+    for (const [entry, at] of this.lastContactAt) {
       if (now - at < ENTRY_GONE_MS) continue
-      this.lastHeardAt.delete(entry)
+      this.lastContactAt.delete(entry)
       this.allocator.removeEntry(entry)
     }
     this.allocator.tick(now)
--- a/placement/allocator/src/coldBudget.ts
+++ b/placement/allocator/src/coldBudget.ts
@@ -140,7 +140,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.steps.keys()) if (!ids.has(id)) this.steps.delete(id)
   }
 
--- a/placement/allocator/src/engineBudgets.ts
+++ b/placement/allocator/src/engineBudgets.ts
@@ -14,13 +14,13 @@
 export interface LimitPolicy {
   isLimited: (id: InstanceId) => boolean
   /** Whether an engine may get a request now. */
-  mayTake: (id: InstanceId) => boolean
+  canSend: (id: InstanceId) => boolean
   /** Counts a request; returns whether its engine names a rate limit. */
   spend: (id: InstanceId) => boolean
 }
 
 /** Policy without rate limits. */
-const NO_LIMITS: LimitPolicy = { isLimited: () => false, mayTake: () => true, spend: () => false }
+const NO_LIMITS: LimitPolicy = { isLimited: () => false, canSend: () => true, spend: () => false }
 
 /** Enforces at the leader the limits of cold engines and of engines that name a rate limit. */
 export class EngineBudgets {
@@ -49,12 +49,12 @@
 
   /** Whether an engine may get a prompt to prefill now. */
   mayPrefill(engine: RegisteredEndpoint, now: Millis): boolean {
-    return this.limits.mayTake(engine.id) && this.cold.mayPrefill(engine, now)
+    return this.limits.canSend(engine.id) && this.cold.mayPrefill(engine, now)
   }
 
   /** Whether an engine may decode a request that is placed now. */
   mayDecode(engine: RegisteredEndpoint, ask: PlaceAsk, now: Millis): boolean {
-    return this.limits.mayTake(engine.id) && this.cold.mayDecode(engine, ask, now)
+    return this.limits.canSend(engine.id) && this.cold.mayDecode(engine, ask, now)
   }
 
   /** Counts the steps of a placement; returns which of them were counted, and how soon they must be sent. */
@@ -75,8 +75,8 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
-    this.cold.keepOnly(ids)
+  sweep(ids: ReadonlySet<InstanceId>): void {
+    this.cold.sweep(ids)
   }
 
   private spend({ prefill, decode }: PlacedEngines, waitedMs: Millis): StepGrant | undefined {
--- a/placement/allocator/src/engineChoice.ts
+++ b/placement/allocator/src/engineChoice.ts
@@ -91,7 +91,7 @@
   /** Returns the ready engines of a service, including barred ones. */
   registered(service: string, stage: Stage): RegisteredEndpoint[] {
     const { endpoints, health } = this.options
-    const live = endpoints().filter((one) => one.service === service && !health.isGone(one.id))
+    const live = endpoints().filter((one) => one.service === service && !health.isReplaced(one.id))
     return newestPerAddress(live).filter((one) => one.stage === stage && one.state === 'ready')
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.localPrefillAt.keys()) if (!ids.has(id)) this.localPrefillAt.delete(id)
   }
 
--- a/placement/allocator/src/enginePace.ts
+++ b/placement/allocator/src/enginePace.ts
@@ -126,9 +126,9 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
-    this.prefillEngines.keepOnly(ids)
-    this.decodeEngines.keepOnly(ids)
+  sweep(ids: ReadonlySet<InstanceId>): void {
+    this.prefillEngines.sweep(ids)
+    this.decodeEngines.sweep(ids)
   }
 
   /** Returns how many tokens an engine prefilled in the time; undefined if it is unclear how many were cached. */
--- a/placement/allocator/src/holdRegistry.ts
+++ b/placement/allocator/src/holdRegistry.ts
@@ -104,9 +104,9 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.prefillEndedAt.keys()) if (!ids.has(id)) this.prefillEndedAt.delete(id)
-    this.localPrefills.keepOnly(ids)
+    this.localPrefills.sweep(ids)
   }
 
   countAt(decode: InstanceId): number {
--- a/placement/allocator/src/instanceHealth.ts
+++ b/placement/allocator/src/instanceHealth.ts
@@ -14,7 +14,7 @@
   unreachableCount: number
   /** When the first of these connections was refused. */
   unreachableSince: Millis
-  isGone: boolean
+  isReplaced: boolean
   /** Consecutive refusals for lack of capacity. */
   fullCount: number
   /** The instance gets no work before this time, since it reported a lack of capacity. */
@@ -45,7 +45,7 @@
   record(id: InstanceId, outcome: UseOutcome, now: Millis, tookMs: Millis = 0): Millis {
     const health = this.known.get(id) ?? newHealth()
     this.known.set(id, health)
-    if (outcome === 'other-instance') health.isGone = true
+    if (outcome === 'other-instance') health.isReplaced = true
     if (outcome === 'full') recordFull(health, now)
     if (outcome === 'ok') return this.recordSuccess(health, now)
     if (outcome === 'silent' && health.lastSuccessAt >= now - tookMs) return 0
@@ -66,7 +66,7 @@
   /** Whether an instance should get work. */
   isHealthy(id: InstanceId, now: Millis): boolean {
     const health = this.known.get(id)
-    return health === undefined || (!health.isGone && health.ejectedUntil <= now)
+    return health === undefined || (!health.isReplaced && health.ejectedUntil <= now)
   }
 
   /** Whether an instance reported a lack of capacity a moment ago, whatever is forecast here. */
@@ -93,12 +93,12 @@
     return health.ejections >= EJECTIONS_UNTIL_LOST
   }
 
-  isGone(id: InstanceId): boolean {
-    return this.known.get(id)?.isGone === true
+  isReplaced(id: InstanceId): boolean {
+    return this.known.get(id)?.isReplaced === true
   }
 
   /** Forgets instances that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.known.keys()) if (!ids.has(id)) this.known.delete(id)
   }
 
@@ -134,7 +134,7 @@
     lastSuccessAt: -Infinity,
     unreachableCount: 0,
     unreachableSince: 0,
-    isGone: false,
+    isReplaced: false,
     fullCount: 0,
     fullUntil: 0,
   }
--- a/placement/allocator/src/localPrefills.ts
+++ b/placement/allocator/src/localPrefills.ts
@@ -24,7 +24,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.busyUntil.keys()) if (!ids.has(id)) this.busyUntil.delete(id)
   }
 }
--- a/placement/allocator/src/peerPace.ts
+++ b/placement/allocator/src/peerPace.ts
@@ -97,11 +97,11 @@
     this.known.set(id, one)
     if (!this.hasSeen && work > 0) this.setInitialPace(tookMs / work, now)
     this.hasSeen ||= work > 0
-    const restedMs = now - one.pace.lastSeenAt
+    const idleMs = now - one.pace.lastSeenAt
     one.pace.add(work, tookMs, now)
     one.lastMs = one.pace.msPerUnit(this.peersMs, now)
     this.updateIsSlow(id, one, now)
-    this.updateBuild(one, Math.min(restedMs, MAX_BUILD_STEP_MS), now)
+    this.updateBuild(one, Math.min(idleMs, MAX_BUILD_STEP_MS), now)
   }
 
   /** Returns an engine's pace; that of its peers if it was never observed. */
@@ -146,7 +146,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.known.keys()) if (!ids.has(id)) this.known.delete(id)
   }
 
--- a/placement/allocator/src/prefixCacheIndex.ts
+++ b/placement/allocator/src/prefixCacheIndex.ts
@@ -69,7 +69,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.engines.keys()) if (!ids.has(id)) this.engines.delete(id)
   }
 
--- a/placement/allocator/src/prefixCacheTracker.ts
+++ b/placement/allocator/src/prefixCacheTracker.ts
@@ -112,7 +112,7 @@
     if (now - this.evictedAt < EVICT_INTERVAL_MS) return
     this.evictedAt = now
     const warm = this.options.endpoints().filter(({ coldMs = 0 }) => coldMs <= 0)
-    this.index.keepOnly(new Set(warm.map(({ id }) => id)))
+    this.index.sweep(new Set(warm.map(({ id }) => id)))
     for (const { id, service } of warm) this.trim(id, service)
   }
 
--- a/placement/allocator/src/stageOrderTracker.ts
+++ b/placement/allocator/src/stageOrderTracker.ts
@@ -35,7 +35,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const orders of [this.changing, this.ordered])
       for (const id of orders.keys()) if (!ids.has(id)) orders.delete(id)
   }
--- a/placement/allocator/src/stagePlanner.ts
+++ b/placement/allocator/src/stagePlanner.ts
@@ -64,8 +64,8 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
-    this.supply.keepOnly(ids)
+  sweep(ids: ReadonlySet<InstanceId>): void {
+    this.supply.sweep(ids)
   }
 
   private toStaged(endpoint: RegisteredEndpoint, now: Millis): StagedEngine {
--- a/placement/allocator/src/supplyMeter.ts
+++ b/placement/allocator/src/supplyMeter.ts
@@ -32,7 +32,7 @@
   }
 
   /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.known.keys()) if (!ids.has(id)) this.known.delete(id)
   }
 }
--- a/placement/allocator/test/allocatorStages.test.ts
+++ b/placement/allocator/test/allocatorStages.test.ts
@@ -3,7 +3,7 @@
 import { ask, engine, ENGINE, createAllocator } from './fixtures'
 
 /** Reports an answer so that the engine's pace is known; before that no stage change is planned. */
-function showPace(allocator: Allocator, decode: string, now: number): void {
+function reportPace(allocator: Allocator, decode: string, now: number): void {
   const running = { ask: ask('seen'), decode, ageMs: 900, decodingForMs: 800, madeTokens: 1_000 }
   allocator.applyReport('e9', [running], now)
   allocator.removeEntry('e9')
@@ -13,7 +13,7 @@
   it('lets the decode engine prefill if the only prefill engine refuses everything, and plans another prefill engine', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')]
     const { allocator, place, decisions } = createAllocator(endpoints)
-    showPace(allocator, 'd1', 0)
+    reportPace(allocator, 'd1', 0)
     for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
     expect(allocator.planStage('s', 3_000)?.stage).not.toBe('prefill')
     for (let index = 0; index < 3; index += 1) allocator.recordUse('p1', 'full', 3_000)
@@ -51,7 +51,7 @@
     ).toBeUndefined()
     for (let index = 40; index < 240; index += 1) place(ask(`r${index}`, { holdMs: 1 }), 8_000 + index)
     expect(allocator.planStage('s', 8_300)).toBeUndefined()
-    showPace(allocator, 'd1', 8_300)
+    reportPace(allocator, 'd1', 8_300)
     const change = allocator.planStage('s', 8_300)
     expect(change?.stage).toBe('decode')
     allocator.markChanging(change!.id, change!.stage, 6_000, 8_300)
@@ -90,7 +90,7 @@
       const prefillEngines = Array.from({ length: count }, (_, index) => engine(`p${index}`, 'prefill'))
       const endpoints = [...prefillEngines, engine('d1', 'decode')]
       const { allocator, place } = createAllocator(endpoints)
-      showPace(allocator, 'd1', 0)
+      reportPace(allocator, 'd1', 0)
       for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
       endpoints.pop()
       place(ask('refused'), 3_010)
@@ -104,7 +104,7 @@
   it('keeps the last prefill engine while another engine is changing to decode', () => {
     const endpoints = [engine('p1', 'prefill'), engine('d1', 'prefill')]
     const { allocator, place } = createAllocator(endpoints)
-    showPace(allocator, 'd1', 0)
+    reportPace(allocator, 'd1', 0)
     for (let index = 0; index < 30; index += 1) place(ask(`r${index}`, { holdMs: 1 }), index * 100)
     allocator.markChanging('d1', 'decode', 6_000, 3_000)
     expect(allocator.planStage('s', 3_020)).toBeUndefined()
--- a/placement/allocator/test/cacheInvalidation.test.ts
+++ b/placement/allocator/test/cacheInvalidation.test.ts
@@ -5,12 +5,12 @@
 
 describe('Allocator, when cached prompts are lost', () => {
   it('forgets the cached prompts of an engine that has turned cold', () => {
-    const isKept = [false, true].map((turnsCold) => {
+    const isKept = [false, true].map((becomesCold) => {
       const one = createAllocator([engine('p0', 'prefill'), engine('d0', 'decode')])
       one.place(ask('first', { parts: PARTS }), 0)
       one.allocator.recordPrefilled('first', 'ok', 75, 75)
       one.allocator.release('first', 'ok', 200, 600)
-      if (turnsCold) for (const id of ['p0', 'd0']) one.allocator.clearPrefixCache(id)
+      if (becomesCold) for (const id of ['p0', 'd0']) one.allocator.clearPrefixCache(id)
       one.place(ask('again', { parts: PARTS }), 1_000)
       const decision = one.decisions.get('again')
       return decision?.type === 'placed' && decision.keptTokens !== undefined
@@ -22,13 +22,13 @@
     const one = createAllocator([engine('p0', 'prefill'), engine('p1', 'prefill'), engine('d0', 'decode')])
     one.place(ask('first', { parts: PARTS }), 0)
     const first = one.decisions.get('first')
-    const dark = first?.type === 'placed' ? first.prefill! : ''
+    const unreachable = first?.type === 'placed' ? first.prefill! : ''
     // No connection within 400 ms: the engine has received nothing.
     one.allocator.recordPrefilled('first', 'failed', 0, 400)
     one.allocator.release('first', 'cancelled', 0, 400)
-    one.place(ask('second', { parts: PARTS, except: [dark] }), 400)
+    one.place(ask('second', { parts: PARTS, except: [unreachable] }), 400)
     const second = one.decisions.get('second')
-    expect(second?.type === 'placed' && second.prefill).not.toBe(dark)
+    expect(second?.type === 'placed' && second.prefill).not.toBe(unreachable)
   })
 })
 
--- a/placement/allocator/test/forecast.test.ts
+++ b/placement/allocator/test/forecast.test.ts
@@ -107,9 +107,9 @@
 
   it('counts changing engines at their new stage, and leaves no stage without a working engine', () => {
     const [first, ...rest] = engines(3, 1)
-    const onItsWay = [{ ...first!, stage: 'decode' as const, isChanging: true }, ...rest]
-    expect(planStages(onItsWay, { prefill: 0.6, decode: 3.3 })).toMatchObject({ id: 'p1', stage: 'decode' })
-    expect(planStages(onItsWay, { prefill: 0.9, decode: 1.2 })).toBeUndefined()
+    const changing = [{ ...first!, stage: 'decode' as const, isChanging: true }, ...rest]
+    expect(planStages(changing, { prefill: 0.6, decode: 3.3 })).toMatchObject({ id: 'p1', stage: 'decode' })
+    expect(planStages(changing, { prefill: 0.9, decode: 1.2 })).toBeUndefined()
     const back = [{ ...first!, isChanging: true }, ...rest.slice(1)]
     expect(planStages(back, { prefill: 0.2, decode: 3.3 })).toBeUndefined()
   })
--- a/placement/allocator/test/impatientCallers.test.ts
+++ b/placement/allocator/test/impatientCallers.test.ts
@@ -10,7 +10,7 @@
   inTime: number
   late: number
   /** Prompts that were prefilled for callers that had left before the first event. */
-  inVain: number
+  wasted: number
 }
 
 /**
@@ -22,7 +22,7 @@
   const memory = { ...ENGINE, kvTokens: 80_000 }
   const allocator = new Allocator({ endpoints: () => endpoints, engine: () => memory })
   const events: { at: number; run: () => void }[] = []
-  const outcome: Outcome = { inTime: 0, late: 0, inVain: 0 }
+  const outcome: Outcome = { inTime: 0, late: 0, wasted: 0 }
   let prefillFreeAt = 0
   let now = 0
   const start = (request: string, arrivedAt: number, decision: PlaceDecision) => {
@@ -32,14 +32,17 @@
     const readAt = startsAt + (12_000 / 40) * (decision.prefill === undefined ? 2 : 1)
     if (decision.prefill !== undefined) prefillFreeAt = readAt
     const firstAt = readAt + 60
-    const isGone = firstAt - arrivedAt > PATIENCE_MS
-    if (isGone) outcome.inVain += 1
+    const hasGivenUp = firstAt - arrivedAt > PATIENCE_MS
+    if (hasGivenUp) outcome.wasted += 1
     else if (firstAt - arrivedAt > TARGET_MS) outcome.late += 1
     else outcome.inTime += 1
-    if (decision.prefill !== undefined && !isGone)
+    if (decision.prefill !== undefined && !hasGivenUp)
       events.push({ at: readAt, run: () => allocator.recordPrefilled(request, 'ok', readAt - placedAt, now) })
-    const endsAt = isGone ? arrivedAt + PATIENCE_MS : readAt + 700
-    events.push({ at: endsAt, run: () => allocator.release(request, isGone ? 'cancelled' : 'ok', 200, now) })
+    const endsAt = hasGivenUp ? arrivedAt + PATIENCE_MS : readAt + 700
+    events.push({
+      at: endsAt,
+      run: () => allocator.release(request, hasGivenUp ? 'cancelled' : 'ok', 200, now),
+    })
   }
   for (now = 0; now < 8_000; now += 5) {
     for (const event of events.filter(({ at }) => at <= now)) {
@@ -64,8 +67,8 @@
 
 describe('Allocator, with callers that leave a silent stream', () => {
   it('prefills no prompt for a caller that will have left, and serves new requests in time beside late ones', () => {
-    const { inTime, late, inVain } = simulate()
-    expect(inVain).toBe(0)
+    const { inTime, late, wasted } = simulate()
+    expect(wasted).toBe(0)
     expect(inTime).toBeGreaterThanOrEqual(18)
     expect(inTime + late).toBeGreaterThanOrEqual(25)
   })
--- a/placement/allocator/test/interruptedAnswers.test.ts
+++ b/placement/allocator/test/interruptedAnswers.test.ts
@@ -18,7 +18,7 @@
 const ANSWER_MS = 1_400
 const TOKENS = 350
 const CALLER_WAITS_MS = 3_600
-const ASK_AGAIN_MS = 400
+const RETRY_MS = 400
 const ENDS_AT = [3_000, 6_000]
 
 /**
@@ -47,7 +47,7 @@
     if (silentMs > CALLER_WAITS_MS) return
     const times = { targetMs: 900 - (now - arrivedAt), promptMs: 0, holdMs: 3_060 - silentMs }
     allocator.ask({ ...asked, ...times, isBegun }, now, (decision) => {
-      if (decision.type !== 'placed') return at(now + ASK_AGAIN_MS, () => resume(asked, arrivedAt, lostAt))
+      if (decision.type !== 'placed') return at(now + RETRY_MS, () => resume(asked, arrivedAt, lostAt))
       make(asked, arrivedAt, decision, () => {
         if (now - lostAt > CALLER_WAITS_MS) return
         outcome.begunWhole += 1
@@ -124,11 +124,11 @@
   // the same engines.
   it('completes nearly all of them, at the cost of a few percent fewer first events in time', () => {
     const first = simulateAll(true)
-    const likeNew = simulateAll(undefined)
-    expect(Math.min(first.begun, likeNew.begun)).toBeGreaterThan(20)
+    const asNewRequests = simulateAll(undefined)
+    expect(Math.min(first.begun, asNewRequests.begun)).toBeGreaterThan(20)
     expect(first.begunWhole).toBeGreaterThan(0.95)
-    expect(likeNew.begunWhole).toBeLessThan(0.5)
-    expect(first.medianPause).toBeLessThan(likeNew.medianPause)
-    expect(likeNew.inTime - first.inTime).toBeLessThan(0.05)
+    expect(asNewRequests.begunWhole).toBeLessThan(0.5)
+    expect(first.medianPause).toBeLessThan(asNewRequests.medianPause)
+    expect(asNewRequests.inTime - first.inTime).toBeLessThan(0.05)
   })
 })
--- a/placement/allocator/test/limitedEngines.test.ts
+++ b/placement/allocator/test/limitedEngines.test.ts
@@ -6,7 +6,7 @@
 function limits(left: Record<string, number>): LimitPolicy {
   return {
     isLimited: (id) => id in left,
-    mayTake: (id) => (left[id] ?? 1) > 0,
+    canSend: (id) => (left[id] ?? 1) > 0,
     spend: (id) => {
       if (!(id in left)) return false
       left[id]! -= 1
--- a/placement/allocator/test/prefixCache.test.ts
+++ b/placement/allocator/test/prefixCache.test.ts
@@ -220,7 +220,7 @@
 }
 
 describe('EnginePace, of cached prompts', () => {
-  const alone = (readTokens: number, tookMs: number) => ({
+  const prefillSample = (readTokens: number, tookMs: number) => ({
     promptTokens: 4_000,
     readTokens,
     tookMs,
@@ -231,9 +231,9 @@
   it('counts an engine as healthy that prefills the rest of a prompt, or all of it, in the expected time', () => {
     const pace = new EnginePace()
     for (let index = 0; index < 8; index += 1) {
-      pace.learnPrefill('a', alone(1_000, 25), index * 300)
+      pace.learnPrefill('a', prefillSample(1_000, 25), index * 300)
       // Nothing was cached, contrary to the estimate.
-      pace.learnPrefill('b', alone(1_000, 100), index * 300)
+      pace.learnPrefill('b', prefillSample(1_000, 100), index * 300)
     }
     expect(pace.view('a', 'prefill', 2_400).slowness).toBeLessThan(1.2)
     expect(pace.view('b', 'prefill', 2_400).slowness).toBeLessThan(1.2)
@@ -242,7 +242,7 @@
 
   it('finds an engine slow that takes longer than the whole prompt should', () => {
     const pace = new EnginePace()
-    for (let index = 0; index < 8; index += 1) pace.learnPrefill('a', alone(1_000, 400), index * 300)
+    for (let index = 0; index < 8; index += 1) pace.learnPrefill('a', prefillSample(1_000, 400), index * 300)
     expect(pace.view('a', 'prefill', 2_400).ms).toBeGreaterThan(1.8)
   })
 })
--- a/placement/allocator/test/regions.test.ts
+++ b/placement/allocator/test/regions.test.ts
@@ -57,9 +57,9 @@
       stage: fc.constantFrom('prefill', 'decode'),
       zone: fc.constantFrom(...DOMAINS),
     })
-    const homes = fc.option(fc.subarray(['west', 'east', 'south', 'nowhere']), { nil: undefined })
+    const regions = fc.option(fc.subarray(['west', 'east', 'south', 'nowhere']), { nil: undefined })
     const request = fc.record({
-      homes,
+      regions,
       promptTokens: fc.integer({ min: 1, max: 6_000 }),
       isPrefilled: fc.boolean(),
     })
@@ -74,19 +74,20 @@
       fc.property(
         fc.array(endpoint, { minLength: 2, maxLength: 14 }),
         fc.array(fc.tuple(request, event), { minLength: 1, maxLength: 20 }),
-        (fields, course) => {
+        (fields, steps) => {
           const all = fields.map(({ stage, zone }, index) => engine(`i${index}`, stage, { zone }))
           const zoneOf = (id: string) => all.find((one) => one.id === id)!.zone
           const { allocator, decisions, place } = createAllocator(all)
-          const homesOf = new Map<string, AllowedRegions>()
+          const regionsOf = new Map<string, AllowedRegions>()
           const expectInRegions = (name: string, id: string | undefined) => {
-            if (id !== undefined) expect(isWithinRegions(TOPOLOGY, zoneOf(id), homesOf.get(name))).toBe(true)
+            if (id !== undefined)
+              expect(isWithinRegions(TOPOLOGY, zoneOf(id), regionsOf.get(name))).toBe(true)
           }
           let now = 0
-          for (const [{ homes: regions, ...rest }, { type, index }] of course) {
+          for (const [{ regions, ...rest }, { type, index }] of steps) {
             now += 100
             const name = `r${now}`
-            homesOf.set(name, regions)
+            regionsOf.set(name, regions)
             place(name, regions, now, rest)
             const one = all[index % all.length]!
             if (type === 'fails') allocator.recordUse(one.id, 'unreachable', now)
@@ -101,7 +102,7 @@
               expectInRegions(request, decision.prefill)
               expectInRegions(request, decision.decode)
               const reported = {
-                ask: ask(request, { regions: homesOf.get(request) }),
+                ask: ask(request, { regions: regionsOf.get(request) }),
                 decode: decision.decode,
               }
               allocator.applyReport(
--- a/placement/load/src/endpointTracker.ts
+++ b/placement/load/src/endpointTracker.ts
@@ -231,7 +231,7 @@
   /** Why an endpoint takes no new work from this box; undefined if it does. */
   closedReason(endpoint: EndpointName): ClosedReason | undefined {
     const entry = this.entries.get(endpoint)
-    return entry === undefined ? 'state' : this.closed(entry, this.options.clock.now())
+    return entry === undefined ? 'state' : this.closedReasonOf(entry, this.options.clock.now())
   }
 
   /** Returns the view that a request with these prefix blocks is placed by. */
@@ -255,7 +255,7 @@
     const reported = Math.max(0, (report?.queuedPrefillTokens ?? 0) - elapsed * rate) + since.prefillTokens
     return {
       row,
-      closed: this.closed(entry, now),
+      closed: this.closedReasonOf(entry, now),
       queuedPrefillTokens: Math.max(reported, entry.othersPrefillTokens + outstandingPrefill(entry)),
       prefillTokensPerMs: rate,
       runningStreams: (report?.runningStreams ?? 0) + since.streams,
@@ -279,7 +279,7 @@
     return sums
   }
 
-  private closed(entry: Entry, now: Millis): ClosedReason | undefined {
+  private closedReasonOf(entry: Entry, now: Millis): ClosedReason | undefined {
     const { row } = entry
     if (row.state !== 'serve') return 'state'
     if (row.weight <= 0) return 'weight'
--- a/placement/owner/src/judgeHold.ts
+++ b/placement/owner/src/judgeHold.ts
@@ -32,7 +32,7 @@
   const originBox = boxes.find((box) => box.box === origin.box && box.incarnation === origin.incarnation)
   if (originBox !== undefined) return { type: 'ask', boxes: [originBox] }
   const replaced = boxes.some((box) => box.box === origin.box)
-  const longGone = options.goneForMs(origin.box, origin.incarnation) >= options.goneGraceMs
+  const isGoneGraceOver = options.goneForMs(origin.box, origin.incarnation) >= options.goneGraceMs
   // A box with a new incarnation runs nothing of an earlier one.
-  return replaced || longGone ? { type: 'ask', boxes } : { type: 'keep' }
+  return replaced || isGoneGraceOver ? { type: 'ask', boxes } : { type: 'keep' }
 }
--- a/placement/owner/src/ownerService.ts
+++ b/placement/owner/src/ownerService.ts
@@ -62,10 +62,11 @@
   /** Updates the owned endpoints after a new table or a new list of boxes. */
   refresh(): void {
     const { rows, owners, box, clock, logger } = this.options
-    const mine = new Map<EndpointName, EndpointRow>()
-    for (const row of rows()) if (owners.ownerOf(row.endpoint)?.owner.box === box) mine.set(row.endpoint, row)
-    for (const endpoint of this.owned.keys()) if (!mine.has(endpoint)) this.owned.delete(endpoint)
-    for (const [endpoint, row] of mine) {
+    const ownRows = new Map<EndpointName, EndpointRow>()
+    for (const row of rows())
+      if (owners.ownerOf(row.endpoint)?.owner.box === box) ownRows.set(row.endpoint, row)
+    for (const endpoint of this.owned.keys()) if (!ownRows.has(endpoint)) this.owned.delete(endpoint)
+    for (const [endpoint, row] of ownRows) {
       const known = this.owned.get(endpoint)
       if (known?.row.address === row.address) known.row = row
       else this.owned.set(endpoint, new OwnedEndpoint(row, clock))
--- a/replication/group/src/groupReplica.ts
+++ b/replication/group/src/groupReplica.ts
@@ -142,8 +142,8 @@
    * and knows of a commit in the current term.
    */
   get knowsCommitted(): boolean {
-    const isHeard = this.leads || this.state.leaderContactAt > this.startedAt
-    return isHeard && this.state.log.termAt(this.state.commitIndex) === this.state.term
+    const hadLeaderContact = this.leads || this.state.leaderContactAt > this.startedAt
+    return hadLeaderContact && this.state.log.termAt(this.state.commitIndex) === this.state.term
   }
 
   /** The entries of the log that are not known to be committed. */
--- a/replication/keeper/test/planDomains.test.ts
+++ b/replication/keeper/test/planDomains.test.ts
@@ -122,9 +122,9 @@
         expect(voters.length).toBeGreaterThanOrEqual(RULES.requiredVoters)
         const spread = { domainLosses: 1, isLive: () => true, domainOf: (one: Member) => one.domain }
         const counts = ['north', 'south', 'west'].map((name) => all.filter((one) => one === name).length)
-        const canBeBorne =
+        const survivesDomainLoss =
           counts.filter((count) => count >= 2).length >= 2 && counts.every((count) => count >= 1)
-        if (canBeBorne) expect(missingAfterLoss(voters, spread)).toBeLessThanOrEqual(0)
+        if (survivesDomainLoss) expect(missingAfterLoss(voters, spread)).toBeLessThanOrEqual(0)
       }),
       { seed: 20261202, numRuns: 3000 },
     )
--- a/replication/raft/src/elections.ts
+++ b/replication/raft/src/elections.ts
@@ -59,8 +59,9 @@
 
 /** Replies to a vote or pre-vote request. */
 export function handleVoteRequest(state: RaftState, from: Member, request: VoteRequest, now: Millis): void {
-  const heardLeader = state.role === 'leader' || now - state.leaderContactAt < state.options.electionTimeout
-  if (heardLeader && !request.transfer) return replyToVote(state, from, request, false)
+  const hasRecentLeaderContact =
+    state.role === 'leader' || now - state.leaderContactAt < state.options.electionTimeout
+  if (hasRecentLeaderContact && !request.transfer) return replyToVote(state, from, request, false)
   if (request.type === 'preVote') return handlePreVote(state, from, request)
   if (request.term > state.term) becomeFollower(state, request.term, null, now)
   const canVote = state.votedFor === null || state.votedFor === from.replica
@@ -105,7 +106,7 @@
 }
 
 function countVotes(state: RaftState): number {
-  const granted = [...state.votes].filter(([replica, yes]) => yes && isVoter(state, replica))
+  const granted = [...state.votes].filter(([replica, isGranted]) => isGranted && isVoter(state, replica))
   return granted.length
 }
 
--- a/replication/raft/src/follow.ts
+++ b/replication/raft/src/follow.ts
@@ -18,9 +18,9 @@
 }
 
 function followLeader(state: RaftState, from: Member, term: number, now: Millis): void {
-  const rival = state.role === 'leader' && term === state.term
+  const isSecondLeader = state.role === 'leader' && term === state.term
   assertInvariant(
-    !rival,
+    !isSecondLeader,
     'at most one leader per term',
     () => `${from.replica} and ${state.replica} in term ${term}`,
   )
--- a/request/crashes/test/crashSimulation.ts
+++ b/request/crashes/test/crashSimulation.ts
@@ -57,7 +57,7 @@
     this.random = createSeededRandom(seed)
     this.endpoints = Array.from({ length: endpoints }, (_, index) => ({
       name: `p${index}`,
-      life: 0,
+      incarnation: 0,
       isUp: true,
       running: new Set(),
     }))
@@ -197,8 +197,8 @@
     target.running.add(running)
     const poison = this.poisonContents.get(content)
     poison?.arrivedAt.push(this.clock.now())
-    const { life } = target
-    const isThere = () => target.isUp && target.life === life && target.running.has(running)
+    const { incarnation } = target
+    const isThere = () => target.isUp && target.incarnation === incarnation && target.running.has(running)
     if (poison !== undefined)
       return void this.clock.after(this.between(CRASH_AFTER_MS), () => {
         if (isThere()) this.crash(target)
@@ -219,7 +219,7 @@
     for (const content of new Set(lost.map((one) => one.content)))
       this.poisonContents.get(content)?.crashedAt.push(this.clock.now())
     this.clock.after(DOWN_MS, () => {
-      endpoint.life += 1
+      endpoint.incarnation += 1
       endpoint.isUp = true
     })
     this.clock.after(CONFIRM_AFTER_MS, () => {
@@ -345,6 +345,6 @@
   }
 }
 
-function incarnationOf({ name, life }: Endpoint): string {
-  return `${name}~${life}`
+function incarnationOf({ name, incarnation }: Endpoint): string {
+  return `${name}~${incarnation}`
 }
--- a/request/crashes/test/simulationParts.ts
+++ b/request/crashes/test/simulationParts.ts
@@ -29,7 +29,7 @@
 
 export interface Endpoint {
   name: string
-  life: number
+  incarnation: number
   isUp: boolean
   running: Set<Running>
 }
--- a/request/gateway/src/callerRequest.ts
+++ b/request/gateway/src/callerRequest.ts
@@ -63,7 +63,7 @@
 ): Promise<CallerRequest | 'gone' | 'too-large'> {
   const { wire, clock, maxBodyBytes } = options
   const arrivedAt = clock.now()
-  const gone = watchDisconnect(response)
+  const disconnection = watchDisconnect(response)
   const body = await readBody(incoming, maxBodyBytes)
   if (typeof body === 'string') return body
   const contentParts = {
@@ -90,7 +90,7 @@
     arrivedAt,
     deadlineMs: Number.isFinite(deadline) && deadline > 0 ? deadline : Infinity,
     response,
-    ...gone,
+    ...disconnection,
   }
 }
 
@@ -127,17 +127,17 @@
 
 function watchDisconnect(response: ServerResponse): Pick<CallerRequest, 'isDisconnected' | 'onDisconnect'> {
   const callbacks: (() => void)[] = []
-  let gone = false
+  let hasDisconnected = false
   response.on('error', () => undefined)
   response.on('close', () => {
     if (response.writableFinished) return
-    gone = true
+    hasDisconnected = true
     callbacks.forEach((callback) => callback())
   })
   return {
-    isDisconnected: () => gone,
+    isDisconnected: () => hasDisconnected,
     onDisconnect: (callback) => {
-      if (gone) callback()
+      if (hasDisconnected) callback()
       else callbacks.push(callback)
     },
   }
--- a/request/gateway/src/callerStream.ts
+++ b/request/gateway/src/callerStream.ts
@@ -5,7 +5,7 @@
 import type { AnswerHead } from './exchange'
 import type { GatewayWire } from './gatewayWire'
 import { endWithConnection } from './ownAnswer'
-import { CALLER_GONE, type OwnResult } from './relayAnswers'
+import { CALLER_DISCONNECTED, type OwnResult } from './relayAnswers'
 import type { RelayJob } from './relayParts'
 
 const TIME_UP = 504
@@ -73,7 +73,7 @@
    */
   endedResult(): OwnResult {
     const status = this.head?.status
-    if (this.job.request.isDisconnected()) return { status: status ?? 0, outcome: CALLER_GONE }
+    if (this.job.request.isDisconnected()) return { status: status ?? 0, outcome: CALLER_DISCONNECTED }
     return { status: status ?? TIME_UP, outcome: 'the time is up' }
   }
 
--- a/request/gateway/src/coldEndpointLimiter.ts
+++ b/request/gateway/src/coldEndpointLimiter.ts
@@ -58,7 +58,7 @@
    */
   addGrants(request: string, { prefill, decode, cold }: Placed, askedAt: Millis): void {
     const decidedAt = askedAt + (cold?.waitedMs ?? 0)
-    const note = (step: SendStep, endpoint: InstanceId, withinMs: Millis | undefined) => {
+    const addGrant = (step: SendStep, endpoint: InstanceId, withinMs: Millis | undefined) => {
       if (!this.isCold(endpoint) && withinMs === undefined) return
       const untilMs = decidedAt + (withinMs ?? WARM_GRANT_MS)
       this.grants.add(request, step, {
@@ -68,8 +68,8 @@
         isUnrestricted: withinMs === undefined,
       })
     }
-    if (prefill !== undefined) note('prefill', prefill, cold?.prefillMs)
-    note('decode', decode, cold?.decodeMs)
+    if (prefill !== undefined) addGrant('prefill', prefill, cold?.prefillMs)
+    addGrant('decode', decode, cold?.decodeMs)
   }
 
   /**
--- a/request/gateway/src/crashGuard.ts
+++ b/request/gateway/src/crashGuard.ts
@@ -1,6 +1,6 @@
 import type { SendingDecision } from '@forkstage/crashes'
 import type { InstanceId } from '@forkstage/directory'
-import { isolatedPlace, awaitTurn, type PermittedPlace } from './isolatedPlace'
+import { isolatedPlace, awaitTurn, type TrialPlacement } from './isolatedPlace'
 import type { RelayJob, RelayParts } from './relayParts'
 
 const SEND: SendingDecision = { type: 'send' }
@@ -38,7 +38,7 @@
   }
 
   /** Gets the reserved endpoint or the turn that a decision requires. */
-  async acquire({ type }: SendingDecision): Promise<PermittedPlace> {
+  async acquire({ type }: SendingDecision): Promise<TrialPlacement> {
     if (type === 'isolate') return isolatedPlace(this.parts, this.job, this.isOver)
     if (type !== 'serialize') return { type: 'anywhere' }
     this.hasRequestedTurn = true
@@ -56,7 +56,7 @@
    * Ends an isolated trial once it is known whether its endpoint crashed: before, the leader would give the same
    * endpoint to the next trial.
    */
-  async endTrial({ end }: Extract<PermittedPlace, { type: 'place' }>, endpoint: InstanceId): Promise<void> {
+  async endTrial({ end }: Extract<TrialPlacement, { type: 'place' }>, endpoint: InstanceId): Promise<void> {
     await this.parts.crashes?.confirmed([endpoint])
     end()
   }
--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -73,7 +73,7 @@
   random: Random
   logger: Logger
   /** What instances have told this entry about their availability; nothing where left out. */
-  statements?: AvailabilityTracker
+  availability?: AvailabilityTracker
   /** Whether an instance is cold, that is slow for a while without being faulty; false for all where left out. */
   isCold?: (id: string) => boolean
 }
@@ -128,14 +128,14 @@
 
   /** Whether an instance accepts requests from this entry now, by what it has told it. */
   isAvailable({ endpoint }: PooledEndpoint): boolean {
-    return this.options.statements?.unavailability(endpoint.id) === undefined
+    return this.options.availability?.unavailability(endpoint.id) === undefined
   }
 
   /** Returns why and for how long no instance of a service accepts requests from this entry; undefined where one does. */
   unavailability(service: string, query: CandidateQuery = {}): PoolUnavailability | undefined {
-    const { statements, clock, random } = this.options
-    if (statements === undefined || statements.isEmpty) return undefined
-    const bound = statements.earliestAvailable(
+    const { availability, clock, random } = this.options
+    if (availability === undefined || availability.isEmpty) return undefined
+    const bound = availability.earliestAvailable(
       this.matching(service, query).map(({ endpoint }) => endpoint.id),
     )
     if (bound === undefined) return undefined
@@ -145,9 +145,9 @@
 
   /** Returns the ids of a service's engines that accept no requests from this entry now. */
   unavailableEngines(service: string): string[] {
-    const { statements } = this.options
-    if (statements === undefined || statements.isEmpty) return []
-    const ids = statements.closed
+    const { availability } = this.options
+    if (availability === undefined || availability.isEmpty) return []
+    const ids = availability.unavailableIds
     return ids.filter((id) => {
       const endpoint = this.pooled.get(id)?.endpoint
       return endpoint?.stage !== undefined && endpoint.service === service
@@ -220,9 +220,9 @@
     otherRegionTokens = 0,
     near: FailureDomain = this.options.zone,
   ): One | undefined {
-    const awayOf = ({ endpoint }: PooledEndpoint) =>
+    const costOf = ({ endpoint }: PooledEndpoint) =>
       this.topology.distance(near, endpoint.zone) === 'other-region' ? otherRegionTokens : 0
-    const scored = candidates.map((one) => ({ one, score: one.tokens + awayOf(one) + this.options.random() }))
+    const scored = candidates.map((one) => ({ one, score: one.tokens + costOf(one) + this.options.random() }))
     scored.sort((left, right) => left.score - right.score)
     return scored[0]?.one
   }
@@ -295,8 +295,8 @@
     const meanMs = isOld ? fastest : one.meanMs
     const wait = ((one.inFlight + 1) * meanMs) / Math.max(1, one.endpoint.slots)
     const distance = this.topology.distance(this.options.zone, one.endpoint.zone)
-    const away = distance === 'same-domain' ? 1 : OTHER_DOMAIN_FACTOR
-    return wait * away * (1 + this.options.random() * SCORE_JITTER) + extraCallMs(distance)
+    const distanceFactor = distance === 'same-domain' ? 1 : OTHER_DOMAIN_FACTOR
+    return wait * distanceFactor * (1 + this.options.random() * SCORE_JITTER) + extraCallMs(distance)
   }
 
   /** Removes an instance whose process has ended, and notifies its requests, which no process can answer. */
--- a/request/gateway/src/endpointRateLimiter.ts
+++ b/request/gateway/src/endpointRateLimiter.ts
@@ -62,15 +62,16 @@
   addGrants(request: string, { prefill, decode, limited }: Placed, askedAt: Millis): void {
     if (limited === undefined) return
     const decidedAt = askedAt + limited.waitedMs
-    const note = (step: SendStep, endpoint: InstanceId, withinMs: Millis) =>
+    const addGrant = (step: SendStep, endpoint: InstanceId, withinMs: Millis) =>
       this.grants.add(request, step, {
         endpoint,
         requestedAt: askedAt,
         untilMs: decidedAt + withinMs,
         isUnrestricted: false,
       })
-    if (prefill !== undefined && limited.prefillMs !== undefined) note('prefill', prefill, limited.prefillMs)
-    if (limited.decodeMs !== undefined) note('decode', decode, limited.decodeMs)
+    if (prefill !== undefined && limited.prefillMs !== undefined)
+      addGrant('prefill', prefill, limited.prefillMs)
+    if (limited.decodeMs !== undefined) addGrant('decode', decode, limited.decodeMs)
   }
 
   /**
--- a/request/gateway/src/ingress.ts
+++ b/request/gateway/src/ingress.ts
@@ -12,7 +12,7 @@
 import { ReturnDetector } from './returnDetector'
 import { allowedRegions } from './regionRule'
 import { sendOwnAnswer } from './ownAnswer'
-import { CALLER_GONE } from './relayAnswers'
+import { CALLER_DISCONNECTED } from './relayAnswers'
 import { relayPlain } from './plainRelay'
 import type { TokenCounts } from './gatewayWire'
 import type { RelayParts, RelayResult } from './relayParts'
@@ -71,7 +71,7 @@
   private isClosed = false
   /** Whether this entry has closed all connections, so that later disconnects are not the callers' doing. */
   private hasClosedAll = false
-  private readonly deadlines = new ReturnDetector()
+  private readonly returnDetector = new ReturnDetector()
   private served = 0
 
   constructor(private readonly options: IngressOptions) {
@@ -225,12 +225,12 @@
     const { admission, parts } = this.options
     const tokens = tokenCountsOf(request, parts.wire)
     if (tokens === 'malformed') return { route: route.name, ...answerMalformedCounts(request) }
-    const entrant = await admission.admit(request, route, index, tokens)
-    if (entrant.type === 'answered') return { route: route.name, ...entrant.result }
-    const result = await this.relay(entrant, route, index, tokens)
+    const admitted = await admission.admit(request, route, index, tokens)
+    if (admitted.type === 'answered') return { route: route.name, ...admitted.result }
+    const result = await this.relay(admitted, route, index, tokens)
     if (wasRunInFull(result)) parts.crashes?.recordServed(request.content)
-    if (result.hasNotRun === true) entrant.spent?.refund()
-    return { route: route.name, workspace: entrant.workspace?.name, ...result }
+    if (result.hasNotRun === true) admitted.spent?.refund()
+    return { route: route.name, workspace: admitted.workspace?.name, ...result }
   }
 
   private relay(
@@ -244,13 +244,13 @@
     const service = index.service(name)!
     parts.retryBudget.recordRequest(name)
     const endsAt = request.arrivedAt + Math.min(request.deadlineMs, route.timeoutMs)
-    const { isReturn, elapsedMs } = this.deadlines.judge(route.name, request.deadlineMs, route.targetMs)
+    const { isReturn, elapsedMs } = this.returnDetector.judge(route.name, request.deadlineMs, route.targetMs)
     // A caller that returns after an early refusal gets the full target again.
     const targetAt = request.arrivedAt + route.targetMs - (isReturn ? 0 : elapsedMs)
     const rank = rankOf(route, workspace)
     // A newer sheet also applies to requests in progress.
-    const homes = () => allowedRegions(routes() ?? index, { request, route, workspace: owner })
-    const job = { request, route, service, endsAt, targetAt, isReturn, tokens, rank, homes }
+    const regions = () => allowedRegions(routes() ?? index, { request, route, workspace: owner })
+    const job = { request, route, service, endsAt, targetAt, isReturn, tokens, rank, regions }
     const isModel = route.kind === 'streaming' && service.engine !== undefined
     return isModel ? relayStream(parts, job) : relayPlain(parts, job)
   }
@@ -258,7 +258,7 @@
   private report(request: CallerRequest, { hasNotRun: _, ...result }: RoutedResult): void {
     const { parts, onResult } = this.options
     const tookMs = Math.round(parts.clock.now() - request.arrivedAt)
-    const isEndedHere = this.hasClosedAll && result.outcome === CALLER_GONE
+    const isEndedHere = this.hasClosedAll && result.outcome === CALLER_DISCONNECTED
     const outcome = isEndedHere ? ENTRY_ENDED : result.outcome
     const report = { request: request.id, tookMs, ...result, outcome }
     // Warnings are the last lines to be omitted from the log, so failures are logged as warnings.
--- a/request/gateway/src/isolatedPlace.ts
+++ b/request/gateway/src/isolatedPlace.ts
@@ -6,7 +6,7 @@
 import type { RelayJob, RelayParts } from './relayParts'
 
 /** An endpoint that is reserved for a request, when to ask again for one, or that none is needed. */
-export type PermittedPlace =
+export type TrialPlacement =
   | { type: 'place'; at: InRegion<PooledEndpoint>; end: () => void }
   | { type: 'later'; retryAfterMs: Millis }
   | { type: 'anywhere' }
@@ -27,7 +27,7 @@
   parts: RelayParts,
   job: RelayJob,
   isOver: () => boolean,
-): Promise<PermittedPlace> {
+): Promise<TrialPlacement> {
   const { clock } = parts
   const crashes = parts.crashes!
   const until = waitDeadline(parts, job)
@@ -49,7 +49,7 @@
   job: RelayJob,
   isNeeded: () => boolean,
   isOver: () => boolean,
-): Promise<PermittedPlace> {
+): Promise<TrialPlacement> {
   const { clock } = parts
   const crashes = parts.crashes!
   const until = waitDeadline(parts, job)
@@ -71,9 +71,9 @@
   job: RelayJob,
   endpoint: InstanceId,
   isOver: () => boolean,
-): PermittedPlace {
+): TrialPlacement {
   const end = () => crashes!.endIsolated(job.request.content(), job.service.name, endpoint)
-  const at = pool.getWithinRegions(endpoint, job.homes())
+  const at = pool.getWithinRegions(endpoint, job.regions())
   if (at !== undefined && !isOver()) return { type: 'place', at, end }
   end()
   return { type: 'later', retryAfterMs: UNAVAILABLE_RETRY_MS }
--- a/request/gateway/src/modelWork.ts
+++ b/request/gateway/src/modelWork.ts
@@ -30,7 +30,7 @@
     pauseMs: route.pauseMs,
     className: route.name,
     kvTokens: service.engine?.kvTokens,
-    regions: job.homes(),
+    regions: job.regions(),
     parts: promptPartsOf(request, wire, tokens),
   }
 }
--- a/request/gateway/src/permittedSends.ts
+++ b/request/gateway/src/permittedSends.ts
@@ -29,22 +29,22 @@
 
   /**
    * Returns how many more requests may be sent without the leader.
-   * @param leaderHeardAt when the leader last answered.
+   * @param leaderContactAt when the leader last answered.
    * @param perSecond the rate that the endpoint advertises now: requests sent under a higher one count for less.
    */
-  remaining(id: InstanceId, leaderHeardAt: Millis, perSecond: number, now: Millis): number {
+  remaining(id: InstanceId, leaderContactAt: Millis, perSecond: number, now: Millis): number {
     const all = this.sent.get(id)
     if (all === undefined) return 0
-    const led = all.filter(
-      ({ at }) => at > leaderHeardAt - this.windowMs && at <= leaderHeardAt + PERMIT_LASTS_MS,
+    const sentWithLeader = all.filter(
+      ({ at }) => at > leaderContactAt - this.windowMs && at <= leaderContactAt + PERMIT_LASTS_MS,
     )
-    const lately = all.filter(({ at }) => at > now - this.windowMs).length
-    return Math.floor(led.reduce((sum, one) => sum + weightOf(one, perSecond), 0)) - lately
+    const recentCount = all.filter(({ at }) => at > now - this.windowMs).length
+    return Math.floor(sentWithLeader.reduce((sum, one) => sum + weightOf(one, perSecond), 0)) - recentCount
   }
 
   /** Forgets sends that no window covers any more, and endpoints that are not limited. To be called periodically. */
-  sweep(leaderHeardAt: Millis, now: Millis, isBound: (id: InstanceId) => boolean): void {
-    const since = Math.min(leaderHeardAt, now) - this.windowMs
+  sweep(leaderContactAt: Millis, now: Millis, isBound: (id: InstanceId) => boolean): void {
+    const since = Math.min(leaderContactAt, now) - this.windowMs
     for (const [id, all] of this.sent) {
       const kept = all.filter(
         ({ at, permittedPerSecond }) =>
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -1,4 +1,4 @@
-import { MUST_BE_ISOLATED, type PermittedPlace } from './isolatedPlace'
+import { MUST_BE_ISOLATED, type TrialPlacement } from './isolatedPlace'
 import type { InRegion } from '@forkstage/topology'
 import type { Millis } from '@forkstage/types'
 import type { AnswerHead, Exchange } from './exchange'
@@ -12,7 +12,13 @@
 import { RATE_LIMIT_REASON } from './endpointRateLimiter'
 import { readVerdict } from './readVerdict'
 import { sendEndpointAnswer } from './ownAnswer'
-import { answerFailure, answerRefusal, CALLER_GONE, NOT_RUN_STATUSES, type OwnResult } from './relayAnswers'
+import {
+  answerFailure,
+  answerRefusal,
+  CALLER_DISCONNECTED,
+  NOT_RUN_STATUSES,
+  type OwnResult,
+} from './relayAnswers'
 import {
   ANSWER_MARGIN_MS,
   CONNECT_MS,
@@ -91,7 +97,7 @@
         return this.endWithoutAnswer(failed, MUST_BE_ISOLATED, permit.retryAfterMs)
       const to = permit.type === 'place' ? permit.at : await this.chooseEndpoint()
       if (this.isOver) return this.overResult()
-      if (to === undefined) return this.endWithoutAnswer(failed, this.whyNone())
+      if (to === undefined) return this.endWithoutAnswer(failed, this.whyNoEndpoint())
       // While it waited, other requests may have taken the room, and the same content may have crashed endpoints.
       if (permit.type !== 'place' && (!this.hasRoom(to) || this.crashGuard.isOutdated(decision))) continue
       const sending = await this.sendTo(to, permit)
@@ -113,12 +119,12 @@
     const left = request.arrivedAt + route.targetMs * share - clock.now()
     // Waiting is pointless if no endpoint may get the request within the time that is left to wait.
     const { pool, limits } = this.parts
-    const all = pool.candidates(this.job.service.name, { regions: this.job.homes() })
+    const all = pool.candidates(this.job.service.name, { regions: this.job.regions() })
     limits?.requestPermits(all)
     const cannotSucceed =
       pool.isFullyBarred(this.job.service.name) ||
       (this.coldWait() ?? 0) > left ||
-      (this.closed()?.leftMs ?? 0) > left ||
+      (this.unavailability()?.leftMs ?? 0) > left ||
       limits?.haveZeroRates(all) === true
     const limit = cannotSucceed ? 0 : Math.max(0, left)
     return waitFor(clock, limit, () => (this.isOver ? undefined : this.leastLoadedWithRoom()))
@@ -143,38 +149,40 @@
   /** Returns the endpoints that may get the request and whose rate limits allow it now, without those in `except`. */
   private usable(except?: ReadonlySet<string>): InRegion<PooledEndpoint>[] {
     const { pool, limits } = this.parts
-    const candidates = pool.candidates(this.job.service.name, { except, regions: this.job.homes() })
+    const candidates = pool.candidates(this.job.service.name, { except, regions: this.job.regions() })
     return limits?.eligible(candidates) ?? candidates
   }
 
-  private whyNone(): string {
+  private whyNoEndpoint(): string {
     const { pool } = this.parts
-    const { service, homes } = this.job
+    const { service, regions } = this.job
     if (pool.isFullyBarred(service.name)) return EVACUATED
     if (this.coldWait() !== undefined) return COLD_LIMIT_REASON
-    const closed = this.closed()
-    if (closed !== undefined) return closed.reason
-    const there = pool.candidates(service.name, { regions: homes() })
+    const unavailability = this.unavailability()
+    if (unavailability !== undefined) return unavailability.reason
+    const there = pool.candidates(service.name, { regions: regions() })
     if (this.parts.limits?.isExhausted(there) === true) return RATE_LIMIT_REASON
     if (there.length > 0) return 'no room in time'
     return pool.hasEndpoints(service.name) ? OUTSIDE_REGIONS : 'no endpoint'
   }
 
   /** Returns why and for how long all endpoints are closed to this entry; undefined if one is open. */
-  private closed(): PoolUnavailability | undefined {
-    return this.parts.pool.unavailability(this.job.service.name, { regions: this.job.homes() })
+  private unavailability(): PoolUnavailability | undefined {
+    return this.parts.pool.unavailability(this.job.service.name, { regions: this.job.regions() })
   }
 
   /** Returns the time until this entry may use a cold endpoint again; undefined unless all are cold and exhausted. */
   private coldWait(): Millis | undefined {
     const { pool, cold } = this.parts
-    const waitMs = cold?.availableInMs(pool.candidates(this.job.service.name, { regions: this.job.homes() }))
+    const waitMs = cold?.availableInMs(
+      pool.candidates(this.job.service.name, { regions: this.job.regions() }),
+    )
     return waitMs !== undefined && waitMs > 0 ? waitMs : undefined
   }
 
   private async sendTo(
     to: InRegion<PooledEndpoint>,
-    permit: PermittedPlace,
+    permit: TrialPlacement,
   ): Promise<SendingResult | undefined> {
     if (permit.type !== 'place') return this.send(to)
     this.job.isolatedId = to.endpoint.id
@@ -297,8 +305,9 @@
   ): OwnResult {
     if (failed?.type === 'answer') return this.forwardAnswer(failed)
     if (this.possibleRuns > 0) return answerFailure(this.job.request.response, 502, reason)
-    const comeBackMs = retryAfterMs ?? this.coldWait() ?? this.closed()?.retryAfterMs ?? RETRY_AFTER_MS
-    return answerRefusal(this.job.request.response, reason, comeBackMs)
+    const callerRetryMs =
+      retryAfterMs ?? this.coldWait() ?? this.unavailability()?.retryAfterMs ?? RETRY_AFTER_MS
+    return answerRefusal(this.job.request.response, reason, callerRetryMs)
   }
 
   /** Answers a request whose time is up; a sending in progress may still run. */
@@ -315,7 +324,7 @@
   }
 
   private overResult(): OwnResult {
-    if (this.job.request.isDisconnected()) return { status: 0, outcome: CALLER_GONE }
+    if (this.job.request.isDisconnected()) return { status: 0, outcome: CALLER_DISCONNECTED }
     return { status: 504, outcome: 'the time is up' }
   }
 }
--- a/request/gateway/src/promptPrefill.ts
+++ b/request/gateway/src/promptPrefill.ts
@@ -91,7 +91,7 @@
     const lasts = (this.job.service.engine?.handleMs ?? 0) * USABLE_HANDLE_SHARE
     return (
       this.prefilled !== undefined &&
-      this.isAtHome(this.prefilled) &&
+      this.isInAllowedRegion(this.prefilled) &&
       this.prefilled.requestedAt >= this.parts.clock.suspendedAt() &&
       this.parts.clock.now() - this.prefilled.createdAt < lasts
     )
@@ -105,7 +105,7 @@
     const { parts, job } = this
     const withheld = whyNotSend(parts, job, at.endpoint, 'decode')
     if (withheld !== undefined) this.exclude(at, withheld)
-    if (this.prefilled === undefined || this.isAtHome(this.prefilled)) return withheld
+    if (this.prefilled === undefined || this.isInAllowedRegion(this.prefilled)) return withheld
     this.release()
     return withheld ?? 'the prompt was read in a region that is no home any more'
   }
@@ -115,8 +115,8 @@
     if (!TRANSIENT_REASONS.has(withheld)) this.context.except.add(at.endpoint.id)
   }
 
-  private isAtHome({ at }: Prefilled): boolean {
-    return this.parts.pool.getWithinRegions(at.endpoint.id, this.job.homes()) !== undefined
+  private isInAllowedRegion({ at }: Prefilled): boolean {
+    return this.parts.pool.getWithinRegions(at.endpoint.id, this.job.regions()) !== undefined
   }
 
   /** Records that a decode engine has fetched the KV cache. */
--- a/request/gateway/src/readVerdict.ts
+++ b/request/gateway/src/readVerdict.ts
@@ -23,6 +23,6 @@
   const isOwn = verdict === 'answer' || isPrefilled
   const isSuccess = isOwn && head.status >= 200 && head.status < 300
   recordStatements(parts, at, head, { request: request.id, isSuccess })
-  if (isOwn) parts.statements?.recordSuccess(at.endpoint.id)
+  if (isOwn) parts.availability?.recordSuccess(at.endpoint.id)
   return verdict
 }
--- a/request/gateway/src/recordStatements.ts
+++ b/request/gateway/src/recordStatements.ts
@@ -26,14 +26,14 @@
   { request, isSuccess = false }: AnswerContext,
 ): void {
   recordRate(parts, at, head, isSuccess)
-  const { wire, statements, pool } = parts
-  if (statements === undefined) return
+  const { wire, availability, pool } = parts
+  if (availability === undefined) return
   const { id } = at.endpoint
   // Repeated header fields are joined with commas.
   const values = firstValue(head.headers[wire.headers.leaving])?.split(',') ?? []
   if (values.some((value) => wire.readLeaving(value.trim()))) {
-    statements.recordLeaving(id, request)
+    availability.recordLeaving(id, request)
     pool.recordLeaving(at)
   }
-  statements.recordRetryAfter(id, readRetryAfter(head), request)
+  availability.recordRetryAfter(id, readRetryAfter(head), request)
 }
--- a/request/gateway/src/regionRule.ts
+++ b/request/gateway/src/regionRule.ts
@@ -37,16 +37,16 @@
 
 /** Withholds sends to endpoints outside the regions that apply to the request at that moment. */
 export function regionRule(topology: Topology): SendRule {
-  return (to, job) => (isWithinRegions(topology, to.zone, job.homes()) ? undefined : OUTSIDE_REGIONS)
+  return (to, job) => (isWithinRegions(topology, to.zone, job.regions()) ? undefined : OUTSIDE_REGIONS)
 }
 
 /** Whether a request's service has endpoints and all of them are outside its regions. */
 export function isOnlyOutsideRegions(
   pool: EndpointPool,
-  { service, homes }: RelayJob,
+  { service, regions: getRegions }: RelayJob,
   stage?: Stage,
 ): boolean {
-  const regions = homes()
+  const regions = getRegions()
   if (regions === undefined || pool.hasEndpoints(service.name, { stage, regions })) return false
   return pool.hasEndpoints(service.name, { stage })
 }
--- a/request/gateway/src/relayAnswers.ts
+++ b/request/gateway/src/relayAnswers.ts
@@ -9,7 +9,7 @@
 export const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
 
 /** The outcome of a request whose caller closed its connection. */
-export const CALLER_GONE = 'caller gone'
+export const CALLER_DISCONNECTED = 'caller gone'
 
 /** The result that is logged for a request, without its sendings. */
 export type OwnResult = Omit<RelayResult, 'sends'>
--- a/request/gateway/src/relayParts.ts
+++ b/request/gateway/src/relayParts.ts
@@ -39,7 +39,7 @@
   /** Stores the rates that endpoints name; they are ignored if absent. */
   rates?: RateTable
   /** Stores what endpoints state in their answers, such as leaving; ignored if absent. */
-  statements?: AvailabilityTracker
+  availability?: AvailabilityTracker
   /** How long an endpoint keeps serving after it announced that it leaves; taken as 0 if absent. */
   leavingServesMs?: Millis
   /** Tracks requests that crash endpoints; not tracked if absent. */
@@ -106,7 +106,7 @@
   /** Whether the request is a retry after a refusal or a failure. */
   isReturn: boolean
   /** Returns the regions that may serve the request, by the route sheet in force at the time of the call. */
-  homes: () => AllowedRegions
+  regions: () => AllowedRegions
   /** Tokens that the request declares, if any. */
   tokens?: TokenCounts
   /** Id of the endpoint that is reserved for the request at the moment. */
--- a/request/gateway/src/retainedRun.ts
+++ b/request/gateway/src/retainedRun.ts
@@ -22,7 +22,7 @@
 /** Tracks which engines a run that this entry stopped may resume at, and until when. */
 export class RetainedRun {
   private readonly expiresAt: Millis
-  private readonly goneEngines = new Set<PooledEndpoint>()
+  private readonly excludedEngines = new Set<PooledEndpoint>()
   private tried: PooledEndpoint[] = []
   /** How many rounds over all usable engines have been completed. */
   rounds = 0
@@ -59,8 +59,8 @@
   }
 
   /** Excludes an engine whose instance is gone. */
-  markGone(engine: PooledEndpoint): void {
-    this.goneEngines.add(engine)
+  exclude(engine: PooledEndpoint): void {
+    this.excludedEngines.add(engine)
   }
 
   /** Releases the KV cache at the source engine. */
@@ -74,7 +74,9 @@
 
   private engines(): InRegion<PooledEndpoint>[] {
     const { copiedTo, source } = this.run
-    return [copiedTo, source].filter((one) => one !== undefined).filter((one) => !this.goneEngines.has(one))
+    return [copiedTo, source]
+      .filter((one) => one !== undefined)
+      .filter((one) => !this.excludedEngines.has(one))
   }
 
   private acceptsWork(one: PooledEndpoint): boolean {
--- a/request/gateway/src/runMigrations.ts
+++ b/request/gateway/src/runMigrations.ts
@@ -58,7 +58,7 @@
     this.migration = migration
     const isCopied = await migration.copy()
     // The rest must not be copied to a region that may no longer serve the request.
-    const isAllowed = parts.pool.getWithinRegions(to.endpoint.id, job.homes()) !== undefined
+    const isAllowed = parts.pool.getWithinRegions(to.endpoint.id, job.regions()) !== undefined
     const isSame = this.isRunning() && context.exchange === stream && isAllowed
     this.sending = isCopied && isSame ? this.sendCounter.open('decode') : undefined
     if (this.sending !== undefined) return migration.stop()
@@ -123,7 +123,7 @@
   }
 
   private recordRefusal(at: PooledEndpoint, isInstanceGone: boolean): void {
-    if (isInstanceGone) this.retained?.markGone(at)
+    if (isInstanceGone) this.retained?.exclude(at)
   }
 
   private openSending(): CountedSending | undefined {
--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -14,7 +14,7 @@
 export const EVACUATED = 'evacuated'
 
 /** The endpoint is reserved for a request that must run alone. */
-export const KEPT_FREE = 'kept free'
+export const RESERVED = 'kept free'
 
 /** The placement dates from before this box was suspended. */
 export const SUSPENDED = 'placed before a suspension'
@@ -62,12 +62,12 @@
  * placement does not override the statement, but an endpoint that leaves still gets placed requests for a grace period.
  */
 function whyNotByStatement(parts: RelayParts, id: InstanceId, retainsRun: boolean): string | undefined {
-  const { statements, clock } = parts
-  const bound = statements?.unavailability(id)
-  const leavingSince = statements?.leavingSince(id) ?? -Infinity
+  const { availability, clock } = parts
+  const bound = availability?.unavailability(id)
+  const leavingSince = availability?.leavingSince(id) ?? -Infinity
   const isJustLeaving =
     bound?.reason === LEAVING_REASON && clock.now() < leavingSince + leavingGraceMs(parts, retainsRun)
   if (bound !== undefined && !isJustLeaving) return bound.reason
-  statements?.recordSent(id)
+  availability?.recordSent(id)
   return undefined
 }
--- a/request/gateway/src/workspaceAdmission.ts
+++ b/request/gateway/src/workspaceAdmission.ts
@@ -78,16 +78,16 @@
     tokens: TokenCounts | undefined,
   ): Promise<AdmittedRequest | RejectedRequest> {
     const { wire, quotas, clock, logger } = this.options
-    const passed: AdmittedRequest = {
+    const admitted: AdmittedRequest = {
       type: 'passed',
       request: withWorkspace(request, workspace.name, wire),
       workspace,
       owner: workspace,
     }
-    if (workspace.quota === undefined) return passed
+    if (workspace.quota === undefined) return admitted
     const units = unitsOf(workspace.quota, tokens)
     const verdict = await quotas.admit(workspace, units)
-    if (verdict.type === 'admitted') return { ...passed, spent: verdict.spent }
+    if (verdict.type === 'admitted') return { ...admitted, spent: verdict.spent }
     const { level, ageMs, isAlone, retryAfterMs } = verdict
     logger.info('quota.refused', {
       request: request.id,
--- a/request/gateway/test/advertisedRates.test.ts
+++ b/request/gateway/test/advertisedRates.test.ts
@@ -21,12 +21,12 @@
 /** Returns the rate that an entry has recorded after answers of one endpoint, given in turn. */
 async function recordedRate(answers: ((request: SeenRequest) => void)[], stage?: Stage) {
   let next = 0
-  const { world } = await startRelay([[stage, (request) => answers[next++]!(request)]], {
+  const { harness } = await startRelay([[stage, (request) => answers[next++]!(request)]], {
     kind: stage ? 'streaming' : 'unsafe',
   })
   for (let sent = 0; sent < answers.length; sent += 1)
-    await world.send('/p/', { body: 'x', headers: { 'x-tokens': '10,10' } })
-  return world.rates.rateOf('i-0')
+    await harness.send('/p/', { body: 'x', headers: { 'x-tokens': '10,10' } })
+  return harness.rates.rateOf('i-0')
 }
 
 describe('the rate that an endpoint advertises in its answers', () => {
@@ -55,13 +55,13 @@
       let next = 0
       const reader = (request: SeenRequest) =>
         request.line.startsWith('DELETE') ? bare(200, '')(request) : answers[next++]!(request)
-      const { world } = await startRelay([
+      const { harness } = await startRelay([
         ['decode', streams],
         ['prefill', reader],
       ])
       for (let sent = 0; sent < answers.length; sent += 1)
-        await world.send('/p/', { body: 'x', headers: { 'x-tokens': '10,10' } })
-      return world.rates.rateOf('i-1')
+        await harness.send('/p/', { body: 'x', headers: { 'x-tokens': '10,10' } })
+      return harness.rates.rateOf('i-1')
     }
     expect(await rateAfterPrefills(bare(200, 'handle1', 'x-takes: 3.3'))).toBe(3.3)
     expect(
@@ -74,7 +74,7 @@
   })
 
   it('is forwarded to the caller unchanged', async () => {
-    const { world } = await startRelay([[undefined, answering('x-takes: 3.5')]])
-    expect((await world.send('/p/', { body: 'x' })).headers['x-takes']).toBe('3.5')
+    const { harness } = await startRelay([[undefined, answering('x-takes: 3.5')]])
+    expect((await harness.send('/p/', { body: 'x' })).headers['x-takes']).toBe('3.5')
   })
 })
--- a/request/gateway/test/backoffEndpoints.test.ts
+++ b/request/gateway/test/backoffEndpoints.test.ts
@@ -7,12 +7,12 @@
 import { BackoffHarness } from './backoffHarness'
 
 const open: BackoffHarness[] = []
-afterEach(async () => void (await Promise.all(open.splice(0).map((world) => world.stop()))))
+afterEach(async () => void (await Promise.all(open.splice(0).map((harness) => harness.stop()))))
 
 async function start(entries: number, workers?: number): Promise<BackoffHarness> {
-  const world = await BackoffHarness.start(entries, workers)
-  open.push(world)
-  return world
+  const harness = await BackoffHarness.start(entries, workers)
+  open.push(harness)
+  return harness
 }
 
 /** Requests of one entry that may reach an endpoint during one backoff. */
@@ -20,65 +20,65 @@
 
 describe('endpoints that ask for backoff', () => {
   it('get at most two more requests from each entry during the backoff, and callers are served elsewhere', async () => {
-    const world = await start(8)
-    await world.runLoad(30, 3_000)
-    const since = world.clock.now()
-    world.startRejecting(2, 9_000, () => '3')
-    await world.runLoad(30, 9_000)
-    await world.drain()
-    expect(world.workers[2]!.maxInBackoff()).toBeLessThanOrEqual(MAX_IN_BACKOFF)
-    expect(world.servedInTime(since)).toBeGreaterThan(0.97)
+    const harness = await start(8)
+    await harness.runLoad(30, 3_000)
+    const since = harness.clock.now()
+    harness.startRejecting(2, 9_000, () => '3')
+    await harness.runLoad(30, 9_000)
+    await harness.drain()
+    expect(harness.workers[2]!.maxInBackoff()).toBeLessThanOrEqual(MAX_IN_BACKOFF)
+    expect(harness.servedInTime(since)).toBeGreaterThan(0.97)
   })
 
   it('reject at most one request per entry and backoff, apart from those in transit', async () => {
-    const world = await start(8)
-    await world.runLoad(30, 3_000)
-    world.startRejecting(2, 9_000, () => '3')
-    const from = world.clock.now()
-    await world.runLoad(30, 9_000)
+    const harness = await start(8)
+    await harness.runLoad(30, 3_000)
+    harness.startRejecting(2, 9_000, () => '3')
+    const from = harness.clock.now()
+    await harness.runLoad(30, 9_000)
     // Eight entries with three backoffs each.
-    expect(world.workers[2]!.rateWithin(from, world.clock.now()) * 9).toBeLessThanOrEqual(8 * 4)
+    expect(harness.workers[2]!.rateWithin(from, harness.clock.now()) * 9).toBeLessThanOrEqual(8 * 4)
   })
 
   it('get as many requests as before within 2 s of their recovery', async () => {
-    const world = await start(8)
-    await world.runLoad(30, 5_000)
-    const before = world.workers[2]!.rateWithin(world.clock.now() - 4_000, world.clock.now())
-    world.startRejecting(2, 6_000, (leftMs) => String(Math.max(0.1, leftMs / 1_000)))
-    await world.runLoad(30, 8_000)
-    const from = world.clock.now()
-    await world.runLoad(30, 6_000)
-    expect(world.workers[2]!.rateWithin(from, world.clock.now())).toBeGreaterThan(before * 0.7)
+    const harness = await start(8)
+    await harness.runLoad(30, 5_000)
+    const before = harness.workers[2]!.rateWithin(harness.clock.now() - 4_000, harness.clock.now())
+    harness.startRejecting(2, 6_000, (leftMs) => String(Math.max(0.1, leftMs / 1_000)))
+    await harness.runLoad(30, 8_000)
+    const from = harness.clock.now()
+    await harness.runLoad(30, 6_000)
+    expect(harness.workers[2]!.rateWithin(from, harness.clock.now())).toBeGreaterThan(before * 0.7)
   })
 
   it('get nothing if all ask for backoff: callers are refused at once as not run, until one has recovered', async () => {
-    const world = await start(4, 2)
-    await world.runLoad(20, 1_000)
-    world.startRejecting(0, 4_000, (leftMs) => String(leftMs / 1_000))
-    world.startRejecting(1, 6_000, (leftMs) => String(leftMs / 1_000))
-    const wellAt = world.clock.now() + 4_000
-    await world.runLoad(20, 1_000)
-    const since = world.clock.now()
-    const before = world.workers.map(({ arrivals }) => arrivals.length)
-    await world.runLoad(20, 2_000)
-    await world.drain()
-    expect(world.workers.map(({ arrivals }) => arrivals.length)).toEqual(before)
-    const refused = world.outcomes.filter(({ sentAt }) => sentAt >= since)
+    const harness = await start(4, 2)
+    await harness.runLoad(20, 1_000)
+    harness.startRejecting(0, 4_000, (leftMs) => String(leftMs / 1_000))
+    harness.startRejecting(1, 6_000, (leftMs) => String(leftMs / 1_000))
+    const recoversAt = harness.clock.now() + 4_000
+    await harness.runLoad(20, 1_000)
+    const since = harness.clock.now()
+    const before = harness.workers.map(({ arrivals }) => arrivals.length)
+    await harness.runLoad(20, 2_000)
+    await harness.drain()
+    expect(harness.workers.map(({ arrivals }) => arrivals.length)).toEqual(before)
+    const refused = harness.outcomes.filter(({ sentAt }) => sentAt >= since)
     expect(refused.length).toBeGreaterThan(30)
     for (const { status, tookMs, retryAfter, sentAt } of refused) {
       expect(status).toBe(503)
       expect(tookMs).toBeLessThanOrEqual(50)
-      expect(sentAt + retryAfter! * 1_000).toBeGreaterThanOrEqual(wellAt)
-      expect(sentAt + retryAfter! * 1_000).toBeLessThan(wellAt + 2_000)
+      expect(sentAt + retryAfter! * 1_000).toBeGreaterThanOrEqual(recoversAt)
+      expect(sentAt + retryAfter! * 1_000).toBeLessThan(recoversAt + 2_000)
     }
   })
 
   it.each([1, 2, 3, 4, 5, 6])(
     'get no more than that for arbitrary header values and times (seed %i)',
     async (seed) => {
-      const world = await start(12, 4)
+      const harness = await start(12, 4)
       const random = createSeededRandom(seed)
-      const words = [
+      const headerValues = [
         () => '3',
         () => '0.2',
         () => '0',
@@ -88,11 +88,11 @@
         () => undefined,
       ]
       for (let second = 0; second < 20; second += 1) {
-        const word = words[Math.floor(random() * words.length)]!
-        if (random() < 0.5) world.startRejecting(Math.floor(random() * 4), random() * 6_000, word)
-        await world.runLoad(60, 1_000)
+        const headerValue = headerValues[Math.floor(random() * headerValues.length)]!
+        if (random() < 0.5) harness.startRejecting(Math.floor(random() * 4), random() * 6_000, headerValue)
+        await harness.runLoad(60, 1_000)
       }
-      expect(world.workers.map((one) => Math.max(0, one.maxInBackoff() - MAX_IN_BACKOFF))).toEqual([
+      expect(harness.workers.map((one) => Math.max(0, one.maxInBackoff() - MAX_IN_BACKOFF))).toEqual([
         0, 0, 0, 0,
       ])
     },
@@ -101,14 +101,14 @@
 
 describe('endpoints that announce in their answers that they leave', () => {
   it('get nothing more from the entries that know, whose callers are served elsewhere', async () => {
-    const world = await start(8)
-    await world.runLoad(30, 3_000)
-    world.workers[1]!.leaves = true
-    const since = world.clock.now()
-    await world.runLoad(30, 6_000)
-    await world.drain()
-    expect(world.workers[1]!.toldLeaving.size).toBe(8)
-    expect(world.workers[1]!.afterLeaving()).toBe(0)
-    expect(world.servedInTime(since)).toBeGreaterThan(0.99)
+    const harness = await start(8)
+    await harness.runLoad(30, 3_000)
+    harness.workers[1]!.leaves = true
+    const since = harness.clock.now()
+    await harness.runLoad(30, 6_000)
+    await harness.drain()
+    expect(harness.workers[1]!.leavingKnownAt.size).toBe(8)
+    expect(harness.workers[1]!.afterLeaving()).toBe(0)
+    expect(harness.servedInTime(since)).toBeGreaterThan(0.99)
   })
 })
--- a/request/gateway/test/backoffEngines.test.ts
+++ b/request/gateway/test/backoffEngines.test.ts
@@ -19,42 +19,43 @@
 
 describe('engines that ask for backoff', () => {
   it('get no stream during the backoff', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       ['decode', asksForBackoff],
       ['decode', streams],
     ])
-    for (let sent = 0; sent < 4; sent += 1) expect((await world.send('/p/', MODEL)).status).toBe(200)
+    for (let sent = 0; sent < 4; sent += 1) expect((await harness.send('/p/', MODEL)).status).toBe(200)
     expect(seen()).toEqual([1, 4])
   })
 
   it('get no prompt during the backoff', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       ['decode', streams],
       ['prefill', asksForBackoff],
       ['prefill', reads],
     ])
-    for (let sent = 0; sent < 4; sent += 1) expect((await world.send('/p/', MODEL)).status).toBe(200)
+    for (let sent = 0; sent < 4; sent += 1) expect((await harness.send('/p/', MODEL)).status).toBe(200)
     expect(seen()).toEqual([4, 1, 4])
   })
 
   it('do not get a request that was placed there before they asked for backoff', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       ['decode', streams],
       ['decode', streams],
     ])
-    world.onPlace = () => world.statements.recordRetryAfter('i-0', { type: 'rest', forMs: 30_000 }, 'another')
-    expect((await world.send('/p/', MODEL)).status).toBe(200)
+    harness.onPlace = () =>
+      harness.availability.recordRetryAfter('i-0', { type: 'rest', forMs: 30_000 }, 'another')
+    expect((await harness.send('/p/', MODEL)).status).toBe(200)
     expect(seen()).toEqual([0, 1])
   })
 
   it('get nothing if all ask for backoff: callers are refused as not run, until one has recovered', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       ['decode', asksForBackoff],
       ['decode', asksForBackoff],
     ])
-    await world.send('/p/', MODEL)
+    await harness.send('/p/', MODEL)
     const before = seen()
-    const refused = await world.send('/p/', MODEL)
+    const refused = await harness.send('/p/', MODEL)
     expect(seen()).toEqual(before)
     expect(refused.status).toBe(503)
     expect(Number(refused.headers['retry-after'])).toBeGreaterThan(25)
@@ -65,16 +66,16 @@
 describe('engines that announce in their answers that they leave', () => {
   it('finish their streams and get no more requests', async () => {
     const waiting: (() => void)[] = []
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       ['decode', leaves(waiting)],
       ['decode', streams],
     ])
-    const first = world.open('/p/', { ...MODEL, method: 'POST' })
+    const first = harness.open('/p/', { ...MODEL, method: 'POST' })
     first.request.end('x')
     await new Promise((resolve) => first.request.once('response', resolve))
     waiting.forEach((end) => end())
     expect(await first.answer).toMatchObject({ status: 200, isWhole: true, body: event(1) + event(2) })
-    for (let sent = 0; sent < 3; sent += 1) expect((await world.send('/p/', MODEL)).status).toBe(200)
+    for (let sent = 0; sent < 3; sent += 1) expect((await harness.send('/p/', MODEL)).status).toBe(200)
     expect(seen()).toEqual([1, 3])
   })
 })
--- a/request/gateway/test/backoffHarness.ts
+++ b/request/gateway/test/backoffHarness.ts
@@ -32,7 +32,7 @@
   readonly arrivals: Arrival[] = []
   readonly backoffs: Notice[] = []
   /** When each entry first got an answer that announces that the endpoint leaves. */
-  readonly toldLeaving = new Map<number, number>()
+  readonly leavingKnownAt = new Map<number, number>()
 
   /** Returns the highest number of requests from one entry within one backoff, without those in transit. */
   maxInBackoff(): number {
@@ -47,8 +47,9 @@
 
   /** Returns the number of requests from entries that knew that it leaves, without those in transit. */
   afterLeaving(): number {
-    return this.arrivals.filter(({ at, entry }) => at > (this.toldLeaving.get(entry) ?? Infinity) + GRACE_MS)
-      .length
+    return this.arrivals.filter(
+      ({ at, entry }) => at > (this.leavingKnownAt.get(entry) ?? Infinity) + GRACE_MS,
+    ).length
   }
 
   /** Returns the arrivals per second in a time span, from all entries. */
@@ -62,47 +63,51 @@
   readonly workers: BackoffWorker[] = []
 
   static async start(entryCount: number, workerCount = 3): Promise<BackoffHarness> {
-    const world = new BackoffHarness(entryCount)
-    for (let index = 0; index < workerCount; index += 1) world.workers.push(new BackoffWorker())
-    await world.open(workerCount)
-    return world
+    const harness = new BackoffHarness(entryCount)
+    for (let index = 0; index < workerCount; index += 1) harness.workers.push(new BackoffWorker())
+    await harness.open(workerCount)
+    return harness
   }
 
-  /** Makes an endpoint reject all requests for `forMs`, with the `Retry-After` value that `says` returns. */
-  startRejecting(index: number, forMs: number, says: BackoffWorker['retryAfter'] = () => undefined): void {
+  /** Makes an endpoint reject all requests for `forMs`, with the `Retry-After` value that `retryAfter` returns. */
+  startRejecting(
+    index: number,
+    forMs: number,
+    retryAfter: BackoffWorker['retryAfter'] = () => undefined,
+  ): void {
     const one = this.workers[index]!
     one.rejectsUntilMs = this.clock.now() + forMs
-    one.retryAfter = says
+    one.retryAfter = retryAfter
   }
 
   protected override partsOf(): Partial<RelayParts> {
     const { clock, random } = this
-    const statements = new AvailabilityTracker({ clock, random, logger: createSilentLogger() })
-    every(clock, SECOND_MS, () => statements.sweep(() => true))
-    return { statements }
+    const availability = new AvailabilityTracker({ clock, random, logger: createSilentLogger() })
+    every(clock, SECOND_MS, () => availability.sweep(() => true))
+    return { availability }
   }
 
   protected override work(index: number, request: SeenRequest, entry: number): Work {
     const { clock } = this
     const one = this.workers[index]!
     one.arrivals.push({ at: clock.now(), entry })
-    const isAway = clock.now() < one.rejectsUntilMs
-    const answer = () => (isAway ? this.rejected(one, entry) : this.served(one, request, entry))
-    return { inMs: isAway ? REJECT_MS : WORK_MS, answer }
+    const isRejecting = clock.now() < one.rejectsUntilMs
+    const answer = () => (isRejecting ? this.rejected(one, entry) : this.served(one, request, entry))
+    return { inMs: isRejecting ? REJECT_MS : WORK_MS, answer }
   }
 
   private rejected(one: BackoffWorker, entry: number): string {
     const at = this.clock.now()
-    const says = one.retryAfter?.(one.rejectsUntilMs - at)
-    const untilMs = says === undefined ? 0 : Number(says) * SECOND_MS
+    const retryAfter = one.retryAfter?.(one.rejectsUntilMs - at)
+    const untilMs = retryAfter === undefined ? 0 : Number(retryAfter) * SECOND_MS
     if (untilMs > 0) one.backoffs.push({ at, entry, untilMs })
-    const rows = says === undefined ? [] : [`Retry-After: ${says}`]
+    const rows = retryAfter === undefined ? [] : [`Retry-After: ${retryAfter}`]
     return ['HTTP/1.1 503 No', 'x-not-run: 1', ...rows, 'Content-Length: 0', '', ''].join('\r\n')
   }
 
   private served(one: BackoffWorker, request: SeenRequest, entry: number): string {
     if (!one.leaves) return goodAnswer(request, 'hello')
-    if (!one.toldLeaving.has(entry)) one.toldLeaving.set(entry, this.clock.now())
+    if (!one.leavingKnownAt.has(entry)) one.leavingKnownAt.set(entry, this.clock.now())
     return goodAnswer(request, 'hello', ['x-leaves: yes'])
   }
 }
--- a/request/gateway/test/begunAnswers.test.ts
+++ b/request/gateway/test/begunAnswers.test.ts
@@ -18,7 +18,7 @@
   type Engine,
 } from './migrationHarness'
 
-const turnsAway: Engine['stream'] = ({ socket }) =>
+const refuses: Engine['stream'] = ({ socket }) =>
   void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
 
 /** Starts a stream that runs until it is stopped or broken off; answers later streams with `next`. */
@@ -33,10 +33,10 @@
 }
 
 /** Rejects streams `times` times, then streams the events after the last event id that a request names. */
-function turnsAwayFirst(times: number, last: number): Engine['stream'] {
+function refusesFirst(times: number, last: number): Engine['stream'] {
   let left = times
   return (request, engine) => {
-    if (left-- > 0) return turnsAway(request, engine)
+    if (left-- > 0) return refuses(request, engine)
     const from = Number(request.headers['last-event-id'] ?? 0) + 1
     endsWith(...Array.from({ length: last - from + 1 }, (_, index) => from + index))(request, engine)
   }
@@ -48,9 +48,9 @@
 
 describe('an answer that has begun, after a rejection', () => {
   it('resumes at an engine with its KV cache although that engine rejects it at first', async () => {
-    const { workers, answer, move, world } = await startMigration([
-      { stream: runsFirst(turnsAway), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
-      { stream: turnsAwayFirst(2, 3) },
+    const { workers, answer, move, harness } = await startMigration([
+      { stream: runsFirst(refuses), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
+      { stream: refusesFirst(2, 3) },
       { stream: endsWith(9) },
     ])
     move()
@@ -60,20 +60,20 @@
     expect(new Set(sent.map(({ headers }) => headers['x-kv-from']))).toEqual(
       new Set([`${workers[0]!.address}#h2`]),
     )
-    expect(world.reports[0]).toMatchObject({ status: 200, outcome: 'answered' })
+    expect(harness.reports[0]).toMatchObject({ status: 200, outcome: 'answered' })
   })
 
   it('resumes once an engine accepts it although all reject it for a while', async () => {
-    const away = turnsAwayFirst(6, 3)
+    const refusing = refusesFirst(6, 3)
     const { answer, move } = await startMigration(
       [
         {
-          stream: runsFirst(away),
+          stream: runsFirst(refusing),
           copy: answers(200, 'h1'),
           last: stopsWith(200, 'h2'),
         },
-        { stream: away },
-        { stream: away },
+        { stream: refusing },
+        { stream: refusing },
       ],
       { resumable: true, attempts: 2 },
     )
@@ -85,11 +85,11 @@
     const one = await startMigration(
       [
         {
-          stream: runsFirst(turnsAway),
+          stream: runsFirst(refuses),
           copy: answers(200, 'h1'),
           // The run stops, but the answer with its handle is lost.
           last: (request, engine) => {
-            one.world.placesRefused = 5
+            one.harness.placesRefused = 5
             stopsWith(500, '')(request, engine)
           },
         },
@@ -97,34 +97,34 @@
           // The earlier copy is lost too.
           stream: (request, engine) =>
             request.headers['x-kv-from'] === undefined
-              ? turnsAwayFirst(0, 3)(request, engine)
-              : turnsAway(request, engine),
+              ? refusesFirst(0, 3)(request, engine)
+              : refuses(request, engine),
         },
       ],
       { resumable: true, attempts: 2 },
     )
-    one.world.pool.update([{ ...one.world.pool.get('i-0')!.endpoint, state: 'draining' }])
+    one.harness.pool.update([{ ...one.harness.pool.get('i-0')!.endpoint, state: 'draining' }])
     one.move()
     expect(await one.answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
-    expect(one.world.placesRefused).toBe(0)
+    expect(one.harness.placesRefused).toBe(0)
   })
 
   it('resumes once the retry budget has a sending left although it is used up at first', async () => {
     let running: SeenRequest | undefined
-    const { world, answer } = await startMigration(
+    const { harness, answer } = await startMigration(
       [
         {
-          stream: runsFirst(turnsAwayFirst(0, 3), (request) => (running = request)),
+          stream: runsFirst(refusesFirst(0, 3), (request) => (running = request)),
         },
-        { stream: turnsAwayFirst(0, 3) },
+        { stream: refusesFirst(0, 3) },
       ],
       { resumable: true, attempts: 2 },
     )
-    while (world.allowance.take('model'));
-    const { denied } = world.allowance.counts
+    while (harness.retryBudget.take('model'));
+    const { denied } = harness.retryBudget.counts
     running!.socket.destroy()
-    await eventually(() => world.allowance.counts.denied > denied)
-    world.allowance.refund('model')
+    await eventually(() => harness.retryBudget.counts.denied > denied)
+    harness.retryBudget.refund('model')
     expect(await answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
   })
 })
@@ -137,40 +137,40 @@
 
   it('is cut instead of left open when the next engine answers with a failure', async () => {
     let running: SeenRequest | undefined
-    const { answer, world } = await startMigration(
+    const { answer, harness } = await startMigration(
       [{ stream: runsFirst(fails, (request) => (running = request)) }, { stream: fails }],
       { resumable: true, attempts: 2 },
       { 'x-deadline': '60000' },
     )
     running!.socket.destroy()
     expect(await answer).toMatchObject({ status: 200, body: events(1), isWhole: false })
-    expect(world.reports[0]!.outcome).toBe('cut: the engine failed with 500')
+    expect(harness.reports[0]!.outcome).toBe('cut: the engine failed with 500')
   })
 
   it('counts no failure for an engine that was told to stop', async () => {
-    const { answer, move, world } = await startMigration(
+    const { answer, move, harness } = await startMigration(
       [
-        { stream: runsFirst(turnsAway), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
-        { stream: turnsAwayFirst(1, 3) },
+        { stream: runsFirst(refuses), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
+        { stream: refusesFirst(1, 3) },
       ],
       { resumable: true, attempts: 1 },
     )
     move()
     expect(await answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
-    expect(world.pool.get('i-0')).toMatchObject({ failures: 0, ejectedUntil: 0, inFlight: 0 })
-    expect(world.lost).toEqual([])
+    expect(harness.pool.get('i-0')).toMatchObject({ failures: 0, ejectedUntil: 0, inFlight: 0 })
+    expect(harness.lost).toEqual([])
   })
 })
 
 describe('an answer whose events still arrive', () => {
   it('continues at an endpoint that the directory reports as ended', async () => {
     let running: SeenRequest | undefined
-    const { world, answer } = await startMigration([
+    const { harness, answer } = await startMigration([
       {
-        stream: runsFirst(turnsAway, (request) => (running = request)),
+        stream: runsFirst(refuses, (request) => (running = request)),
       },
     ])
-    world.pool.update([{ ...world.pool.get('i-0')!.endpoint, state: 'ended' }])
+    harness.pool.update([{ ...harness.pool.get('i-0')!.endpoint, state: 'ended' }])
     running!.socket.write(chunk(event(2)))
     running!.socket.end(`${chunk(event(3))}0\r\n\r\n`)
     expect(await answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
@@ -184,16 +184,16 @@
   it('is sent completely over a slow link when the entry stops', async () => {
     const body = 'x'.repeat(LARGE_BYTES)
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, body)))
-    const world = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
-    const { request, answer } = world.open('/p/')
+    const harness = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
+    const { request, answer } = harness.open('/p/')
     request.end()
     const [response] = (await once(request, 'response')) as [NodeJS.ReadableStream]
     response.pause()
-    await eventually(() => world.reports.length === 1)
-    world.ingress.leave()
-    world.ingress.close()
+    await eventually(() => harness.reports.length === 1)
+    harness.ingress.leave()
+    harness.ingress.close()
     // As during shutdown: connections are closed once no request is running.
-    const stopped = eventually(() => world.ingress.running === 0).then(() => world.ingress.closeAll())
+    const stopped = eventually(() => harness.ingress.running === 0).then(() => harness.ingress.closeAll())
     setImmediate(() => response.resume())
     const got = await answer
     expect([got.isWhole, got.body.length]).toEqual([true, LARGE_BYTES])
@@ -205,35 +205,35 @@
   async function startSlow() {
     const body = 'x'.repeat(LARGE_BYTES)
     const worker = await FakeWorker.start((request) => void request.socket.end(goodAnswer(request, body)))
-    const world = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
-    const { request, answer } = world.open('/p/')
+    const harness = await GatewayHarness.start([{ address: worker.address }], [{ kind: 'safe' }])
+    const { request, answer } = harness.open('/p/')
     answer.catch(() => undefined)
     request.end()
     const [response] = (await once(request, 'response')) as [NodeJS.ReadableStream]
     response.pause()
-    await eventually(() => world.reports.length === 1)
-    return { world, request, worker }
+    await eventually(() => harness.reports.length === 1)
+    return { harness, request, worker }
   }
 
   it.each(['entry', 'caller'] as const)(
     'is logged as unsent when the %s closes the connection',
     async (by) => {
-      const { world, request, worker } = await startSlow()
-      if (by === 'entry') world.stop()
+      const { harness, request, worker } = await startSlow()
+      if (by === 'entry') harness.stop()
       else request.destroy()
-      await eventually(() => world.warnings.length === 1)
+      await eventually(() => harness.warnings.length === 1)
       const bytes = expect.any(Number) as number
-      expect(world.warnings).toEqual([{ event: 'answer.unsent', request: 'r1', bytes, by }])
-      world.stop()
+      expect(harness.warnings).toEqual([{ event: 'answer.unsent', request: 'r1', bytes, by }])
+      harness.stop()
       await worker.stop()
     },
   )
 
   it('is reported as cut by the entry, not by the caller, when the entry stops in the middle of a stream', async () => {
-    const { world, answer } = await startMigration([{ stream: runsWith(1) }])
+    const { harness, answer } = await startMigration([{ stream: runsWith(1) }])
     answer.catch(() => undefined)
-    world.stop()
-    await eventually(() => world.reports.length === 1)
-    expect(world.reports[0]).toMatchObject({ status: 200, outcome: 'cut: the entry has ended' })
+    harness.stop()
+    await eventually(() => harness.reports.length === 1)
+    expect(harness.reports[0]).toMatchObject({ status: 200, outcome: 'cut: the entry has ended' })
   })
 })
--- a/request/gateway/test/coldFleet.test.ts
+++ b/request/gateway/test/coldFleet.test.ts
@@ -137,7 +137,7 @@
       entries: () => ENTRIES,
       cold: limiter,
     })
-    return { limiter: limiter, placer, isAlone: false }
+    return { limiter, placer, isAlone: false }
   }
 
   private leftMs(id: string, at: number): number {
@@ -154,7 +154,7 @@
     const request = `r${this.count}`
     const entry = this.entries[Math.floor(this.random() * ENTRIES)]!
     const ask = newAsk(request)
-    if (entry.isAlone) return void this.placeAlone(entry, ask)
+    if (entry.isAlone) return void this.placeWithoutLeader(entry, ask)
     const askedAt = this.clock.now()
     const leader = this.leader!
     this.clock.after(this.networkDelay(), () =>
@@ -164,7 +164,7 @@
     )
   }
 
-  private async placeAlone(entry: Entry, ask: PlaceAsk): Promise<void> {
+  private async placeWithoutLeader(entry: Entry, ask: PlaceAsk): Promise<void> {
     const answer = await entry.placer.place({ ...ask, except: new Set() })
     if (answer.type === 'refused') return void this.results.push(`refused: ${answer.reason}`)
     const { decode, prefill } = answer.place
--- a/request/gateway/test/coldRelay.test.ts
+++ b/request/gateway/test/coldRelay.test.ts
@@ -3,29 +3,29 @@
 import { answers, reads, startRelay, streams } from './relayHarness'
 
 /** Sends `count` requests at once, each with an id of its own. */
-function sendMany(world: GatewayHarness, count: number): Promise<ReceivedAnswer[]> {
+function sendMany(harness: GatewayHarness, count: number): Promise<ReceivedAnswer[]> {
   const sends = Array.from({ length: count }, (_, index) =>
-    world.send('/p/', { body: 'x', headers: { 'x-id': `r${index}` } }),
+    harness.send('/p/', { body: 'x', headers: { 'x-id': `r${index}` } }),
   )
   return Promise.all(sends)
 }
 
 describe('an entry with cold endpoints', () => {
   it('sends plain requests to warm endpoints, although cold ones have less load', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       [undefined, answers],
       [undefined, answers],
     ])
-    world.cold.set('i-0', 3_000)
+    harness.cold.set('i-0', 3_000)
     for (let times = 0; times < 6; times += 1)
-      expect((await world.send('/p/', { body: 'x' })).status).toBe(200)
+      expect((await harness.send('/p/', { body: 'x' })).status).toBe(200)
     expect(seen()).toEqual([0, 6])
   })
 
   it('stays within the limit of cold endpoints where there are no others, and refuses the rest as not run with a backoff', async () => {
-    const { world, seen } = await startRelay([[undefined, answers]])
-    world.cold.set('i-0', 3_000)
-    const all = await sendMany(world, COLD_PER_SECOND * 2)
+    const { harness, seen } = await startRelay([[undefined, answers]])
+    harness.cold.set('i-0', 3_000)
+    const all = await sendMany(harness, COLD_PER_SECOND * 2)
     const refused = all.filter(({ status }) => status === 503)
     expect(refused.length).toBe(all.length - seen()[0]!)
     expect(seen()[0]).toBeGreaterThan(COLD_PER_SECOND / 2)
@@ -37,13 +37,13 @@
   })
 
   it('counts the prefill and the decode step, each when it is sent', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       ['prefill', reads],
       ['decode', streams],
     ])
-    world.cold.set('i-0', 3_000)
-    world.cold.set('i-1', 3_000)
-    await sendMany(world, COLD_PER_SECOND)
+    harness.cold.set('i-0', 3_000)
+    harness.cold.set('i-1', 3_000)
+    await sendMany(harness, COLD_PER_SECOND)
     for (const count of seen()) {
       expect(count).toBeGreaterThan(0)
       // The leader did not place them: a tenth of what all entries may send.
--- a/request/gateway/test/endpointRateLimiter.test.ts
+++ b/request/gateway/test/endpointRateLimiter.test.ts
@@ -15,12 +15,12 @@
   const { perSecond = 4, draw = 0.5 } = options
   const clock = new ManualClock(10_000)
   const logger = createSilentLogger()
-  const book = new RateTable({ clock, logger })
+  const rates = new RateTable({ clock, logger })
   let answer: LimitAnswer | undefined
-  const keeper = new PermitClient({
+  const permitClient = new PermitClient({
     entry: 'e',
     clock,
-    rates: book,
+    rates,
     report: () => Promise.resolve(answer),
     leader: () => 'leader',
     reportEveryMs: 500,
@@ -29,20 +29,20 @@
   const one = new EndpointRateLimiter({
     clock,
     random: () => draw,
-    rates: book,
-    permits: keeper,
+    rates,
+    permits: permitClient,
     tolerance,
     entries: () => 4,
   })
   clock.advance(SECONDS_UNTIL_SETTLED * 1_000)
-  book.recordAnswer('d1', perSecond)
+  rates.recordAnswer('d1', perSecond)
   const settle = async () => {
     for (let turn = 0; turn < 8; turn += 1) await Promise.resolve()
   }
   /** Lets the leader grant this many permits. */
   const permit = async (permits: number, word = { perSecond, ageMs: 0 }) => {
     answer = { grants: { d1: { word, permits } } }
-    keeper.recordDemand('d1')
+    permitClient.recordDemand('d1')
     await settle()
     answer = undefined
   }
@@ -50,7 +50,7 @@
     one.checkAndCount(to, request, 'decode')
   const sendMany = (count: number) =>
     Array.from({ length: count }, () => send()).filter((why) => why === undefined).length
-  return { clock, book, limiter: one, permit, send, sendMany }
+  return { clock, rates, limiter: one, permit, send, sendMany }
 }
 
 const placed = (fields: Partial<Placed> = {}): Placed => ({ type: 'placed', decode: 'd1', ...fields })
@@ -94,24 +94,24 @@
       clock.advance(1_000)
     }
     // Two per second over four seconds; sends without the leader do not extend this.
-    let alone = 0
+    let sentWithoutLeader = 0
     for (let step = 0; step < 12; step += 1) {
       clock.advance(1_000)
-      alone += sendMany(9)
+      sentWithoutLeader += sendMany(9)
     }
-    expect(alone).toBeLessThanOrEqual(24)
-    expect(alone).toBeGreaterThanOrEqual(16)
+    expect(sentWithoutLeader).toBeLessThanOrEqual(24)
+    expect(sentWithoutLeader).toBeGreaterThanOrEqual(16)
   })
 
   it('continues more slowly where the rate has been lowered meanwhile', async () => {
-    const { book, clock, permit, sendMany } = createLimiter({ draw: 0.99 })
+    const { rates, clock, permit, sendMany } = createLimiter({ draw: 0.99 })
     for (let second = 0; second < 5; second += 1) {
       await permit(2)
       sendMany(5)
       clock.advance(1_000)
     }
     clock.advance(5_000)
-    book.recordAnswer('d1', 1)
+    rates.recordAnswer('d1', 1)
     expect(sendMany(9)).toBe(2)
   })
 
--- a/request/gateway/test/equalParts.test.ts
+++ b/request/gateway/test/equalParts.test.ts
@@ -6,9 +6,9 @@
 import { simulateChoices, type ChoiceOptions } from './choiceSimulation'
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
-const alike = (count: number, ms: number) => Array.from({ length: count }, () => ms)
+const repeated = (count: number, ms: number) => Array.from({ length: count }, () => ms)
 
-function play(options: Omit<ChoiceOptions, 'seed'>) {
+function simulate(options: Omit<ChoiceOptions, 'seed'>) {
   const results = SEEDS.map((seed) => simulateChoices({ ...options, seed }))
   const mean = (of: (one: (typeof results)[number]) => number) =>
     results.reduce((sum, one) => sum + of(one), 0) / results.length
@@ -19,16 +19,16 @@
   it('get equal load where they answer alike: at most three standard deviations above the average', () => {
     const perSecond = 50
     // In 4 s 200 requests go to six endpoints, 33 to each with a standard deviation of 5.3.
-    expect(play({ perSecond, workMs: alike(6, 20), slots: 6 }).busiest).toBeLessThan(1.48)
+    expect(simulate({ perSecond, workMs: repeated(6, 20), slots: 6 }).busiest).toBeLessThan(1.48)
   })
 
   it('serve as many requests in time at saturation, beyond it, and where they differ', () => {
-    expect(play({ perSecond: 480, workMs: alike(6, 60), slots: 6 }).inTime).toBeGreaterThan(0.999)
-    expect(play({ perSecond: 600, workMs: alike(6, 60), slots: 6 }).inTime).toBeGreaterThan(0.99)
+    expect(simulate({ perSecond: 480, workMs: repeated(6, 60), slots: 6 }).inTime).toBeGreaterThan(0.999)
+    expect(simulate({ perSecond: 600, workMs: repeated(6, 60), slots: 6 }).inTime).toBeGreaterThan(0.99)
     // The endpoints can serve 600 of 780 per second.
-    expect(play({ perSecond: 780, workMs: alike(6, 60), slots: 6 }).inTime).toBeGreaterThan(0.75)
-    const differing = [...alike(4, 60), ...alike(2, 240)]
-    expect(play({ perSecond: 260, workMs: differing, slots: 6 }).inTime).toBeGreaterThan(0.999)
-    expect(play({ perSecond: 450, workMs: differing, slots: 6 }).inTime).toBeGreaterThan(0.94)
+    expect(simulate({ perSecond: 780, workMs: repeated(6, 60), slots: 6 }).inTime).toBeGreaterThan(0.75)
+    const differing = [...repeated(4, 60), ...repeated(2, 240)]
+    expect(simulate({ perSecond: 260, workMs: differing, slots: 6 }).inTime).toBeGreaterThan(0.999)
+    expect(simulate({ perSecond: 450, workMs: differing, slots: 6 }).inTime).toBeGreaterThan(0.94)
   })
 })
--- a/request/gateway/test/gatewayHarness.ts
+++ b/request/gateway/test/gatewayHarness.ts
@@ -14,7 +14,7 @@
   EndpointPool,
   regionRule,
   Ingress,
-  KEPT_FREE,
+  RESERVED,
   LocalPlacer,
   GatewayRetryBudget,
   WorkspaceAdmission,
@@ -84,7 +84,7 @@
   readonly served: string[] = []
   /** Suspect contents, which may run only as isolated trials, and the answer to the request for a trial. */
   readonly suspects = new Set<string>()
-  alone: () => TrialAnswer = () => ({ type: 'later', retryAfterMs: 5_000 })
+  isolatedAnswer: () => TrialAnswer = () => ({ type: 'later', retryAfterMs: 5_000 })
   /** Returns what is required before a request may be sent. */
   decide: (content: string, lost: string[]) => SendingDecision = (content) => {
     if (this.refused.has(content)) return { type: 'refuse', refusal: { ends: 3, leftMs: 60_000 } }
@@ -98,7 +98,7 @@
   /** Endpoints where an isolated trial has ended. */
   readonly isolatedEnds: string[] = []
   /** Endpoints that are reserved for isolated trials. */
-  readonly keptFree = new Set<string>()
+  readonly reserved = new Set<string>()
   /** Contents that are refused. */
   readonly refused = new Set<string>()
   /** Whether the sheet in force here is taken for the newest. */
@@ -120,9 +120,9 @@
     /** Evacuated failure domains. */
     readonly evacuated: Set<string>,
     /** The entry's retry budget. */
-    readonly allowance: GatewayRetryBudget,
+    readonly retryBudget: GatewayRetryBudget,
     /** What endpoints have told the entry about their availability in answers. */
-    readonly statements: AvailabilityTracker,
+    readonly availability: AvailabilityTracker,
   ) {}
 
   static async start(
@@ -135,9 +135,9 @@
     const logger = createSilentLogger()
     const evacuated = new Set<string>()
     const isEvacuated = ({ zone }: RegisteredEndpoint) => evacuated.has(zone)
-    const isKeptFree = ({ id }: RegisteredEndpoint) => harness.keptFree.has(id)
-    const isBarred = (one: RegisteredEndpoint) => isEvacuated(one) || isKeptFree(one)
-    const statements = new AvailabilityTracker({ clock, logger })
+    const isReserved = ({ id }: RegisteredEndpoint) => harness.reserved.has(id)
+    const isBarred = (one: RegisteredEndpoint) => isEvacuated(one) || isReserved(one)
+    const availability = new AvailabilityTracker({ clock, logger })
     const pool = new EndpointPool({
       zone: 'z',
       topology: TOPOLOGY,
@@ -145,10 +145,10 @@
       random: () => 0,
       logger,
       isBarred,
-      statements,
+      availability,
     })
     pool.update(endpoints.map((endpoint, index) => endpointWithDefaults(endpoint, index)))
-    const book = new RouteStore()
+    const routeStore = new RouteStore()
     const sheet = {
       version: 1,
       routes: routes.map(routeWithDefaults),
@@ -159,13 +159,13 @@
       limits: { ...LIMITS, ...limits },
       workspaces,
     }
-    book.install(sheet)
+    routeStore.install(sheet)
     // A leader that answers at once, in a fleet with this entry alone.
     let ahead = 0
     const ledger = new QuotaLedger({
       clock: { ...clock, now: () => clock.now() + ahead },
       limit: (name) => {
-        const quota = book.current?.workspace(name)?.quota
+        const quota = routeStore.current?.workspace(name)?.quota
         return quota && quotaLimit(quota, QUOTA_WINDOW_MS)
       },
       term: () => 1,
@@ -201,7 +201,7 @@
     })
     later = RUN_FOR_MS
     const local = new LocalPlacer({ pool, kvTokens: () => 100_000, entries: () => 1, cold })
-    const allowance = new GatewayRetryBudget({
+    const retryBudget = new GatewayRetryBudget({
       clock,
       share: 0.2,
       slack: 20,
@@ -224,11 +224,11 @@
             return answer
           },
         },
-        retryBudget: allowance,
+        retryBudget,
         sendRules: [
           ({ id }) => harness.withheld.get(id),
           (to) => (isEvacuated(to) ? 'evacuated' : undefined),
-          (to, { isolatedId }) => (isKeptFree(to) && isolatedId !== to.id ? KEPT_FREE : undefined),
+          (to, { isolatedId }) => (isReserved(to) && isolatedId !== to.id ? RESERVED : undefined),
           regionRule(TOPOLOGY),
         ],
         cold,
@@ -236,14 +236,14 @@
         get rates() {
           return harness.rates
         },
-        statements,
+        availability,
         leavingServesMs: LEAVING_SERVES_MS,
         crashes: {
           recordLoss: (sending) => void harness.lost.push(sending),
           recordServed: (content) => void harness.served.push(content()),
           decide: (content, _service, lost) => harness.decide(content(), lost),
           confirmed: (lost) => harness.confirmed(lost),
-          askIsolated: () => Promise.resolve(harness.alone()),
+          askIsolated: () => Promise.resolve(harness.isolatedAnswer()),
           askTurn: (_content, _service, request) => Promise.resolve(harness.turnAnswer(request)),
           endTurn: (_content, _service, request) => void harness.turnEnds.push(request),
           endIsolated: (_content, _service, endpoint) => void harness.isolatedEnds.push(endpoint),
@@ -267,15 +267,15 @@
         clock,
         logger,
       }),
-      routes: () => book.current,
+      routes: () => routeStore.current,
       onResult: (report) => harness.reports.push(report),
     })
     await new Promise<void>((resolve) => ingress.server.listen(0, '127.0.0.1', resolve))
     const { port } = ingress.server.address() as { port: number }
     const install = (newer: Workspace[] | undefined, newRoutes: Partial<Route>[] = routes) =>
-      void book.install({
+      void routeStore.install({
         ...sheet,
-        version: book.version + 1,
+        version: routeStore.version + 1,
         routes: newRoutes.map(routeWithDefaults),
         workspaces: newer,
       })
@@ -285,8 +285,8 @@
       port,
       install,
       evacuated,
-      allowance,
-      statements,
+      retryBudget,
+      availability,
     )
     return harness
   }
--- a/request/gateway/test/limitHarness.ts
+++ b/request/gateway/test/limitHarness.ts
@@ -22,7 +22,7 @@
 /** The limit applies from this long after an endpoint first advertised its rate. */
 const BINDS_AFTER_MS = 3_000
 /** An entry counts as informed this long after it has forwarded an answer that advertises the rate. */
-const TOLD_AFTER_MS = 500
+const INFORMED_AFTER_MS = 500
 
 interface Arrival {
   at: number
@@ -38,7 +38,7 @@
   private readonly rates: { perSecond: number | undefined; from: number }[] = []
   readonly arrivals: Arrival[] = []
   /** When each entry first forwarded an answer that advertises a rate. */
-  readonly toldAt = new Map<number, number>()
+  readonly informedAt = new Map<number, number>()
 
   /** Advertises a rate from now on; undefined withdraws it. */
   announceRate(perSecond: number | undefined, now: number): void {
@@ -54,7 +54,7 @@
   worstExcess(): number {
     const from = this.namedAt + BINDS_AFTER_MS
     const fromInformed = this.arrivals.filter(
-      ({ at, entry }) => at >= (this.toldAt.get(entry) ?? Infinity) + TOLD_AFTER_MS,
+      ({ at, entry }) => at >= (this.informedAt.get(entry) ?? Infinity) + INFORMED_AFTER_MS,
     )
     const excesses = fromInformed
       .filter(({ at: end }) => end >= from)
@@ -110,35 +110,35 @@
   /** Returns the parts of an entry that limit it to the rates that endpoints advertise. */
   protected override partsOf(index: number): Partial<RelayParts> {
     const { clock, random } = this
-    const book = new RateTable({ clock, logger: createSilentLogger() })
-    const keeper = new PermitClient({
+    const rates = new RateTable({ clock, logger: createSilentLogger() })
+    const permitClient = new PermitClient({
       entry: `e${index}`,
       clock,
-      rates: book,
+      rates,
       report: (report) => this.report(index, report),
       leader: () => 'leader',
       reportEveryMs: REPORT_MS,
     })
-    keeper.start()
+    permitClient.start()
     const tolerance = { windowMs: WINDOW_MS, over: MAX_SHARE - 1, slack: MAX_SLACK }
     const limiter = new EndpointRateLimiter({
       clock,
       random,
-      rates: book,
-      permits: keeper,
+      rates,
+      permits: permitClient,
       tolerance,
       entries: () => this.entryCount,
     })
     every(clock, 1_000, () => limiter.sweep(() => true))
-    return { rates: book, limits: limiter }
+    return { rates, limits: limiter }
   }
 
   /** Elects a new leader, which knows neither the permits of the previous one nor any rates. */
   elect(): void {
     this.term += 1
     const { clock, term } = this
-    const book = new RateTable({ clock, logger: createSilentLogger() })
-    this.leader = new PermitAllocator({ clock, rates: book, term: () => term })
+    const rates = new RateTable({ clock, logger: createSilentLogger() })
+    this.leader = new PermitAllocator({ clock, rates, term: () => term })
   }
 
   /** Returns the leader's answer after some milliseconds; none where the leader is gone or the entry is cut off. */
@@ -156,7 +156,8 @@
     const one = this.workers[index]!
     one.arrivals.push({ at: this.clock.now(), entry })
     const answer = () => {
-      if (one.perSecond !== undefined && !one.toldAt.has(entry)) one.toldAt.set(entry, this.clock.now())
+      if (one.perSecond !== undefined && !one.informedAt.has(entry))
+        one.informedAt.set(entry, this.clock.now())
       const rows = one.perSecond === undefined ? [] : [`x-takes: ${one.perSecond}`]
       return goodAnswer(request, 'hello', rows)
     }
--- a/request/gateway/test/lostSendings.test.ts
+++ b/request/gateway/test/lostSendings.test.ts
@@ -11,20 +11,20 @@
 }
 const fails = (request: SeenRequest) =>
   void request.socket.end(goodAnswer(request, 'no').replace('200 OK', '500 Broken'))
-const vanishes = (request: SeenRequest) => void request.socket.destroy()
+const closesConnection = (request: SeenRequest) => void request.socket.destroy()
 
 describe('an entry reports sendings that were lost at an endpoint', () => {
   it.each([
-    ['a plain request without an answer', undefined, vanishes, true],
+    ['a plain request without an answer', undefined, closesConnection, true],
     ['a stream that breaks off', 'decode', breaksOff, true],
     ['a whole plain answer', undefined, answers, false],
     ['a whole stream', 'decode', streams, false],
   ] as const)('%s', async (_name, stage, behaviour, isLost) => {
-    const { world } = await startRelay([[stage, behaviour]])
+    const { harness } = await startRelay([[stage, behaviour]])
     const sent = { body: 'the same', headers: { 'x-tokens': '5,5' } }
     for (const id of ['r1', 'r2'])
-      await world.send('/p/a', { ...sent, headers: { ...sent.headers, 'x-id': id } }).catch(() => undefined)
-    const lost = world.lost.map(({ request, endpoint, isBroken }) => [request, endpoint.id, isBroken])
+      await harness.send('/p/a', { ...sent, headers: { ...sent.headers, 'x-id': id } }).catch(() => undefined)
+    const lost = harness.lost.map(({ request, endpoint, isBroken }) => [request, endpoint.id, isBroken])
     expect(lost).toEqual(
       isLost
         ? [
@@ -33,7 +33,7 @@
           ]
         : [],
     )
-    expect(new Set(world.lost.map(({ content }) => content)).size).toBe(isLost ? 1 : 0)
+    expect(new Set(harness.lost.map(({ content }) => content)).size).toBe(isLost ? 1 : 0)
   })
 
   it.each([
@@ -42,8 +42,8 @@
     ['a failure of its own', undefined, fails, 0],
     ['a stream that breaks off', 'decode', breaksOff, 0],
   ] as const)('and what was served: %s', async (_name, stage, behaviour, count) => {
-    const { world } = await startRelay([[stage, behaviour]])
-    await world.send('/p/a', { body: 'the same', headers: { 'x-tokens': '5,5' } })
-    expect(world.served).toHaveLength(count)
+    const { harness } = await startRelay([[stage, behaviour]])
+    await harness.send('/p/a', { body: 'the same', headers: { 'x-tokens': '5,5' } })
+    expect(harness.served).toHaveLength(count)
   })
 })
--- a/request/gateway/test/migrationHarness.ts
+++ b/request/gateway/test/migrationHarness.ts
@@ -80,16 +80,18 @@
     stage: 'decode' as const,
   }))
   const shares = [{ service: 'model', weight: 1 }]
-  const world = await GatewayHarness.start(endpoints, [{ kind: 'streaming', shares, attempts: 1, ...route }])
-  open.push(world, ...workers)
-  const { request, answer } = world.open('/p/', { headers })
+  const harness = await GatewayHarness.start(endpoints, [
+    { kind: 'streaming', shares, attempts: 1, ...route },
+  ])
+  open.push(harness, ...workers)
+  const { request, answer } = harness.open('/p/', { headers })
   request.end()
   const events = new Promise<void>((resolve) =>
     request.on('response', (response) => response.once('data', () => resolve())),
   )
   await events
-  const move = () => world.places[0]!.moveTo!(world.pool.getWithinRegions('i-1', undefined)!)
-  return { world, workers, answer, request, move }
+  const move = () => harness.places[0]!.moveTo!(harness.pool.getWithinRegions('i-1', undefined)!)
+  return { harness, workers, answer, request, move }
 }
 
 /** Returns the events as text. */
--- a/request/gateway/test/plainHarness.ts
+++ b/request/gateway/test/plainHarness.ts
@@ -112,7 +112,7 @@
     const { clock, random } = this
     const logger = createSilentLogger()
     const parts = this.partsOf(index)
-    const pool = new EndpointPool({ zone: 'z', statements: parts.statements, clock, random, logger })
+    const pool = new EndpointPool({ zone: 'z', availability: parts.availability, clock, random, logger })
     pool.update(this.endpoints())
     const retryBudget = new GatewayRetryBudget({
       clock,
@@ -184,7 +184,7 @@
     const service = { name: 'plain', maxConnections: this.maxConnections }
     const endsAt = arrivedAt + ROUTE.timeoutMs
     const targetAt = arrivedAt + ROUTE.targetMs
-    const rest = { isReturn: false, rank: 1, homes: () => undefined }
+    const rest = { isReturn: false, rank: 1, regions: () => undefined }
     return { request, route: ROUTE, service, endsAt, targetAt, ...rest }
   }
 
--- a/request/gateway/test/plainRelay.test.ts
+++ b/request/gateway/test/plainRelay.test.ts
@@ -11,22 +11,22 @@
 /** Starts an entry with workers that answer as given; they are the instances `i-0`, `i-1` and so on. */
 async function start(answerers: Answerer[], route: Partial<Route> = {}, limits: Partial<CallerLimits> = {}) {
   const workers = await Promise.all(answerers.map((answer) => FakeWorker.start(answer)))
-  const world = await GatewayHarness.start(
+  const harness = await GatewayHarness.start(
     workers.map(({ address }) => ({ address })),
     [route],
     limits,
   )
-  open.push(world, ...workers)
-  return { world, workers, runs: () => workers.reduce((sum, worker) => sum + worker.seen.length, 0) }
+  open.push(harness, ...workers)
+  return { harness, workers, runs: () => workers.reduce((sum, worker) => sum + worker.seen.length, 0) }
 }
 
-const say =
+const answerWith =
   (text: string): Answerer =>
   (request) =>
     void request.socket.end(text)
 const good: Answerer = (request) => void request.socket.end(goodAnswer(request, 'hello'))
 const reset: Answerer = (request) => void request.socket.resetAndDestroy()
-const notRun = say('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
+const notRun = answerWith('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
 const ownFailure: Answerer = (request) =>
   void request.socket.end(
     `HTTP/1.1 500 No\r\nx-id: ${request.headers['x-id']}\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nno`,
@@ -34,9 +34,9 @@
 
 describe('plain requests', () => {
   it('are forwarded unchanged, with the expected instance and remaining time, without reserved headers', async () => {
-    const { world, workers } = await start([good])
+    const { harness, workers } = await start([good])
     const headers = { 'x-other': 'kept', 'x-expect': 'forged', 'x-stage': 'forged', 'x-deadline': '4000' }
-    const answer = await world.send('/p/a?b=c', { headers, body: 'the body' })
+    const answer = await harness.send('/p/a?b=c', { headers, body: 'the body' })
     expect(answer).toMatchObject({ status: 200, body: 'hello', isWhole: true })
     expect(answer.headers['x-stamp']).toBe('signed')
     const seen = workers[0]!.seen[0]!
@@ -51,95 +51,98 @@
   })
 
   it('are answered 404 without a route, 400 without an id, 413 above the limit', async () => {
-    const { world, runs } = await start([good])
-    expect((await world.send('/none/')).status).toBe(404)
-    expect((await world.send('/p/', { headers: { 'x-id': '' } })).status).toBe(400)
-    expect((await world.send('/p/', { body: 'x'.repeat(2_000) })).status).toBe(413)
+    const { harness, runs } = await start([good])
+    expect((await harness.send('/none/')).status).toBe(404)
+    expect((await harness.send('/p/', { headers: { 'x-id': '' } })).status).toBe(400)
+    expect((await harness.send('/p/', { body: 'x'.repeat(2_000) })).status).toBe(413)
     expect(runs()).toBe(0)
   })
 
   it('may have headers up to the limit of the route sheet in force, and are answered 431 far above it', async () => {
-    const { world, runs } = await start([good], {}, { maxHeaderBytes: 60_000 })
-    expect((await world.send('/p/', { headers: { 'x-long': 'x'.repeat(55_000) } })).status).toBe(200)
-    expect((await world.send('/p/', { headers: { 'x-long': 'x'.repeat(150_000) } })).status).toBe(431)
+    const { harness, runs } = await start([good], {}, { maxHeaderBytes: 60_000 })
+    expect((await harness.send('/p/', { headers: { 'x-long': 'x'.repeat(55_000) } })).status).toBe(200)
+    expect((await harness.send('/p/', { headers: { 'x-long': 'x'.repeat(150_000) } })).status).toBe(431)
     expect(runs()).toBe(1)
   })
 
   it('that may run once are not sent again after a reset, and are not reported as not run', async () => {
-    const { world, runs } = await start([reset, reset], { kind: 'unsafe' })
-    const answer = await world.send('/p/')
+    const { harness, runs } = await start([reset, reset], { kind: 'unsafe' })
+    const answer = await harness.send('/p/')
     expect(answer.status).toBe(502)
     expect(answer.headers['retry-after']).toBeUndefined()
     expect(runs()).toBe(1)
   })
 
   it('that may run once go to another worker after proof that the first did not run them', async () => {
-    const { world, runs } = await start([notRun, good], { kind: 'unsafe' })
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: 'hello' })
+    const { harness, runs } = await start([notRun, good], { kind: 'unsafe' })
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: 'hello' })
     expect(runs()).toBe(2)
   })
 
   it('that no worker ran get 503 with a retry delay', async () => {
-    const { world } = await start([notRun], { kind: 'unsafe' })
-    const answer = await world.send('/p/')
+    const { harness } = await start([notRun], { kind: 'unsafe' })
+    const answer = await harness.send('/p/')
     expect(answer.status).toBe(503)
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0)
   })
 
   it('are sent to another worker if nothing listens at an address', async () => {
     const worker = await FakeWorker.start(good)
-    const world = await GatewayHarness.start(
+    const harness = await GatewayHarness.start(
       [{ address: await deadAddress() }, { address: worker.address }],
       [{ kind: 'unsafe' }],
     )
-    open.push(world, worker)
-    expect(await world.send('/p/')).toMatchObject({ status: 200 })
+    open.push(harness, worker)
+    expect(await harness.send('/p/')).toMatchObject({ status: 200 })
   })
 
   it('that may be repeated are retried after a failure, up to the attempts of the route', async () => {
-    const { world, runs } = await start([ownFailure, ownFailure, ownFailure])
-    expect(await world.send('/p/')).toMatchObject({ status: 500, body: 'no' })
+    const { harness, runs } = await start([ownFailure, ownFailure, ownFailure])
+    expect(await harness.send('/p/')).toMatchObject({ status: 500, body: 'no' })
     expect(runs()).toBe(2)
   })
 
   it.each([
     [
       "another request's answer",
-      say('HTTP/1.1 200 OK\r\nx-id: other\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nno'),
+      answerWith('HTTP/1.1 200 OK\r\nx-id: other\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nno'),
     ],
-    ['a success without a signature', say('HTTP/1.1 200 OK\r\nx-id: r1\r\nContent-Length: 2\r\n\r\nno')],
-    ['bytes that are not HTTP', say('what is this\r\n\r\n')],
+    [
+      'a success without a signature',
+      answerWith('HTTP/1.1 200 OK\r\nx-id: r1\r\nContent-Length: 2\r\n\r\nno'),
+    ],
+    ['bytes that are not HTTP', answerWith('what is this\r\n\r\n')],
     [
       'an answer shorter than its length',
-      say('HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\nContent-Length: 9\r\n\r\nno'),
+      answerWith('HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\nContent-Length: 9\r\n\r\nno'),
     ],
   ])('never forward %s', async (_what, bad) => {
-    const { world } = await start([bad], { kind: 'unsafe' })
-    const answer = await world.send('/p/')
+    const { harness } = await start([bad], { kind: 'unsafe' })
+    const answer = await harness.send('/p/')
     expect(answer).toMatchObject({ status: 502 })
     expect(answer.body).not.toContain('no"')
     expect(answer.headers['x-stamp']).toBeUndefined()
   })
 
   it('accept a complete answer although more bytes follow', async () => {
-    const { world } = await start([
+    const { harness } = await start([
       (request) => void request.socket.end(`${goodAnswer(request, 'hello')}HTTP/1.1 200 OK\r\n\r\nmore`),
     ])
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: 'hello', isWhole: true })
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: 'hello', isWhole: true })
   })
 
   it('forward an answer without a length without adding one, so that a cut answer does not look complete', async () => {
-    const { world } = await start([
+    const { harness } = await start([
       (request) => void request.socket.end(goodAnswer(request, 'half', ['Connection: close'])),
     ])
-    const answer = await world.send('/p/')
+    const answer = await harness.send('/p/')
     expect(answer.body).toBe('half')
     expect(answer.headers['content-length']).toBeUndefined()
     expect(answer.headers['transfer-encoding']).toBeUndefined()
   })
 
   it('do not forward an answer without a length whose connection was reset', async () => {
-    const { world } = await start(
+    const { harness } = await start(
       [
         (request) => {
           request.socket.write(goodAnswer(request, 'half', ['Connection: close']), () =>
@@ -149,26 +152,28 @@
       ],
       { kind: 'unsafe' },
     )
-    expect((await world.send('/p/')).status).toBe(502)
+    expect((await harness.send('/p/')).status).toBe(502)
   })
 
   it('go to another worker if another process owns the address, which gets no further request', async () => {
-    const other = say('HTTP/1.1 421 Other\r\nx-instance: i-9\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
-    const { world, workers } = await start([other, good], { kind: 'unsafe' })
+    const other = answerWith(
+      'HTTP/1.1 421 Other\r\nx-instance: i-9\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n',
+    )
+    const { harness, workers } = await start([other, good], { kind: 'unsafe' })
     for (let index = 0; index < 4; index += 1)
-      expect((await world.send('/p/', { headers: { 'x-id': `r${index}` } })).status).toBe(200)
+      expect((await harness.send('/p/', { headers: { 'x-id': `r${index}` } })).status).toBe(200)
     expect(workers[0]!.seen.length).toBeLessThanOrEqual(1)
   })
 
   it('are answered 504 when the time of the route is up, and stop the worker', async () => {
-    const { world, workers } = await start([() => undefined], { timeoutMs: 150 })
-    expect((await world.send('/p/')).status).toBe(504)
+    const { harness, workers } = await start([() => undefined], { timeoutMs: 150 })
+    expect((await harness.send('/p/')).status).toBe(504)
     await workers[0]!.seen[0]!.closed
   })
 
   it('stop the worker when the caller disconnects', async () => {
-    const { world, workers } = await start([() => undefined])
-    const { request, answer } = world.open('/p/')
+    const { harness, workers } = await start([() => undefined])
+    const { request, answer } = harness.open('/p/')
     request.end()
     await workers[0]!.waitForSeen(1)
     request.destroy()
--- a/request/gateway/test/refusedContent.test.ts
+++ b/request/gateway/test/refusedContent.test.ts
@@ -10,8 +10,8 @@
   return contentDigest({ method, host: 'h.example', path: '/p/a', body: Buffer.from(body) })
 }
 
-const send = (world: GatewayHarness, body = BODY) =>
-  world.send('/p/a', { body, headers: { 'x-tokens': '5,5', 'x-id': body } })
+const send = (harness: GatewayHarness, body = BODY) =>
+  harness.send('/p/a', { body, headers: { 'x-tokens': '5,5', 'x-id': body } })
 
 describe('a request with refused content', () => {
   it.each([
@@ -20,30 +20,30 @@
   ] as const)(
     '%s reaches no endpoint and is refused at once with a retry delay, while others are served',
     async (_kind, stage, behaviour) => {
-      const { world, seen } = await startRelay([[stage, behaviour]])
-      world.refused.add(digest())
-      const answer = await send(world)
+      const { harness, seen } = await startRelay([[stage, behaviour]])
+      harness.refused.add(digest())
+      const answer = await send(harness)
       expect(answer.status).toBe(503)
       expect(answer.body).toContain('ends its endpoints')
       expect(Number(answer.headers['retry-after'])).toBe(60)
       expect(seen()).toEqual([0])
-      expect((await send(world, 'another')).status).toBe(200)
+      expect((await send(harness, 'another')).status).toBe(200)
     },
   )
 
   it('is not sent again by the request whose sending made it refused, which is not reported as not run', async () => {
-    const vanishes = (request: SeenRequest) => {
-      relay.world.refused.add(digest())
+    const closesConnection = (request: SeenRequest) => {
+      relay.harness.refused.add(digest())
       request.socket.destroy()
     }
     const relay = await startRelay(
       [
-        [undefined, vanishes],
-        [undefined, vanishes],
+        [undefined, closesConnection],
+        [undefined, closesConnection],
       ],
       { kind: 'safe', attempts: 2 },
     )
-    const answer = await send(relay.world)
+    const answer = await send(relay.harness)
     expect(answer.status).toBe(502)
     expect(relay.seen().reduce((sum, count) => sum + count)).toBe(1)
   })
--- a/request/gateway/test/regions.test.ts
+++ b/request/gateway/test/regions.test.ts
@@ -134,16 +134,16 @@
       { zone: 'z', stage: 'decode', answer: streams },
     ])
     const back = harness.pool.get('i-0')!.endpoint
-    const atHome = await FakeWorker.start(reads)
-    open.push(atHome)
-    harness.pool.update([{ ...back, id: 'i-2', address: atHome.address, zone: 'z', state: 'draining' }])
+    const inRegion = await FakeWorker.start(reads)
+    open.push(inRegion)
+    harness.pool.update([{ ...back, id: 'i-2', address: inRegion.address, zone: 'z', state: 'draining' }])
     const answering = harness.send('/p/', { body: 'x' })
     await workers[0]!.waitForSeen(1)
-    harness.pool.update([{ ...back, id: 'i-2', address: atHome.address, zone: 'z', sequence: 2 }])
+    harness.pool.update([{ ...back, id: 'i-2', address: inRegion.address, zone: 'z', sequence: 2 }])
     expect(await answering).toMatchObject({ status: 200, isWhole: true })
     expect(reader).toBe(1)
     const source = workers[1]!.seen[0]!.headers['x-kv-from']
-    expect(source).toBe(`${atHome.address}#handle7`)
+    expect(source).toBe(`${inRegion.address}#handle7`)
     await workers[0]!.waitForSeen(2)
     expect(workers[0]!.seen[1]!.line).toContain('DELETE /free/handle7')
   })
--- a/request/gateway/test/regionsRandom.test.ts
+++ b/request/gateway/test/regionsRandom.test.ts
@@ -23,8 +23,8 @@
 )
 const sheet: fc.Arbitrary<Sheet> = fc.record({ plain: regionSets, model: regionSets, workspace: regionSets })
 /** What an endpoint does with a request. */
-const deed = fc.constantFrom('answer', 'answer', 'answer', 'cut', 'not-run', 'half')
-const step = fc.record({ deed, newSheet: fc.option(sheet, { nil: undefined, freq: 2 }) })
+const behaviour = fc.constantFrom('answer', 'answer', 'answer', 'cut', 'not-run', 'half')
+const step = fc.record({ behaviour, newSheet: fc.option(sheet, { nil: undefined, freq: 2 }) })
 const domain = fc.constantFrom(...DOMAINS)
 const endpoint = fc.record({ stage: fc.constantFrom(undefined, 'prefill', 'decode'), zone: domain })
 
@@ -54,16 +54,16 @@
   },
 ]
 
-function answer(request: SeenRequest, deed: string): void {
+function answer(request: SeenRequest, behaviour: string): void {
   const { socket, line, headers } = request
-  if (deed === 'cut') return void socket.destroy()
-  if (deed === 'not-run')
+  if (behaviour === 'cut') return void socket.destroy()
+  if (behaviour === 'not-run')
     return void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
   if (line.includes(' /p/') || headers['x-stage'] === 'read')
     return void socket.end(goodAnswer(request, 'handle7'))
   socket.write(goodAnswer(request, '', ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked']))
   socket.write(chunk(event(1)))
-  if (deed === 'half') setImmediate(() => socket.destroy())
+  if (behaviour === 'half') setImmediate(() => socket.destroy())
   else socket.end('0\r\n\r\n')
 }
 
@@ -79,7 +79,7 @@
         async (first, endpoints, steps) => {
           let inForce = first
           let at = 0
-          const wrong: string[] = []
+          const violations: string[] = []
           const domainAt = new Map<string, string>()
           const arrive = (zone: string) => (request: SeenRequest) => {
             // Releasing the KV cache transfers nothing of the request.
@@ -90,13 +90,13 @@
             const allowed = intersectRegions(isPlain ? inForce.plain : inForce.model, inForce.workspace)
             const source = request.headers['x-kv-from']?.split('#')[0]
             for (const place of [zone, ...(source === undefined ? [] : [domainAt.get(source)!])])
-              if (!isWithinRegions(TOPOLOGY, place, allowed)) wrong.push(`${request.line} at ${place}`)
-            const { deed, newSheet } = steps[at++ % steps.length]!
+              if (!isWithinRegions(TOPOLOGY, place, allowed)) violations.push(`${request.line} at ${place}`)
+            const { behaviour, newSheet } = steps[at++ % steps.length]!
             if (newSheet !== undefined) {
               inForce = newSheet
               harness.setWorkspaces(workspaceOf(newSheet), routesOf(newSheet))
             }
-            answer(request, deed)
+            answer(request, behaviour)
           }
           const workers = await Promise.all(endpoints.map(({ zone }) => FakeWorker.start(arrive(zone))))
           workers.forEach(({ address }, index) => domainAt.set(address, endpoints[index]!.zone))
@@ -121,7 +121,7 @@
           } finally {
             await Promise.all([harness, ...workers].map((each) => each.stop()))
           }
-          expect(wrong).toEqual([])
+          expect(violations).toEqual([])
         },
       ),
       { numRuns: RUNS, seed: SEED },
--- a/request/gateway/test/relayHarness.ts
+++ b/request/gateway/test/relayHarness.ts
@@ -28,7 +28,7 @@
 ) {
   const workers = await Promise.all(endpoints.map(([, answer]) => FakeWorker.start(answer)))
   const service = endpoints[0]![0] !== undefined ? 'model' : 'plain'
-  const world = await GatewayHarness.start(
+  const harness = await GatewayHarness.start(
     workers.map(({ address }, index) => ({ address, service, stage: endpoints[index]![0] })),
     [
       {
@@ -39,6 +39,6 @@
       },
     ],
   )
-  open.push(world, ...workers)
-  return { world, seen: () => workers.map((worker) => worker.seen.length) }
+  open.push(harness, ...workers)
+  return { harness, seen: () => workers.map((worker) => worker.seen.length) }
 }
--- a/request/gateway/test/remotePlacer.test.ts
+++ b/request/gateway/test/remotePlacer.test.ts
@@ -40,8 +40,15 @@
 function createPlacers(entries = 1, kvTokens = 10_000) {
   const clock = new ManualClock()
   const logger = createSilentLogger()
-  const statements = new AvailabilityTracker({ clock, logger })
-  const pool = new EndpointPool({ zone: 'z', topology: TOPOLOGY, clock, random: () => 0, logger, statements })
+  const availability = new AvailabilityTracker({ clock, logger })
+  const pool = new EndpointPool({
+    zone: 'z',
+    topology: TOPOLOGY,
+    clock,
+    random: () => 0,
+    logger,
+    availability,
+  })
   pool.update([ENGINE_OF_TEST])
   const silent = new Set<string>()
   const asked: string[] = []
@@ -66,13 +73,13 @@
   const options = { neighbours: () => [], peers, clock, logger, forwardableMethods: [] }
   const leaderClient = new LeaderClient({ leader: () => script.leader, ...options })
   const fallback = new LocalPlacer({ pool, kvTokens: () => kvTokens, entries: () => entries })
-  const placer = new RemotePlacer({ entry: 'e', pool, fallback, leaderClient: leaderClient, clock, logger })
+  const placer = new RemotePlacer({ entry: 'e', pool, fallback, leaderClient, clock, logger })
   return {
     clock,
     placer,
     fallback,
     pool,
-    statements,
+    availability,
     script,
     asked,
     asks,
@@ -90,14 +97,14 @@
 
 describe('RemotePlacer', () => {
   it('tells the leader which engines are resting, and does not ask it where all are', async () => {
-    const { placer, script, asks, asked, pool, statements, clock } = createPlacers()
+    const { placer, script, asks, asked, pool, availability, clock } = createPlacers()
     pool.update([{ ...ENGINE_OF_TEST, id: 'd2', address: '10.0.0.2:1' }])
     script.leader = '10.0.0.9:1'
     await placer.place(WORK)
-    statements.recordRetryAfter('d2', { type: 'rest', forMs: 3_000 }, 'another')
+    availability.recordRetryAfter('d2', { type: 'rest', forMs: 3_000 }, 'another')
     await placer.place(WORK)
     expect(asks.map(({ avoid }) => avoid)).toEqual([undefined, ['d2']])
-    statements.recordRetryAfter('d1', { type: 'rest', forMs: 2_000 }, 'another')
+    availability.recordRetryAfter('d1', { type: 'rest', forMs: 2_000 }, 'another')
     const before = asked.length
     expect(await placer.place(WORK)).toEqual({
       type: 'refused',
--- a/request/gateway/test/returnDetector.test.ts
+++ b/request/gateway/test/returnDetector.test.ts
@@ -18,72 +18,72 @@
   return { deadline, later, random }
 }
 
-/** Simulates requests with a share of retries after `calmFirst` first attempts; counts how they were classified. */
-function play(spread: number, shareOfReturns: number, requests = 400, calmFirst = 100) {
+/** Simulates requests with a share of retries after `firstAttempts` first attempts; counts how they were classified. */
+function simulate(spread: number, shareOfReturns: number, requests = 400, firstAttempts = 100) {
   const { deadline, later, random } = createCallers(spread)
-  const deadlines = new ReturnDetector()
-  for (let count = 0; count < calmFirst; count += 1) deadlines.judge('r', deadline(), TARGET)
+  const returnDetector = new ReturnDetector()
+  for (let count = 0; count < firstAttempts; count += 1) returnDetector.judge('r', deadline(), TARGET)
   const counts = { first: 0, firstAsReturn: 0, returns: 0, returnAsFirst: 0 }
   for (let count = 0; count < requests; count += 1) {
-    const isBack = random() < shareOfReturns
-    const { isReturn } = deadlines.judge('r', isBack ? later() : deadline(), TARGET)
-    counts[isBack ? 'returns' : 'first'] += 1
-    if (isBack && !isReturn) counts.returnAsFirst += 1
-    if (!isBack && isReturn) counts.firstAsReturn += 1
+    const isRetry = random() < shareOfReturns
+    const { isReturn } = returnDetector.judge('r', isRetry ? later() : deadline(), TARGET)
+    counts[isRetry ? 'returns' : 'first'] += 1
+    if (isRetry && !isReturn) counts.returnAsFirst += 1
+    if (!isRetry && isReturn) counts.firstAsReturn += 1
   }
   return counts
 }
 
 describe('ReturnDetector', () => {
   it('detects retries although deadlines vary by 15 %', () => {
-    const { firstAsReturn, returnAsFirst } = play(0.15, 0.2)
+    const { firstAsReturn, returnAsFirst } = simulate(0.15, 0.2)
     expect(firstAsReturn).toBe(0)
     expect(returnAsFirst).toBe(0)
   })
 
   it('takes no first attempt for a retry before it has learned the deadlines', () => {
     const { deadline } = createCallers(0.15)
-    const deadlines = new ReturnDetector()
+    const returnDetector = new ReturnDetector()
     for (let count = 0; count < 12; count += 1)
-      expect(deadlines.judge('r', deadline(), TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
+      expect(returnDetector.judge('r', deadline(), TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
   })
 
   it('detects retries in an overload in which most requests are retries', () => {
-    const { firstAsReturn, returnAsFirst, returns } = play(0.15, 0.6, 800)
+    const { firstAsReturn, returnAsFirst, returns } = simulate(0.15, 0.6, 800)
     expect(firstAsReturn).toBe(0)
     expect(returnAsFirst / returns).toBeLessThan(0.02)
   })
 
   it('detects retries after a third of the target if all callers name the same deadline', () => {
-    const deadlines = new ReturnDetector()
-    for (let count = 0; count < 100; count += 1) deadlines.judge('r', LONGEST - (count % 3), TARGET)
-    expect(deadlines.judge('r', LONGEST - 200, TARGET)).toEqual({ isReturn: false, elapsedMs: 200 })
-    expect(deadlines.judge('r', LONGEST - 400, TARGET)).toEqual({ isReturn: true, elapsedMs: 400 })
+    const returnDetector = new ReturnDetector()
+    for (let count = 0; count < 100; count += 1) returnDetector.judge('r', LONGEST - (count % 3), TARGET)
+    expect(returnDetector.judge('r', LONGEST - 200, TARGET)).toEqual({ isReturn: false, elapsedMs: 200 })
+    expect(returnDetector.judge('r', LONGEST - 400, TARGET)).toEqual({ isReturn: true, elapsedMs: 400 })
   })
 
   it('learns the deadlines of each route separately', () => {
-    const deadlines = new ReturnDetector()
+    const returnDetector = new ReturnDetector()
     for (let count = 0; count < 60; count += 1)
-      deadlines.judge(count % 2 === 0 ? 'a' : 'b', count % 2 === 0 ? 14_000 : 3_000, TARGET)
-    expect(deadlines.judge('b', 3_000, TARGET).isReturn).toBe(false)
-    expect(deadlines.judge('a', 3_000, TARGET).isReturn).toBe(true)
+      returnDetector.judge(count % 2 === 0 ? 'a' : 'b', count % 2 === 0 ? 14_000 : 3_000, TARGET)
+    expect(returnDetector.judge('b', 3_000, TARGET).isReturn).toBe(false)
+    expect(returnDetector.judge('a', 3_000, TARGET).isReturn).toBe(true)
   })
 
   it('allows for varying deadlines on one route while another has uniform ones', () => {
     const { deadline } = createCallers(0.15)
-    const deadlines = new ReturnDetector()
+    const returnDetector = new ReturnDetector()
     for (let count = 0; count < 200; count += 1) {
-      deadlines.judge('same', 3_000, TARGET)
-      expect(deadlines.judge('differ', deadline(), TARGET).isReturn).toBe(false)
+      returnDetector.judge('same', 3_000, TARGET)
+      expect(returnDetector.judge('differ', deadline(), TARGET).isReturn).toBe(false)
     }
   })
 
   it('adapts after callers change to shorter deadlines', () => {
-    const deadlines = new ReturnDetector()
-    deadlines.judge('r', 60_000, TARGET)
-    for (let count = 0; count < 100; count += 1) deadlines.judge('r', LONGEST, TARGET)
-    expect(deadlines.judge('r', LONGEST, TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
-    expect(deadlines.judge('r', LONGEST * 0.7, TARGET).isReturn).toBe(true)
+    const returnDetector = new ReturnDetector()
+    returnDetector.judge('r', 60_000, TARGET)
+    for (let count = 0; count < 100; count += 1) returnDetector.judge('r', LONGEST, TARGET)
+    expect(returnDetector.judge('r', LONGEST, TARGET)).toEqual({ isReturn: false, elapsedMs: 0 })
+    expect(returnDetector.judge('r', LONGEST * 0.7, TARGET).isReturn).toBe(true)
   })
 
   it('takes a request without a deadline for a first attempt', () => {
--- a/request/gateway/test/runMigrations.test.ts
+++ b/request/gateway/test/runMigrations.test.ts
@@ -16,7 +16,7 @@
 
 describe('a run', () => {
   it('migrates to another engine with its KV cache, as one answer', async () => {
-    const { world, workers, answer, move } = await startMigration([
+    const { harness, workers, answer, move } = await startMigration([
       { stream: runsWith(1, 2), copy: answers(200, 'h1'), last: stopsWith(200, 'h2') },
       { stream: endsWith(3, 4) },
     ])
@@ -31,8 +31,8 @@
     expect(workers[0]!.seen.map(({ body }) => body).slice(1)).toEqual(
       Array(2).fill(`r1>${workers[1]!.address}`),
     )
-    expect(world.places[0]!.decode.endpoint.id).toBe('i-1')
-    expect(world.places).toHaveLength(1)
+    expect(harness.places[0]!.decode.endpoint.id).toBe('i-1')
+    expect(harness.places).toHaveLength(1)
   })
 
   it('stays at its engine if it cannot be copied', async () => {
@@ -84,7 +84,7 @@
           else endsWith(2, 3)(request, engine)
         },
         copy: (request) => {
-          one.world.withheld.set('i-1', 'closed')
+          one.harness.withheld.set('i-1', 'closed')
           answers(200, 'h1')(request)
         },
         last: stopsWith(200, 'h2'),
@@ -101,7 +101,7 @@
       {
         stream: runsWith(1),
         copy: (request) => {
-          one.world.withheld.set('i-0', 'closed')
+          one.harness.withheld.set('i-0', 'closed')
           answers(200, 'h1')(request)
         },
         last: stopsWith(503, 'h2'),
@@ -142,17 +142,17 @@
       {},
       { 'x-deadline': '1000' },
     )
-    const { pool, statements } = one.world
+    const { pool, availability } = one.harness
     const source = pool.get('i-0')!
     const leave = () => {
       if (by.startsWith('by the directory')) pool.update([{ ...source.endpoint, state: 'draining' }])
       else {
-        statements.recordLeaving('i-0', 'r0')
+        availability.recordLeaving('i-0', 'r0')
         pool.recordLeaving(source)
       }
       const since = source.leavingSince! - agoMs
       source.leavingSince = since
-      if (by.startsWith('by its own statement')) statements.leavingSince = () => since
+      if (by.startsWith('by its own statement')) availability.leavingSince = () => since
     }
     one.move()
     expect(await one.answer).toMatchObject({ body: isWhole ? events(1, 2, 3) : events(1), isWhole })
@@ -172,8 +172,8 @@
       { 'x-deadline': '1000' },
     )
     // It leaves, so that the run does not resume there.
-    one.world.pool.get('i-0')!.leavingSince = -Infinity
-    one.world.pool.update([{ ...one.world.pool.get('i-0')!.endpoint, state: 'draining' }])
+    one.harness.pool.get('i-0')!.leavingSince = -Infinity
+    one.harness.pool.update([{ ...one.harness.pool.get('i-0')!.endpoint, state: 'draining' }])
     one.move()
     expect(await one.answer).toMatchObject({ body: events(1), isWhole: false })
     const streams = one.workers.map(({ seen }) => seen.filter(isStream).length)
@@ -209,7 +209,7 @@
     const refuses: Engine['stream'] = ({ socket }) =>
       void socket.end('HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n')
     let streams = 0
-    const { workers, answer, move, world } = await startMigration([
+    const { workers, answer, move, harness } = await startMigration([
       {
         stream: (request, engine) => {
           streams += 1
@@ -225,7 +225,7 @@
     move()
     expect(await answer).toMatchObject({ body: events(1, 2, 3), isWhole: true })
     expect(workers.map(({ seen }) => seen.filter(isStream).length)).toEqual([2, 1, 0])
-    expect(world.places[0]!.decode.endpoint.id).toBe('i-0')
+    expect(harness.places[0]!.decode.endpoint.id).toBe('i-0')
   })
 
   it('is released at its engine if its caller disconnects while it is stopped', async () => {
--- a/request/gateway/test/statements.test.ts
+++ b/request/gateway/test/statements.test.ts
@@ -30,33 +30,39 @@
 }
 
 /** Sends a request to a plain endpoint that answers so; returns the reason why it gets no more, if any. */
-async function toldBy(answer: (request: SeenRequest) => void) {
-  const { world } = await startRelay([[undefined, answer]], { kind: 'unsafe' })
-  await world.send('/p/', { body: 'x' })
-  return world.statements.unavailability('i-0')?.reason
+async function unavailabilityAfter(answer: (request: SeenRequest) => void) {
+  const { harness } = await startRelay([[undefined, answer]], { kind: 'unsafe' })
+  await harness.send('/p/', { body: 'x' })
+  return harness.availability.unavailability('i-0')?.reason
 }
 
 describe('the statement of an endpoint in its answers', () => {
   it('is read in rejections, failures, successes and answers that name no request', async () => {
-    expect(await toldBy(bare(503, 'x-not-run: 1', RETRY_AFTER))).toBe('the endpoint asked for rest')
-    expect(await toldBy(bare(429, 'x-not-run: 1', RETRY_AFTER))).toBe('the endpoint asked for rest')
-    expect(await toldBy(bare(503, RETRY_AFTER))).toBe('the endpoint asked for rest')
-    expect(await toldBy(failing(LEAVES))).toBe('the endpoint has said that it leaves')
-    expect(await toldBy((request) => void request.socket.end(goodAnswer(request, 'a', [LEAVES])))).toBe(
-      'the endpoint has said that it leaves',
+    expect(await unavailabilityAfter(bare(503, 'x-not-run: 1', RETRY_AFTER))).toBe(
+      'the endpoint asked for rest',
+    )
+    expect(await unavailabilityAfter(bare(429, 'x-not-run: 1', RETRY_AFTER))).toBe(
+      'the endpoint asked for rest',
     )
-    expect(await toldBy(bare(200, LEAVES))).toBe('the endpoint has said that it leaves')
+    expect(await unavailabilityAfter(bare(503, RETRY_AFTER))).toBe('the endpoint asked for rest')
+    expect(await unavailabilityAfter(failing(LEAVES))).toBe('the endpoint has said that it leaves')
+    expect(
+      await unavailabilityAfter((request) => void request.socket.end(goodAnswer(request, 'a', [LEAVES]))),
+    ).toBe('the endpoint has said that it leaves')
+    expect(await unavailabilityAfter(bare(200, LEAVES))).toBe('the endpoint has said that it leaves')
   })
 
   it('is ignored from another process at the address, for backoff outside rejections, and with other values', async () => {
-    expect(await toldBy(bare(421, 'x-instance: i-other', RETRY_AFTER, LEAVES))).toBeUndefined()
-    expect(await toldBy(failing(RETRY_AFTER))).toBeUndefined()
-    expect(await toldBy(bare(503, 'x-not-run: 1', 'Retry-After: soon', 'x-leaves: no'))).toBeUndefined()
-    expect(await toldBy(bare(503, 'x-not-run: 1', 'Retry-After: 0'))).toBeUndefined()
+    expect(await unavailabilityAfter(bare(421, 'x-instance: i-other', RETRY_AFTER, LEAVES))).toBeUndefined()
+    expect(await unavailabilityAfter(failing(RETRY_AFTER))).toBeUndefined()
+    expect(
+      await unavailabilityAfter(bare(503, 'x-not-run: 1', 'Retry-After: soon', 'x-leaves: no')),
+    ).toBeUndefined()
+    expect(await unavailabilityAfter(bare(503, 'x-not-run: 1', 'Retry-After: 0'))).toBeUndefined()
   })
 
   it('is read in answers to prefill steps, which need not name the request', async () => {
-    const { world } = await startRelay([
+    const { harness } = await startRelay([
       ['decode', streams],
       ['prefill', bare(503, 'x-not-run: 1', RETRY_AFTER)],
       [
@@ -65,20 +71,20 @@
       ],
       ['prefill', reads],
     ])
-    await world.send('/p/', MODEL)
-    await world.send('/p/', MODEL)
-    expect(world.statements.unavailability('i-1')?.reason).toBe('the endpoint asked for rest')
-    expect(world.statements.unavailability('i-2')?.reason).toBe('the endpoint has said that it leaves')
+    await harness.send('/p/', MODEL)
+    await harness.send('/p/', MODEL)
+    expect(harness.availability.unavailability('i-1')?.reason).toBe('the endpoint asked for rest')
+    expect(harness.availability.unavailability('i-2')?.reason).toBe('the endpoint has said that it leaves')
   })
 
   it('is read in a stream that breaks off', async () => {
-    const { world } = await startRelay([['decode', breaking(LEAVES)]])
-    await world.send('/p/', MODEL)
-    expect(world.statements.unavailability('i-0')?.reason).toBe('the endpoint has said that it leaves')
+    const { harness } = await startRelay([['decode', breaking(LEAVES)]])
+    await harness.send('/p/', MODEL)
+    expect(harness.availability.unavailability('i-0')?.reason).toBe('the endpoint has said that it leaves')
   })
 
   it('is read in answers to the copy and the stop of a run', async () => {
-    const says =
+    const answerWithHeader =
       (row: string, body: string): NonNullable<Engine['copy']> =>
       (request) =>
         answers(200, body)({ ...request, socket: withRow(request.socket, row) })
@@ -87,7 +93,7 @@
       { stream: endsWith(1, 2) },
     ])
     copied.move()
-    await eventually(() => copied.world.statements.unavailability('i-0') !== undefined)
+    await eventually(() => copied.harness.availability.unavailability('i-0') !== undefined)
     const stopped = await startMigration(
       [
         {
@@ -95,7 +101,7 @@
           copy: answers(200, 'h1'),
           last: (request, engine) => {
             engine.socket?.destroy()
-            says(LEAVES, 'h2')(request)
+            answerWithHeader(LEAVES, 'h2')(request)
           },
         },
         { stream: endsWith(2) },
@@ -104,53 +110,53 @@
     )
     stopped.move()
     await stopped.answer
-    expect(stopped.world.statements.unavailability('i-0')?.reason).toBe(
+    expect(stopped.harness.availability.unavailability('i-0')?.reason).toBe(
       'the endpoint has said that it leaves',
     )
   })
 
   it('is read in the answer to the release of an unused KV cache', async () => {
-    const { world } = await startRelay([
+    const { harness } = await startRelay([
       ['decode', bare(503, 'x-not-run: 1')],
       ['prefill', (request) => (request.line.startsWith('DELETE') ? bare(200, LEAVES) : reads)(request)],
     ])
-    await world.send('/p/', MODEL)
-    await eventually(() => world.statements.unavailability('i-1') !== undefined)
-    expect(world.statements.unavailability('i-1')?.reason).toBe('the endpoint has said that it leaves')
+    await harness.send('/p/', MODEL)
+    await eventually(() => harness.availability.unavailability('i-1') !== undefined)
+    expect(harness.availability.unavailability('i-1')?.reason).toBe('the endpoint has said that it leaves')
   })
 
   it('of leaving is not cleared by a directory that lists the endpoint as ready, but ends with its incarnation', async () => {
-    const { world, seen } = await startRelay([
+    const { harness, seen } = await startRelay([
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'a', [LEAVES]))],
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
     ])
     // Both are idle and equal: whichever is chosen first, the other one serves the rest.
-    while (world.statements.unavailability('i-0') === undefined) await world.send('/p/')
+    while (harness.availability.unavailability('i-0') === undefined) await harness.send('/p/')
     const before = seen()
-    const { endpoint } = world.pool.get('i-0')!
-    world.pool.update([{ ...endpoint, state: 'ready', sequence: 9 }])
-    for (let sent = 0; sent < 4; sent += 1) expect((await world.send('/p/')).body).toBe('b')
+    const { endpoint } = harness.pool.get('i-0')!
+    harness.pool.update([{ ...endpoint, state: 'ready', sequence: 9 }])
+    for (let sent = 0; sent < 4; sent += 1) expect((await harness.send('/p/')).body).toBe('b')
     expect(seen()).toEqual([before[0], before[1]! + 4])
-    world.pool.update([{ ...endpoint, state: 'ended' }])
-    world.pool.update([{ ...endpoint, id: 'i-0~1', name: 'i-0', born: 1, state: 'ready' }])
-    expect(world.pool.candidates('plain').map((one) => one.endpoint.id)).toContain('i-0~1')
+    harness.pool.update([{ ...endpoint, state: 'ended' }])
+    harness.pool.update([{ ...endpoint, id: 'i-0~1', name: 'i-0', born: 1, state: 'ready' }])
+    expect(harness.pool.candidates('plain').map((one) => one.endpoint.id)).toContain('i-0~1')
   })
 
   it('of backoff by the only healthy endpoint makes ejected ones usable', async () => {
-    const { world } = await startRelay([
+    const { harness } = await startRelay([
       [undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)],
       [undefined, (request) => void request.socket.end(goodAnswer(request, 'b'))],
     ])
-    world.pool.get('i-1')!.ejectedUntil = Infinity
-    world.statements.recordRetryAfter('i-0', { type: 'rest', forMs: 30_000 }, 'another')
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: 'b' })
+    harness.pool.get('i-1')!.ejectedUntil = Infinity
+    harness.availability.recordRetryAfter('i-0', { type: 'rest', forMs: 30_000 }, 'another')
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: 'b' })
   })
 
   it('of backoff does not lower the concurrency limit', async () => {
-    const { world } = await startRelay([[undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)]])
-    const before = world.pool.get('i-0')!.limit.value
-    await world.send('/p/')
-    expect(world.pool.get('i-0')!.limit.value).toBe(before)
+    const { harness } = await startRelay([[undefined, bare(503, 'x-not-run: 1', RETRY_AFTER)]])
+    const before = harness.pool.get('i-0')!.limit.value
+    await harness.send('/p/')
+    expect(harness.pool.get('i-0')!.limit.value).toBe(before)
   })
 })
 
--- a/request/gateway/test/streamRelay.test.ts
+++ b/request/gateway/test/streamRelay.test.ts
@@ -18,9 +18,11 @@
     stage: engines[index]![0],
   }))
   const shares = [{ service: 'model', weight: 1 }]
-  const world = await GatewayHarness.start(endpoints, [{ kind: 'streaming', shares, attempts: 1, ...route }])
-  open.push(world, ...workers)
-  return { world, workers }
+  const harness = await GatewayHarness.start(endpoints, [
+    { kind: 'streaming', shares, attempts: 1, ...route },
+  ])
+  open.push(harness, ...workers)
+  return { harness, workers }
 }
 
 const reads: Answerer = (request) => {
@@ -57,11 +59,11 @@
 
 describe('streams', () => {
   it('are prefilled at one engine and decoded at another, which gets the address of the KV cache', async () => {
-    const { world, workers } = await start([
+    const { harness, workers } = await start([
       ['prefill', reads],
       ['decode', streams([1, 2, 3])],
     ])
-    const answer = await world.send('/p/x', { body: 'prompt' })
+    const answer = await harness.send('/p/x', { body: 'prompt' })
     expect(answer).toMatchObject({ status: 200, body: events(1, 2, 3), isWhole: true })
     const [prefill, decode] = workers.map((worker) => worker.seen)
     expect(prefill![0]).toMatchObject({ body: 'prompt', headers: { 'x-stage': 'read' } })
@@ -70,36 +72,36 @@
   })
 
   it('are prefilled by another engine if the first one fails', async () => {
-    const { world, workers } = await start([
+    const { harness, workers } = await start([
       ['prefill', (request) => void request.socket.destroy()],
       ['prefill', reads],
       ['decode', streams([1, 2])],
     ])
     // Which of the two comes first is random.
     for (let times = 0; times < 4; times += 1)
-      expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
+      expect(await harness.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
     const sources = workers[2]!.seen.map(({ headers }) => headers['x-kv-from'])
     expect(sources).toEqual(Array(4).fill(`${workers[1]!.address}#handle7`))
   })
 
   it('are prefilled and decoded by the decode engine if no prefill engine answers', async () => {
-    const { world, workers } = await start([
+    const { harness, workers } = await start([
       ['prefill', (request) => void request.socket.destroy()],
       ['decode', streams([1, 2])],
     ])
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
     expect(workers[1]!.seen[0]!.headers['x-kv-from']).toBeUndefined()
   })
 
   it('are prefilled by the decode engine if the prefill engine accepts the prompt and hangs', async () => {
-    const { world, workers } = await start(
+    const { harness, workers } = await start(
       [
         ['prefill', () => undefined],
         ['decode', streams([1, 2])],
       ],
       { targetMs: 100 },
     )
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
     await workers[0]!.seen[0]!.closed
   })
 
@@ -110,49 +112,49 @@
       else streams([1, 2])(request)
     }
     const route = { targetMs: 100, resumable: true, attempts: 2 }
-    const { world } = await start(
+    const { harness } = await start(
       [
         ['decode', firstHangs],
         ['decode', firstHangs],
       ],
       route,
     )
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2), isWhole: true })
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: events(1, 2), isWhole: true })
     await hung!.closed
   })
 
   it('stay at an engine that sends no event if the route allows no other', async () => {
     const slow: Answerer = (request) => void setTimeout(() => streams([1, 2])(request), 300)
-    const { world, workers } = await start([['decode', slow]], { targetMs: 100 })
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
+    const { harness, workers } = await start([['decode', slow]], { targetMs: 100 })
+    expect(await harness.send('/p/')).toMatchObject({ status: 200, body: events(1, 2) })
     expect(workers[0]!.seen).toHaveLength(1)
   })
 
   it('release a KV cache that no engine has fetched', async () => {
-    const { world, workers } = await start([
+    const { harness, workers } = await start([
       ['prefill', reads],
       ['decode', notRun],
     ])
-    expect((await world.send('/p/')).status).toBe(503)
+    expect((await harness.send('/p/')).status).toBe(503)
     await workers[0]!.waitForSeen(2)
     expect(workers[0]!.seen[1]!.line).toBe('DELETE /free/handle7 HTTP/1.1')
     expect(workers[0]!.seen[1]!.headers.host).toBe(workers[0]!.address)
   })
 
   it('that break off look cut to the caller, and are not resumed if the route forbids it', async () => {
-    const { world, workers } = await start([
+    const { harness, workers } = await start([
       ['decode', breaksAfter([1, 2])],
       ['decode', streams([1, 2, 3])],
     ])
-    const answer = await world.send('/p/')
+    const answer = await harness.send('/p/')
     expect(answer.isWhole).toBe(false)
     expect(answer.body).toBe(events(1, 2))
     expect(workers[0]!.seen.length + workers[1]!.seen.length).toBe(1)
   })
 
   it('that break off before the first event are answered as possibly run', async () => {
-    const { world } = await start([['decode', breaksAfter([])]])
-    const answer = await world.send('/p/')
+    const { harness } = await start([['decode', breaksAfter([])]])
+    const answer = await harness.send('/p/')
     expect(answer.status).toBe(502)
     expect(answer.headers['retry-after']).toBeUndefined()
   })
@@ -163,7 +165,7 @@
       streams([1, 2, 3, 4, 5].filter((id) => id > last))(request)
     }
     const half = 'id: 3\ndata: to'
-    const { world, workers } = await start(
+    const { harness, workers } = await start(
       [
         [
           'decode',
@@ -178,7 +180,11 @@
       ],
       { resumable: true, attempts: 2 },
     )
-    expect(await world.send('/p/')).toMatchObject({ status: 200, body: events(1, 2, 3, 4, 5), isWhole: true })
+    expect(await harness.send('/p/')).toMatchObject({
+      status: 200,
+      body: events(1, 2, 3, 4, 5),
+      isWhole: true,
+    })
     const all = workers.flatMap((worker) => worker.seen)
     expect(all.map((request) => request.headers['last-event-id'])).toEqual(
       expect.arrayContaining([undefined, '2']),
@@ -187,7 +193,7 @@
   })
 
   it('are not prefilled again for a sending that the retry budget denies', async () => {
-    const { world, workers } = await start(
+    const { harness, workers } = await start(
       [
         ['prefill', reads],
         ['decode', breaksAfter([])],
@@ -195,15 +201,15 @@
       { resumable: true, attempts: 2 },
     )
     const reading = workers[0]!
-    const answer = world.send('/p/')
+    const answer = harness.send('/p/')
     await reading.waitForSeen(1)
-    while (world.allowance.take('model'));
+    while (harness.retryBudget.take('model'));
     expect((await answer).status).toBe(502)
     expect(reading.seen.filter(({ line }) => !line.startsWith('DELETE'))).toHaveLength(1)
   })
 
   it('do not repeat events that an engine sends again', async () => {
-    const { world } = await start(
+    const { harness } = await start(
       [
         [
           'decode',
@@ -222,12 +228,12 @@
       ],
       { resumable: true, attempts: 2 },
     )
-    expect((await world.send('/p/')).body).toBe(events(1, 2, 3))
+    expect((await harness.send('/p/')).body).toBe(events(1, 2, 3))
   })
 
   it('forward each event as it arrives', async () => {
     let finish: () => void = () => undefined
-    const { world } = await start([
+    const { harness } = await start([
       [
         'decode',
         (request) => {
@@ -236,7 +242,7 @@
         },
       ],
     ])
-    const { request, answer } = world.open('/p/')
+    const { request, answer } = harness.open('/p/')
     const first = new Promise<string>((resolve) =>
       request.on('response', (response) =>
         response.once('data', (bytes: Buffer) => resolve(bytes.toString())),
@@ -249,8 +255,8 @@
   })
 
   it('stop the engine when the caller disconnects', async () => {
-    const { world, workers } = await start([['decode', (request) => stream(request, [1])]])
-    const { request } = world.open('/p/')
+    const { harness, workers } = await start([['decode', (request) => stream(request, [1])]])
+    const { request } = harness.open('/p/')
     const begun = new Promise((resolve) =>
       request.on('response', (response) => response.once('data', resolve)),
     )
@@ -262,17 +268,17 @@
   })
 
   it('end with their connection if the engine named no length', async () => {
-    const { world } = await start([
+    const { harness } = await start([
       ['decode', (request) => void request.socket.end(goodAnswer(request, event(1), ['Connection: close']))],
     ])
-    const answer = await world.send('/p/')
+    const answer = await harness.send('/p/')
     expect(answer.body).toBe(event(1))
     expect(answer.headers['transfer-encoding']).toBeUndefined()
   })
 
   it('are refused with a retry delay if no decode engine is known', async () => {
-    const { world } = await start([['prefill', reads]])
-    const answer = await world.send('/p/')
+    const { harness } = await start([['prefill', reads]])
+    const answer = await harness.send('/p/')
     expect(answer.status).toBe(503)
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0)
   })
--- a/request/gateway/test/suspended.test.ts
+++ b/request/gateway/test/suspended.test.ts
@@ -7,21 +7,21 @@
 
 describe('an entry after its box was suspended', () => {
   it('releases an earlier placement and requests another', async () => {
-    const { world, seen } = await startRelay([['decode', streams]])
-    world.onPlace = () => {
+    const { harness, seen } = await startRelay([['decode', streams]])
+    harness.onPlace = () => {
       // Suspended between the placement and the sending; the second placement is granted afterwards.
-      if (world.places.length === 1) world.suspendedAt = performance.now()
+      if (harness.places.length === 1) harness.suspendedAt = performance.now()
     }
-    expect((await world.send('/p/a', SENT)).status).toBe(200)
-    expect(world.places).toHaveLength(2)
+    expect((await harness.send('/p/a', SENT)).status).toBe(200)
+    expect(harness.places).toHaveLength(2)
     expect(seen()).toEqual([1])
-    expect(world.pool.get('i-0')!.inFlight).toBe(0)
+    expect(harness.pool.get('i-0')!.inFlight).toBe(0)
   })
 
   it('does not use an earlier KV cache: the prompt is prefilled again, and the decode engine gets it once', async () => {
     let isFirst = true
     const suspendsWhileReading = (request: Parameters<typeof reads>[0]) => {
-      if (isFirst) relay.world.suspendedAt = performance.now()
+      if (isFirst) relay.harness.suspendedAt = performance.now()
       isFirst = false
       reads(request)
     }
@@ -29,7 +29,7 @@
       ['prefill', suspendsWhileReading],
       ['decode', streams],
     ])
-    expect((await relay.world.send('/p/a', SENT)).status).toBe(200)
+    expect((await relay.harness.send('/p/a', SENT)).status).toBe(200)
     expect(relay.seen()[1]).toBe(1)
     // One more prefill step, and the release of the first handle.
     expect(relay.seen()[0]).toBeGreaterThanOrEqual(2)
@@ -37,7 +37,7 @@
 
   it('uses no earlier grant for a cold endpoint', () => {
     const clock = new ManualClock()
-    const gate = new ColdEndpointLimiter({
+    const limiter = new ColdEndpointLimiter({
       clock,
       random: () => 0.999,
       leftMs: () => 3_000,
@@ -48,11 +48,11 @@
     clock.advance(60_000)
     const grant = { type: 'placed' as const, decode: 'i-1', cold: { waitedMs: 0, decodeMs: 500 } }
     const endpoint = { ...ENDPOINT, id: 'i-1' }
-    gate.addGrants('r1', grant, clock.now())
-    expect(gate.checkAndCount(endpoint, 'r1', 'decode')).toBeUndefined()
-    gate.addGrants('r2', grant, clock.now())
+    limiter.addGrants('r1', grant, clock.now())
+    expect(limiter.checkAndCount(endpoint, 'r1', 'decode')).toBeUndefined()
+    limiter.addGrants('r2', grant, clock.now())
     clock.suspend()
-    expect(gate.checkAndCount(endpoint, 'r2', 'decode')).toBeDefined()
+    expect(limiter.checkAndCount(endpoint, 'r2', 'decode')).toBeDefined()
   })
 })
 
--- a/request/limits/src/leaderlessShare.ts
+++ b/request/limits/src/leaderlessShare.ts
@@ -20,6 +20,7 @@
  */
 export function leaderlessShare(perSecond: number, { windowMs, over, slack }: LimitTolerance): number {
   const most = (perSecond * windowMs * (1 + over)) / SECOND_MS + slack
-  const led = (perSecond * (windowMs + PLACED_SEND_LIMIT_MS)) / SECOND_MS + bucketCapacity(perSecond)
-  return Math.max(0, most - led)
+  const sentWithLeader =
+    (perSecond * (windowMs + PLACED_SEND_LIMIT_MS)) / SECOND_MS + bucketCapacity(perSecond)
+  return Math.max(0, most - sentWithLeader)
 }
--- a/request/limits/src/permitAllocator.ts
+++ b/request/limits/src/permitAllocator.ts
@@ -45,7 +45,7 @@
   }
 
   /** Whether a request placed by this machine may be sent to an endpoint now. */
-  mayTake(id: InstanceId): boolean {
+  canSend(id: InstanceId): boolean {
     const perSecond = this.options.rates.rateOf(id)
     return perSecond === undefined || this.bucketOf(id).available(perSecond, this.options.clock.now()) >= 1
   }
--- a/request/limits/test/permitAllocator.test.ts
+++ b/request/limits/test/permitAllocator.test.ts
@@ -50,15 +50,15 @@
 
   it('counts requests placed by this machine as well as those sent by entries', () => {
     const { clock, allocator, ask } = newAllocator()
-    expect(allocator.mayTake('a')).toBe(true)
+    expect(allocator.canSend('a')).toBe(true)
     expect(allocator.spend('a')).toBe(false)
     ask(0)
-    expect(allocator.mayTake('a')).toBe(false)
+    expect(allocator.canSend('a')).toBe(false)
     clock.advance(250)
-    expect(allocator.mayTake('a')).toBe(true)
+    expect(allocator.canSend('a')).toBe(true)
     expect(allocator.spend('a')).toBe(true)
     expect(ask(9)).toBe(0)
-    expect(allocator.mayTake('a')).toBe(false)
+    expect(allocator.canSend('a')).toBe(false)
   })
 
   it('starts a term with empty buckets: the previous leader may have granted everything', () => {
@@ -77,6 +77,6 @@
     clock.advance(1_000)
     expect(ask(9, 0, null)).toBe(0)
     expect(allocator.isLimited('a')).toBe(false)
-    expect(allocator.mayTake('a')).toBe(true)
+    expect(allocator.canSend('a')).toBe(true)
   })
 })
--- a/request/limits/test/readLimitReport.test.ts
+++ b/request/limits/test/readLimitReport.test.ts
@@ -31,9 +31,9 @@
           one,
           { entry: 'e', endpoints: { a: one, b: { word: other, wanted: 1, returned: 0 } } },
         ]) {
-          for (const said of Object.values(readLimitReport(raw)?.endpoints ?? {})) {
+          for (const endpoint of Object.values(readLimitReport(raw)?.endpoints ?? {})) {
             expect(
-              Math.min(said.wanted, said.returned, said.word.perSecond ?? 0, said.word.ageMs),
+              Math.min(endpoint.wanted, endpoint.returned, endpoint.word.perSecond ?? 0, endpoint.word.ageMs),
             ).toBeGreaterThanOrEqual(0)
           }
         }
--- a/request/machine/src/endRequest.ts
+++ b/request/machine/src/endRequest.ts
@@ -44,9 +44,9 @@
 
 /** Discards a kept prefill result and counts its tokens as wasted. */
 export function discardKeptPrefill(state: RequestState, cause: WasteCause): void {
-  if (state.kept === undefined) return
-  const { endpoint, freshTokens } = state.kept
-  state.kept = undefined
+  if (state.keptPrefill === undefined) return
+  const { endpoint, freshTokens } = state.keptPrefill
+  state.keptPrefill = undefined
   state.effects.push({ type: 'wasted', tokens: freshTokens, cause, endpoint })
 }
 
@@ -57,9 +57,9 @@
 }
 
 function assertEndConsistent(state: RequestState, end: RequestEnd): void {
-  const saysNotRun = (end.type === 'refused' || end.type === 'failed') && end.execution === 'not-run'
+  const reportsNotRun = (end.type === 'refused' || end.type === 'failed') && end.execution === 'not-run'
   assertInvariant(
-    !saysNotRun || !state.dispatched,
+    !reportsNotRun || !state.dispatched,
     'a request reported as not run never ran',
     () => state.request,
   )
--- a/request/machine/src/requestState.ts
+++ b/request/machine/src/requestState.ts
@@ -20,7 +20,7 @@
   claimEpoch: number
   attempt: number
   placement?: Placement
-  kept?: KeptPrefill
+  keptPrefill?: KeptPrefill
   /** Endpoints that may hold something for the request and must be released, with the highest epoch sent to each. */
   holds: Map<EndpointName, number>
   /** Whether model work was sent to an engine that has not proved that it did not run it. */
--- a/request/machine/src/stepRequest.ts
+++ b/request/machine/src/stepRequest.ts
@@ -88,13 +88,13 @@
 }
 
 function startAttempt(state: RequestState, now: Millis): void {
-  const { kept } = state
-  const usable = kept !== undefined && kept.expiresAt - now > MIN_KEEP_MS
+  const { keptPrefill } = state
+  const usable = keptPrefill !== undefined && keptPrefill.expiresAt - now > MIN_KEEP_MS
   if (!usable) discardKeptPrefill(state, 'expired')
   state.phase = 'placing'
   state.placement = undefined
   const waited = now - state.startedAt
-  const keepPrefill = usable ? kept.endpoint : undefined
+  const keepPrefill = usable ? keptPrefill.endpoint : undefined
   state.effects.push({ type: 'place', attempt: state.attempt, avoid: state.avoid, waited, keepPrefill })
 }
 
@@ -104,9 +104,9 @@
   { reason, retryAfter }: Extract<RequestEvent, { type: 'refused' }>,
   now: Millis,
 ): void {
-  const mayGoOn = state.options.deliveredBefore > 0 || (state.delivered > 0 && state.deterministic)
+  const mayContinue = state.options.deliveredBefore > 0 || (state.delivered > 0 && state.deterministic)
   const againAt = now + Math.min(retryAfter, MAX_PLACE_RETRY_MS)
-  if (!mayGoOn || againAt >= state.options.deadline) return refuseRequest(state, reason, retryAfter)
+  if (!mayContinue || againAt >= state.options.deadline) return refuseRequest(state, reason, retryAfter)
   state.placeAgainAt = againAt
 }
 
@@ -139,7 +139,7 @@
 
 function handleReserved(state: RequestState, now: Millis): void {
   const placement = state.placement!
-  if (state.kept?.endpoint === placement.prefill) return startDecode(state, now)
+  if (state.keptPrefill?.endpoint === placement.prefill) return startDecode(state, now)
   const epoch = engineEpoch(state)
   state.phase = 'prefilling'
   state.dispatched = true
@@ -149,7 +149,7 @@
 
 function handlePrefilled(state: RequestState, freshTokens: number, keepMs: Millis, now: Millis): void {
   const { prefill } = state.placement!
-  state.kept = { endpoint: prefill, freshTokens, expiresAt: now + keepMs }
+  state.keptPrefill = { endpoint: prefill, freshTokens, expiresAt: now + keepMs }
   startDecode(state, now)
 }
 
@@ -198,8 +198,9 @@
   state.lastFailure = failure
   if (state.attempt + 1 >= MAX_ATTEMPTS) return failRequest(state, failure.reason, failure.step, failure.peer)
   state.avoid = [...new Set([...state.avoid, ...avoid])]
-  if (state.kept !== undefined && avoid.includes(state.kept.endpoint)) discardKeptPrefill(state, cause)
-  releaseAllBut(state, state.kept?.endpoint)
+  if (state.keptPrefill !== undefined && avoid.includes(state.keptPrefill.endpoint))
+    discardKeptPrefill(state, cause)
+  releaseAllBut(state, state.keptPrefill?.endpoint)
   state.attempt += 1
   // Nothing has been delivered yet, so another engine may give a different answer.
   if (state.delivered === 0) state.order = new FrameReorderBuffer()
@@ -232,7 +233,7 @@
 /** The engine decodes, so the prefill result has been fetched: it is neither wasted nor held any more. */
 function handleFirstToken(state: RequestState): void {
   const { prefill, decode } = state.placement!
-  state.kept = undefined
+  state.keptPrefill = undefined
   if (prefill !== decode) state.holds.delete(prefill)
 }
 
--- a/request/runner/src/engineSteps.ts
+++ b/request/runner/src/engineSteps.ts
@@ -112,7 +112,7 @@
     const { emit, id, parts, state } = this.options
     return {
       onLine: (line) => {
-        if (line.type === 'token') this.noteToken()
+        if (line.type === 'token') this.recordToken()
         emit({ type: 'line', attempt, line })
       },
       onClose: (error) => {
@@ -125,7 +125,7 @@
     }
   }
 
-  private noteToken(): void {
+  private recordToken(): void {
     const { id, state, parts } = this.options
     this.lastTokenAt = parts.clock.now()
     const { placement } = state
--- a/request/runner/src/modelRun.ts
+++ b/request/runner/src/modelRun.ts
@@ -134,11 +134,11 @@
       case 'release':
         return this.steps.release(effect)
       case 'noteDecoding':
-        return this.noteDecoding(effect.endpoint, effect.epoch)
+        return this.recordDecoding(effect.endpoint, effect.epoch)
       case 'deliver':
         return this.listeners.forEach((listener) => listener())
       case 'wasted':
-        return this.noteWasted(effect)
+        return this.recordWasted(effect)
       case 'end':
         return this.finish(effect.end)
     }
@@ -196,14 +196,14 @@
     this.step({ type: 'placed', attempt, placement: result, deterministic })
   }
 
-  private noteDecoding(endpoint: EndpointName, epoch: number): void {
+  private recordDecoding(endpoint: EndpointName, epoch: number): void {
     const { key, resumable } = this.model
     // Only lets a takeover find the stream; without it the takeover generates the answer again.
     if (resumable)
       this.parts.journal.recordDecoding(key, this.claimEpoch, endpoint, epoch).catch(() => undefined)
   }
 
-  private noteWasted({ tokens, cause, endpoint }: Extract<RequestEffect, { type: 'wasted' }>): void {
+  private recordWasted({ tokens, cause, endpoint }: Extract<RequestEffect, { type: 'wasted' }>): void {
     this.parts.metrics.recordWasted(tokens, cause)
     this.parts.traces.record(this.id, 'prefill wasted', { endpoint, tokens, cause })
   }
--- a/request/statements/src/availabilityTracker.ts
+++ b/request/statements/src/availabilityTracker.ts
@@ -131,7 +131,7 @@
   }
 
   /** The endpoints that must get no requests now. */
-  get closed(): InstanceId[] {
+  get unavailableIds(): InstanceId[] {
     const ids = new Set([...this.leavingTimes.keys(), ...this.backoffs.keys()])
     return [...ids].filter((id) => this.unavailability(id) !== undefined)
   }
--- a/request/statements/test/availabilityTracker.test.ts
+++ b/request/statements/test/availabilityTracker.test.ts
@@ -11,39 +11,40 @@
     info: (event: string, fields: object) => void lines.push({ event, ...fields }),
   }
   const tracker = new AvailabilityTracker({ clock, logger: logger as ReturnType<typeof createSilentLogger> })
-  const rest = (forMs: number, id = 'i-1') => tracker.recordRetryAfter(id, { type: 'rest', forMs }, 'r1')
-  return { clock, lines, tracker, rest }
+  const requestBackoff = (forMs: number, id = 'i-1') =>
+    tracker.recordRetryAfter(id, { type: 'rest', forMs }, 'r1')
+  return { clock, lines, tracker, requestBackoff }
 }
 
 describe('AvailabilityTracker', () => {
   it('keeps an endpoint unavailable until the end of its last-ending backoff, despite shorter ones since', () => {
-    const { clock, tracker, rest } = start()
-    rest(3_000)
+    const { clock, tracker, requestBackoff } = start()
+    requestBackoff(3_000)
     clock.advance(1_000)
-    rest(500)
-    rest(0)
+    requestBackoff(500)
+    requestBackoff(0)
     expect(tracker.unavailability('i-1')).toEqual({ untilMs: 4_000, reason: RETRY_AFTER_REASON })
-    rest(5_000)
+    requestBackoff(5_000)
     expect(tracker.unavailability('i-1')?.untilMs).toBe(7_000)
-    expect(tracker.closed).toEqual(['i-1'])
+    expect(tracker.unavailableIds).toEqual(['i-1'])
     clock.advance(6_000)
-    expect(tracker.closed).toEqual([])
+    expect(tracker.unavailableIds).toEqual([])
     expect(tracker.unavailability('i-2')).toBeUndefined()
   })
 
   it('caps a backoff at ten minutes', () => {
-    const { clock, tracker, rest } = start()
-    rest(1e12)
+    const { clock, tracker, requestBackoff } = start()
+    requestBackoff(1e12)
     clock.advance(600_000)
-    expect(tracker.closed).toEqual([])
+    expect(tracker.unavailableIds).toEqual([])
   })
 
   it('logs the start, a significant extension and the end of a backoff', () => {
-    const { clock, lines, tracker, rest } = start()
-    rest(3_000)
+    const { clock, lines, tracker, requestBackoff } = start()
+    requestBackoff(3_000)
     clock.advance(200)
-    rest(3_000)
-    rest(9_000)
+    requestBackoff(3_000)
+    requestBackoff(9_000)
     clock.advance(10_000)
     tracker.sweep(() => true)
     tracker.sweep(() => true)
@@ -56,9 +57,9 @@
 
   it('logs an unreadable Retry-After once per endpoint', () => {
     const { lines, tracker } = start()
-    const said = { type: 'unreadable', value: 'x'.repeat(100) } as const
-    tracker.recordRetryAfter('i-1', said, 'r1')
-    tracker.recordRetryAfter('i-1', said, 'r2')
+    const unreadable = { type: 'unreadable', value: 'x'.repeat(100) } as const
+    tracker.recordRetryAfter('i-1', unreadable, 'r1')
+    tracker.recordRetryAfter('i-1', unreadable, 'r2')
     expect(lines).toEqual([
       {
         event: 'endpoint.rest',
@@ -68,25 +69,25 @@
         value: 'x'.repeat(40),
       },
     ])
-    expect(tracker.closed).toEqual([])
+    expect(tracker.unavailableIds).toEqual([])
   })
 
   it('drops backoffs and leaving of incarnations that are no longer registered', () => {
-    const { tracker, rest, lines } = start()
-    rest(60_000)
-    rest(60_000, 'i-2')
+    const { tracker, requestBackoff, lines } = start()
+    requestBackoff(60_000)
+    requestBackoff(60_000, 'i-2')
     tracker.recordLeaving('i-1', 'r1')
     tracker.recordLeaving('i-1', 'r2')
     expect(tracker.leavingSince('i-1')).toBe(1_000)
     expect(lines.filter((line) => 'event' in line && line.event === 'endpoint.leaving')).toHaveLength(1)
     tracker.sweep((id) => id === 'i-2')
-    expect(tracker.closed).toEqual(['i-2'])
+    expect(tracker.unavailableIds).toEqual(['i-2'])
     expect(tracker.leavingCount).toBe(0)
   })
 
   it('sends one request at a time after a backoff until one succeeds', () => {
-    const { clock, tracker, rest } = start()
-    rest(3_000)
+    const { clock, tracker, requestBackoff } = start()
+    requestBackoff(3_000)
     clock.advance(3_000)
     expect(tracker.unavailability('i-1')).toBeUndefined()
     tracker.recordSent('i-1')
@@ -101,17 +102,17 @@
   })
 
   it('does not end a backoff on a success during it', () => {
-    const { clock, tracker, rest } = start()
-    rest(3_000)
+    const { clock, tracker, requestBackoff } = start()
+    requestBackoff(3_000)
     clock.advance(100)
     tracker.recordSuccess('i-1')
     expect(tracker.unavailability('i-1')?.untilMs).toBe(4_000)
   })
 
   it('returns the endpoint that becomes available first', () => {
-    const { tracker, rest } = start()
-    rest(3_000)
-    rest(2_000, 'i-2')
+    const { tracker, requestBackoff } = start()
+    requestBackoff(3_000)
+    requestBackoff(2_000, 'i-2')
     tracker.recordLeaving('i-3', 'r1')
     expect(tracker.earliestAvailable(['i-1', 'i-2', 'i-3'])).toEqual({
       untilMs: 3_000,
