--- a/membership/orders/src/orderSender.ts
+++ b/membership/orders/src/orderSender.ts
@@ -21,7 +21,7 @@
   engines: Pick<EngineClient, 'order'>
   clock: Clock
   logger: Logger
-  /** An earlier leader stops acting within this time after it was last heard. */
+  /** An earlier leader stops acting within this time after its last contact. */
   leaderLease: Millis
   /** How long an order may take to arrive. */
   orderTimeout: Millis
--- a/membership/watch/src/controlFollower.ts
+++ b/membership/watch/src/controlFollower.ts
@@ -113,7 +113,7 @@
     }
   }
 
-  /** The addresses of all known control machines, the most recently heard first. */
+  /** The addresses of all known control machines, in the order of their last contact, newest first. */
   addresses(): Address[] {
     const known = [...this.followed].sort(([, left], [, right]) => right.lastContactAt - left.lastContactAt)
     return known.map(([address]) => address)
--- a/membership/watch/src/watchTypes.ts
+++ b/membership/watch/src/watchTypes.ts
@@ -67,7 +67,7 @@
   supposedEvacuations?: FailureDomain[]
   /** The control machines' addresses for other machines. */
   members: Address[]
-  /** The leader's address; absent while the control machine hears of none. */
+  /** The leader's address; absent while the control machine knows of none. */
   leader?: Address
   /** The number of entries with a recent request. */
   entries: number
--- a/placement/allocator/src/prefixCacheIndex.ts
+++ b/placement/allocator/src/prefixCacheIndex.ts
@@ -68,7 +68,7 @@
     this.engines.delete(engine)
   }
 
-  /** Forgets engines that are not registered any more. */
+  /** Removes all engines that are not among the given ones. */
   sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.engines.keys()) if (!ids.has(id)) this.engines.delete(id)
   }
--- a/placement/allocator/test/allocatorStages.test.ts
+++ b/placement/allocator/test/allocatorStages.test.ts
@@ -80,9 +80,10 @@
   })
 
   /*
-   * Guards against a pool without a decode engine. Both prefill engines leave, so one of three decode engines is told
-   * to prefill; the other two leave while it changes. If a stage may never lose its last engine, the only engine left
-   * prefills for nobody and every request is refused ("no decode engine is known"; 220 of 257 refusals in one run).
+   * Guards against a pool without a decode engine. Both prefill engines leave, so one of three decode engines is
+   * told to prefill; the other two leave while it changes. If a stage may never lose its last engine, the only
+   * engine left prefills without a decode engine and every request is refused ("no decode engine is known"; 220 of
+   * 257 refusals in one run).
    */
   it.each([1, 2])(
     'tells a prefill engine to decode if no engine decodes any more, even the last one (%i left)',
--- a/placement/place/src/place.ts
+++ b/placement/place/src/place.ts
@@ -16,7 +16,7 @@
 const SHORTLIST_SIZE = 4
 /** Pairs within this share of the lowest cost count as equal; one is drawn, so that boxes do not herd. */
 const NEAR_EQUAL_SHARE = 0.08
-/** Part of the KV memory kept free for answers that grow beyond the forecast. */
+/** Part of the KV memory reserved for answers that grow beyond the forecast. */
 const MEMORY_HEADROOM_SHARE = 0.03
 /** The first token must be expected within this part of the target: reports lag, and other boxes send too. */
 const LATE_TOLERANCE = 0.85
--- a/request/crashes/src/trialScheduler.ts
+++ b/request/crashes/src/trialScheduler.ts
@@ -41,7 +41,7 @@
 const DRAIN_MS: Millis = 500
 /** An entry that has not reported the end of a run by then may have crashed itself. */
 const RUN_TIMEOUT_MS: Millis = 2_000
-/** A reservation that nobody has asked for during this time is released. */
+/** A reservation that has not been requested for this time is released. */
 const IDLE_RELEASE_MS: Millis = 1_500
 /** Within this time a poison request has crashed its endpoint, and the crash is confirmed. */
 const TURN_TIMEOUT_MS: Millis = 1_000
--- a/request/gateway/src/endpointPool.ts
+++ b/request/gateway/src/endpointPool.ts
@@ -72,7 +72,7 @@
   clock: Clock
   random: Random
   logger: Logger
-  /** What instances have told this entry about their availability; nothing where left out. */
+  /** What instances have announced to this entry about their availability; nothing where left out. */
   availability?: AvailabilityTracker
   /** Whether an instance is cold, that is slow for a while without being faulty; false for all where left out. */
   isCold?: (id: string) => boolean
@@ -121,12 +121,12 @@
     return healthy.length > 0 ? healthy : available
   }
 
-  /** Whether a service has instances that accept work, even if they want none from this entry now. */
+  /** Whether a service has instances that accept work, even if they accept none from this entry now. */
   hasEndpoints(service: string, query: CandidateQuery = {}): boolean {
     return this.matching(service, query).length > 0
   }
 
-  /** Whether an instance accepts requests from this entry now, by what it has told it. */
+  /** Whether an instance accepts requests from this entry now, by what it has announced. */
   isAvailable({ endpoint }: PooledEndpoint): boolean {
     return this.options.availability?.unavailability(endpoint.id) === undefined
   }
@@ -239,7 +239,7 @@
     this.recordSend(to, tokens)
   }
 
-  /** Records that an instance announced in an answer that it leaves. Lists may be older, or from a machine not told yet. */
+  /** Records that an instance announced in an answer that it leaves. Lists may be older, or from a machine that does not know yet. */
   recordLeaving(one: PooledEndpoint): void {
     one.hasAnnouncedLeaving = true
     one.leavingSince ??= this.options.clock.now()
--- a/request/gateway/src/isolatedPlace.ts
+++ b/request/gateway/src/isolatedPlace.ts
@@ -11,7 +11,7 @@
   | { type: 'later'; retryAfterMs: Millis }
   | { type: 'anywhere' }
 
-/** Refusal reason of a request that must run alone. */
+/** Refusal reason of a request that may only run in an isolated trial. */
 export const MUST_BE_ISOLATED = 'must run alone'
 
 /** Share of the remaining time that a request waits for a reserved endpoint, and the upper limit of that wait. */
--- a/request/gateway/src/plainRelay.ts
+++ b/request/gateway/src/plainRelay.ts
@@ -166,7 +166,7 @@
     return pool.hasEndpoints(service.name) ? OUTSIDE_REGIONS : 'no endpoint'
   }
 
-  /** Returns why and for how long all endpoints are closed to this entry; undefined if one is open. */
+  /** Returns why and for how long no endpoint accepts requests from this entry; undefined if one does. */
   private unavailability(): PoolUnavailability | undefined {
     return this.parts.pool.unavailability(this.job.service.name, { regions: this.job.regions() })
   }
--- a/request/gateway/src/remotePlacer.ts
+++ b/request/gateway/src/remotePlacer.ts
@@ -91,7 +91,7 @@
 
   async place(work: ModelWork): Promise<PlaceAnswer> {
     const { clock, pool } = this.options
-    // The leader may not know what engines have told this entry.
+    // The leader may not know what engines have announced to this entry.
     const unavailable = pool.unavailability(work.service, { stage: 'decode', regions: work.regions })
     if (unavailable !== undefined) return refusalFor(unavailable)
     const first = this.toAsk(work)
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Resolves `changed` once another machine than `leader` leads, or none: a call to the former leader would wait in
-   * vain.
+   * Resolves `changed` once another machine than `leader` leads, or none: a call to the former leader would only
+   * time out.
    */
   private watchLeader(leader: Address | undefined): {
     changed: Promise<'leader-changed'>
--- a/request/gateway/src/sendRules.ts
+++ b/request/gateway/src/sendRules.ts
@@ -13,7 +13,7 @@
 /** The endpoint is in an evacuated failure domain. */
 export const EVACUATED = 'evacuated'
 
-/** The endpoint is reserved for a request that must run alone. */
+/** The endpoint is reserved for the isolated trial of another request. */
 export const RESERVED = 'kept free'
 
 /** The placement dates from before this box was suspended. */
--- a/request/gateway/test/gatewayHarness.ts
+++ b/request/gateway/test/gatewayHarness.ts
@@ -121,7 +121,7 @@
     readonly evacuated: Set<string>,
     /** The entry's retry budget. */
     readonly retryBudget: GatewayRetryBudget,
-    /** What endpoints have told the entry about their availability in answers. */
+    /** What endpoints have announced to the entry about their availability. */
     readonly availability: AvailabilityTracker,
   ) {}
 
--- a/request/statements/src/availabilityTracker.ts
+++ b/request/statements/src/availabilityTracker.ts
@@ -41,7 +41,7 @@
 /** Longer backoffs are cut to this; an endpoint that still needs one repeats it in the response to the next request. */
 const MAX_BACKOFF_MS: Millis = 600_000
 /**
- * Machines that were told to come back at the same time are spread over this share of the backoff, up to the maximum.
+ * Machines with backoffs that end at the same time are spread over this share of the backoff, up to the maximum.
  */
 const JITTER_SHARE = 0.1
 const MAX_JITTER_MS: Millis = 500
