--- a/api/caller/src/createCallerApp.ts
+++ b/api/caller/src/createCallerApp.ts
@@ -25,7 +25,7 @@
   plain: PlainCalls
   rows: () => EndpointRow[]
   /** Returns why new requests are refused; undefined while they are accepted. */
-  refusesWork: () => string | undefined
+  refusalReason: () => string | undefined
   /** Returns whether the load balancer should send requests to this box. */
   isReady: () => boolean
   logger: Logger
@@ -103,7 +103,7 @@
 }
 
 function assertAcceptsWork(options: CallerAppOptions): void {
-  const reason = options.refusesWork()
+  const reason = options.refusalReason()
   if (reason === undefined) return
   throw new AnswerError(
     'FORKSTAGE_NOT_READY',
--- a/placement/allocator/src/prefixCacheIndex.ts
+++ b/placement/allocator/src/prefixCacheIndex.ts
@@ -68,8 +68,8 @@
     this.engines.delete(engine)
   }
 
-  /** Forgets engines that are not registered any more. */
-  keepOnly(ids: ReadonlySet<InstanceId>): void {
+  /** Removes all engines that are not among the given ones. */
+  sweep(ids: ReadonlySet<InstanceId>): void {
     for (const id of this.engines.keys()) if (!ids.has(id)) this.engines.delete(id)
   }
 
