--- a/tools/deployment/src/caller.ts
+++ b/tools/deployment/src/caller.ts
@@ -10,28 +10,33 @@
   maxTokens?: number
   headers?: Record<string, string>
   signal?: AbortSignal
-  /** Called for each token as it comes. */
+  /** Called for each token on arrival, with its event id. */
   onToken?: (text: string, id: number) => void
 }
 
-/** What a caller got. */
+/** The answer to a chat request, as its caller received it. */
 export interface ChatAnswer {
   status: number
+  /** `X-Forkstage-Execution`: whether the request ran. */
   execution: string
+  /** The request id that the box assigned; empty when the answer names none. */
   request: string
   text: string
   tokens: number
-  /** Whether the stream said that it was whole. */
+  /** Whether the answer is complete: the stream ended with `[DONE]`, or the body has choices. */
   whole: boolean
   error?: { code: string; message: string; execution: string }
-  /** Milliseconds from sending to the first token, and between tokens on average. */
+  /** Milliseconds from sending to the first token; undefined when none arrived. */
   ttftMs?: number
+  /** Mean milliseconds between tokens; undefined with fewer than two tokens. */
   tbtMs?: number
+  /** Id of the last event; initially the `last-event-id` that was sent, or 0. */
   lastEventId: number
+  /** `X-Forkstage-Retry-After-Ms`; undefined when the answer has no such header. */
   retryAfterMs?: number
 }
 
-/** Sends a chat request to a box and reads its answer, streamed or whole. */
+/** Sends a chat request to a box and returns its answer, read from a stream or from one JSON body. */
 export async function sendChat(box: Pick<BoxHandle, 'callers'>, options: ChatOptions): Promise<ChatAnswer> {
   const { model, prompt, stream = true, maxTokens = 64, headers, signal, onToken } = options
   const sentAt = performance.now()
@@ -116,7 +121,7 @@
   }
 }
 
-/** A call to a plain service through a box. */
+/** Sends a call to a plain service through a box and returns its answer; `request` is empty when the box assigned no id. */
 export async function sendPlain(
   box: Pick<BoxHandle, 'callers'>,
   path: string,
--- a/tools/deployment/src/claimPorts.ts
+++ b/tools/deployment/src/claimPorts.ts
@@ -1,17 +1,20 @@
 import { createServer, type Server } from 'node:net'
 
-/** Ports that a deployment uses, with the one by which they are claimed. */
+/** Ports of one range; the last one is bound to claim the range. */
 const PORTS_PER_CLAIM = 700
-/** Below those that the system gives to connections. */
+/** All ranges end below the ephemeral ports of the system. */
 const FIRST_PORT = 10_000
 const CLAIM_COUNT = 31
 
-/** Claims of this process; they are given back when it ends. */
+/** Claims of this process, released by the system when the process ends. */
 const claimed: Server[] = []
 
 /**
- * Claims ports for one deployment, so that none of another run answers it: whoever listens at the last of them has them all.
- * @returns the first of them.
+ * Claims a range of ports for one deployment, so that concurrent runs never share a port. A process claims a range by
+ * listening on its last port.
+ * @param random chooses the range to try first.
+ * @returns the first port of the range.
+ * @throws when all ranges are claimed.
  */
 export async function claimPorts(random: () => number = Math.random): Promise<number> {
   const first = Math.floor(random() * CLAIM_COUNT)
@@ -22,7 +25,7 @@
     claimed.push(server)
     return base
   }
-  throw new Error(`all ${CLAIM_COUNT} ranges of ports are in use by other runs`)
+  throw new Error(`all ${CLAIM_COUNT} port ranges are in use by other runs`)
 }
 
 function listen(port: number): Promise<Server | undefined> {
--- a/tools/deployment/src/cutProxy.ts
+++ b/tools/deployment/src/cutProxy.ts
@@ -13,15 +13,15 @@
 }
 
 /**
- * Forwards one box's peer traffic and cuts it on command: a cut connection stays open and silent, as
- * when a network swallows packets. Who calls is told by the caller's IP number.
+ * A TCP proxy in front of one box's peer listener that can drop its traffic. Like a network that loses packets, it keeps a
+ * cut connection open and silent. Callers are identified by their IP address.
  */
 export interface CutProxy {
-  /** Swallows everything from these IP numbers; an empty list heals. */
+  /** Drops all bytes of connections from these IP addresses; an empty list restores all of them. */
   cut(hosts: string[]): void
-  /** Swallows everything from and to this box. */
+  /** Drops all bytes to and from this box while `cut` is true. */
   cutAll(cut: boolean): void
-  /** Bytes that have passed since the start, by the caller's IP number. */
+  /** Bytes received since the start, dropped ones included, by the caller's IP address. */
   traffic(): Map<string, Traffic>
   close(): Promise<void>
 }
@@ -32,6 +32,7 @@
   fromBox: number
 }
 
+/** Starts a proxy and returns it once it listens. */
 export async function startCutProxy({ listen, target }: CutProxyOptions): Promise<CutProxy> {
   const connections = new Set<ProxiedConnection>()
   let cutHosts: string[] = []
@@ -64,7 +65,7 @@
     for (const socket of [inbound, outbound]) socket.on('error', close).on('close', close)
   })
   await new Promise<void>((resolve) => server.listen(listen.port, listen.host, resolve))
-  /** A stream with a hole in it is useless: what was cut is closed when the cut heals. */
+  /** Closes the cut connections when traffic is restored, since their streams have lost bytes. */
   const closeCutConnections = () => {
     for (const connection of connections) if (isCut(connection.inbound)) connection.inbound.destroy()
   }
--- a/tools/deployment/src/deployment.ts
+++ b/tools/deployment/src/deployment.ts
@@ -13,23 +13,24 @@
 /** Options of {@link Deployment}. */
 export interface DeploymentOptions {
   site: Site
-  /** Settings, data folders and logs go here. */
+  /** Folder for settings, data folders and logs. */
   folder: string
-  /** The first of about 600 ports. */
+  /** The first of about 600 consecutive ports. */
   portBase: number
-  /** How the daemon is started; the bundle where not given. */
+  /** Command that starts the daemon; default: the bundle. */
   command?: string[]
+  /** Command that starts the stand-ins; default: their bundle. */
   fakesCommand?: string[]
   settings?: SettingsOverrides
-  /** Profile of the stand-in engines. */
+  /** Options of the stand-in engines, passed as JSON in `--profile`. */
   engineProfile?: Record<string, unknown>
-  /** Only so many of the site's boxes. */
+  /** How many of the site's boxes to run; default: all. */
   boxes?: number
-  /** Engines in each pool; three where not given. */
+  /** Engines in each pool; default: 3. */
   engines?: number
-  /** Put a cutting proxy before every box's peer listener. */
+  /** Put a {@link CutProxy} in front of every box's peer listener. */
   cutProxies?: boolean
-  /** Start the platform's list too. */
+  /** Also start the stand-in for the platform's member list. */
   platform?: boolean
 }
 
@@ -39,9 +40,9 @@
   control: boolean
   callers: string
   operators: string
-  /** Where other boxes reach it. */
+  /** Address at which other boxes reach this one. */
   peers: string
-  /** The IP number that the box's own calls come from. */
+  /** Source IP address of the box's own calls. */
   host: string
   settingsFile: string
   dataFolder: string
@@ -52,12 +53,12 @@
 export const CALLER_TOKEN = 'caller-token-of-a-deployment'
 export const OPERATOR_TOKEN = 'operator-token-of-a-deployment'
 export const SHARED_KEY = 'the shared key of a deployment'
-/** Where the bundled programs are. */
+/** Folder of the bundled programs. */
 const DIST = process.env.FORKSTAGE_DIST ?? 'dist'
 /** Ports kept for each kind of listener. */
 const PORTS_PER_KIND = 100
 
-/** A whole site on loopback, each box and each kind of stand-in a process of its own. */
+/** A whole site on loopback: one process for each box and for each kind of stand-in. */
 export class Deployment {
   readonly boxes: BoxHandle[]
   readonly ports: SitePorts
@@ -74,10 +75,12 @@
     this.boxes = site.boxes.slice(0, boxes).map((box, index) => this.describeBox(box, index))
   }
 
+  /** The site's first table, with the ports of this deployment's stand-ins. */
   get table(): Table {
     return createTable(this.options.site, this.ports)
   }
 
+  /** Starts stand-ins, proxies and boxes; returns once every box answers its operators. */
   async start(): Promise<void> {
     mkdirSync(this.options.folder, { recursive: true })
     await this.startFakes()
@@ -113,7 +116,10 @@
     await Promise.all(boxes.map((box) => waitUntil(() => isReady(box), { what: `${box.name} to be ready` })))
   }
 
-  /** Confirms a table through a box; retried under the same id until there is an answer. */
+  /**
+   * Confirms a table through a box, with retries under one id until an answer arrives.
+   * @param options.base version to replace; default: the one in force at the box.
+   */
   async confirm(
     table: Table,
     options: { box?: BoxHandle; base?: number; confirmId?: string } = {},
@@ -130,16 +136,18 @@
       })
       return true
     }
-    await waitUntil(send, { what: 'a confirm to be answered' })
+    await waitUntil(send, { what: 'an answer to the confirm' })
     return answer!
   }
 
-  /** Waits until a version is in force on all boxes that run. */
+  /** Waits until a version or a later one is in force on the given boxes. */
   async waitInForce(version: number, boxes = this.boxes): Promise<void> {
     const isInForce = async (box: BoxHandle) =>
       (await this.callOperator<VersionedTable>(box, 'GET', '/v1/table')).version >= version
     await Promise.all(
-      boxes.map((box) => waitUntil(() => isInForce(box), { what: `version ${version} on ${box.name}` })),
+      boxes.map((box) =>
+        waitUntil(() => isInForce(box), { what: `version ${version} to be in force on ${box.name}` }),
+      ),
     )
   }
 
@@ -147,6 +155,7 @@
     return this.callOperator(box, 'GET', '/v1/control')
   }
 
+  /** Calls a box's operator API with the operator's credential and returns the JSON body; a status of 400 or more rejects. */
   callOperator<Answer>(
     box: BoxHandle,
     method: 'GET' | 'POST',
@@ -163,7 +172,7 @@
     }).json<Answer>()
   }
 
-  /** Ends a box at once, as a power cut would. */
+  /** Kills a box without a clean stop, as a power failure would, and waits for its process to end. */
   async kill(box: BoxHandle): Promise<void> {
     box.process?.kill('SIGKILL')
     await box.process?.exited
@@ -177,13 +186,13 @@
     box.process?.kill('SIGCONT')
   }
 
-  /** Swallows all traffic between one box and the others, both ways. */
+  /** Drops all peer traffic between one box and the others in both directions while `cut` is true. */
   cutOff(box: BoxHandle, cut: boolean): void {
     box.proxy?.cutAll(cut)
     for (const other of this.boxes) if (other !== box) other.proxy?.cut(cut ? [box.host] : [])
   }
 
-  /** Stops everything; returns the boxes' exit codes, null for those ended by a signal. */
+  /** Stops boxes, stand-ins and proxies; returns the exit codes by box name, null for a box that a signal ended. */
   async stop(signal: NodeJS.Signals = 'SIGTERM'): Promise<Record<string, number | null>> {
     const codes: Record<string, number | null> = {}
     const stopBox = async (box: BoxHandle) => {
--- a/tools/deployment/src/formatSettings.ts
+++ b/tools/deployment/src/formatSettings.ts
@@ -1,7 +1,7 @@
 import { stringify } from 'smol-toml'
 import type { Site } from './sites'
 
-/** Settings that differ from the deployment's usual ones, section by section. */
+/** Settings by section and name; they replace the defaults of a deployment. */
 export type SettingsOverrides = Record<string, Record<string, unknown>>
 
 /** Options of {@link formatSettings}. */
@@ -17,7 +17,7 @@
   overrides: SettingsOverrides
 }
 
-/** The settings file of one box of a deployment. */
+/** Returns the text of the settings file (TOML) of one box. */
 export function formatSettings(options: FormatSettingsOptions): string {
   const { site, box, listen, replicas, overrides, platform } = options
   const sections: Record<string, unknown> = {
--- a/tools/deployment/src/index.ts
+++ b/tools/deployment/src/index.ts
@@ -1,4 +1,4 @@
-/** Whole deployments on loopback. */
+/** Starts whole deployments on loopback for tests, soaks and benchmarks. */
 export { claimPorts } from './claimPorts'
 export { CALLER_TOKEN, Deployment, OPERATOR_TOKEN, SHARED_KEY } from './deployment'
 export type { BoxHandle, DeploymentOptions } from './deployment'
--- a/tools/deployment/src/sites.ts
+++ b/tools/deployment/src/sites.ts
@@ -1,10 +1,10 @@
 import type { EndpointRow, LinkRow, Table } from '@forkstage/types'
 
-/** A deployment of one of the first users, in the sizes of the brief. */
+/** The layout of a deployment: boxes, failure domains, services and policy weights. */
 export interface Site {
   name: 'addis' | 'colombo'
   domains: string[]
-  /** Box names; the first of each failure domain is a control replica. */
+  /** Boxes by name; the first one of each failure domain is a control replica. */
   boxes: { name: string; domain: string; control: boolean }[]
   modelService: string
   model: string
@@ -24,7 +24,7 @@
   return { ...rest, boxes }
 }
 
-/** Addis Kelem: three halls, 7 boxes, goodput weighs more. */
+/** Addis Kelem: three halls, 7 boxes, a higher weight for goodput. */
 export const ADDIS: Site = createSite({
   name: 'addis',
   domains: ['bole-hall', 'arada-hall', 'kality-hall'],
@@ -38,7 +38,7 @@
   wastedPrefillWeight: 1,
 })
 
-/** Ledger Assistant Fleet, Colombo: three failure domains, 8 boxes, wasted prefill weighs more. */
+/** Ledger Assistant Fleet, Colombo: three failure domains, 8 boxes, a higher weight for wasted prefill. */
 export const COLOMBO: Site = createSite({
   name: 'colombo',
   domains: ['col-a', 'col-b', 'col-c'],
@@ -52,7 +52,7 @@
   wastedPrefillWeight: 2,
 })
 
-/** The same site with another number of boxes, spread over its failure domains in turn. */
+/** Returns a site with another number of boxes, distributed round-robin over its failure domains. */
 export function scaleSite(site: Site, count: number): Site {
   const boxes = Array.from({ length: count }, (_, index) => {
     const known = site.boxes[index % site.domains.length]!
@@ -65,7 +65,7 @@
   return { ...site, boxes }
 }
 
-/** Ports of a site's stand-ins. */
+/** Ports of a site's stand-ins, by pool. */
 export interface SitePorts {
   prefill: number[]
   decode: number[]
@@ -83,7 +83,7 @@
   repeatable: true,
 }
 
-/** The site's first table: three prefill and three decode engines, three plain services, links between all domains. */
+/** Returns the site's first table: one row for each port, with links between all failure domains. */
 export function createTable(site: Site, ports: SitePorts): Table {
   const engine =
     (pool: 'prefill' | 'decode') =>
--- a/tools/deployment/src/startProcess.ts
+++ b/tools/deployment/src/startProcess.ts
@@ -2,29 +2,29 @@
 import { createWriteStream } from 'node:fs'
 import { waitUntil } from './waitUntil'
 
-/** A process that this tool started, with what it has printed. */
+/** A child process and its captured output. */
 export interface RunningProcess {
   readonly child: ChildProcess
-  /** Lines of standard output so far. */
+  /** Lines of standard output so far; with `keepLines` off, only the first ones. */
   readonly lines: string[]
-  /** Ends when the process does, with its exit code; null after a signal. */
+  /** Resolves to the exit code when the process ends; null after a signal. */
   readonly exited: Promise<number | null>
   kill(signal: NodeJS.Signals): void
 }
 
 /** Options of {@link startProcess}. */
 export interface StartProcessOptions {
-  /** Standard output and standard error are also written here. */
+  /** File to which standard output and standard error are appended; without it standard error is discarded. */
   logFile?: string
   env?: Record<string, string>
-  /** Keep lines in memory; off for long runs. */
+  /** Whether to keep all lines in memory; default: true. Long runs turn it off. */
   keepLines?: boolean
 }
 
 const running = new Set<ChildProcess>()
 process.on('exit', () => running.forEach((child) => child.kill('SIGKILL')))
 
-/** Starts a program of this project as a process of its own. */
+/** Starts a command as a child process that is killed when this process exits. */
 export function startProcess(command: string[], options: StartProcessOptions = {}): RunningProcess {
   const { logFile, env, keepLines = true } = options
   const child = spawn(command[0]!, command.slice(1), {
@@ -58,7 +58,7 @@
 
 const MAX_FIRST_LINES = 50
 
-/** Waits until a process has printed a line. */
+/** Waits until a process has printed a line that contains a text. */
 export async function waitForLine(started: RunningProcess, text: string, timeoutMs = 15_000): Promise<void> {
   await waitUntil(() => started.lines.some((line) => line.includes(text)), {
     what: `the line "${text}"`,
--- a/tools/deployment/src/waitUntil.ts
+++ b/tools/deployment/src/waitUntil.ts
@@ -1,6 +1,6 @@
 /** Options of {@link waitUntil}. */
 export interface WaitUntilOptions {
-  /** Names what is waited for, for the error. */
+  /** Names the condition in the error message. */
   what: string
   timeoutMs?: number
   everyMs?: number
@@ -9,7 +9,10 @@
 const DEFAULT_TIMEOUT_MS = 30_000
 const DEFAULT_EVERY_MS = 25
 
-/** Waits until a condition holds. @throws when it does not in time; failing checks count as "not yet". */
+/**
+ * Waits until a condition holds; a check that throws counts as false.
+ * @throws when the condition does not hold in time, with the message of the last check if that check threw.
+ */
 export async function waitUntil(
   condition: () => boolean | Promise<boolean>,
   options: WaitUntilOptions,
--- a/tools/deployment/test/binary.test.ts
+++ b/tools/deployment/test/binary.test.ts
@@ -24,7 +24,7 @@
   rmSync(folder, { recursive: true, force: true })
 })
 
-/** Runs a command of the one binary, in a folder without node_modules. */
+/** Runs a command of the single-file binary in a folder without node_modules. */
 async function forkstage(...args: string[]): Promise<{ code: number; out: string; err: string }> {
   const env = {
     ...process.env,
@@ -40,7 +40,7 @@
   }
 }
 
-describe('the one binary', () => {
+describe('the single-file binary', () => {
   it('serves an answer check, a hint and a save', async () => {
     const check = await sendChat(deployment.boxes[0]!, { model: ADDIS.model, prompt: 'seal? [[answer=4]]' })
     const hint = await sendChat(deployment.boxes[3]!, { model: ADDIS.model, prompt: 'hint', stream: false })
@@ -55,7 +55,7 @@
       expect(explained.out).toContain(step)
   })
 
-  it('shows, exports, checks, compares and confirms the table', async () => {
+  it('shows, exports, compares, checks and confirms the table', async () => {
     expect((await forkstage('table', 'show')).out).toContain('kelem-llm-prefill-1')
     expect((await forkstage('table', 'export', 'edit')).code).toBe(0)
     expect((await forkstage('table', 'diff', 'edit')).out).toContain('no difference')
@@ -78,7 +78,7 @@
     expect((await forkstage('table', 'history')).out).toContain('one-confirm-id')
   })
 
-  it('shows every box, gives orders, stops a box', async () => {
+  it('shows every box, sends orders and stops a box', async () => {
     const status = await forkstage('status')
     for (const box of deployment.boxes) expect(status.out).toContain(box.name)
     expect((await forkstage('order', 'kelem-llm-decode-2', 'loadModel', 'kelem-7b')).out).toContain('fence')
--- a/tools/deployment/test/claimPorts.test.ts
+++ b/tools/deployment/test/claimPorts.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest'
 import { claimPorts } from '../src'
 
-it('claims ports that no other run has, whatever it begins with', async () => {
+it('claims a different range on each call, wherever the search starts', async () => {
   const first = await claimPorts(() => 0)
   const second = await claimPorts(() => 0)
   const last = await claimPorts(() => 0.999)
--- a/tools/deployment/test/harness.ts
+++ b/tools/deployment/test/harness.ts
@@ -6,12 +6,12 @@
 import type { EngineRecord, PlainCall } from '@forkstage/fakes'
 import { ADDIS, claimPorts, Deployment, waitUntil, type DeploymentOptions } from '../src'
 
-/** Starts a deployment in a folder and at ports of its own; with the first table confirmed and every box ready. */
+/** Starts a deployment in a new folder on claimed ports; returns it with the first table in force and every box ready. */
 export async function startDeployment(
   options: Partial<Omit<DeploymentOptions, 'portBase'>> = {},
 ): Promise<Deployment> {
   const folder = mkdtempSync(join(tmpdir(), 'forkstage-test-'))
-  // Latency targets belong to the bench: here a slow machine must not turn an answer into a refusal.
+  // The bench checks latency; generous targets keep a slow machine from refusing requests here.
   const settings = { policy: { ttft_target_ms: 20_000, tbt_target_ms: 2_000 }, ...options.settings }
   const deployment = new Deployment({
     site: ADDIS,
@@ -27,6 +27,7 @@
   return deployment
 }
 
+/** Kills a deployment and deletes its folder, unless `KEEP` is set. */
 export async function stopDeployment(deployment: Deployment | undefined): Promise<void> {
   await deployment?.stop('SIGKILL')
   if (deployment !== undefined && process.env.KEEP === undefined)
@@ -53,7 +54,7 @@
   ...deployment.ports.decode,
 ]
 
-/** Switches faults on at engines; an empty object switches all off. */
+/** Sets the faults of stand-ins; an empty object ends all faults. */
 export async function setFaults(ports: number[], faults: object): Promise<void> {
   await Promise.all(ports.map((port) => readJson(port, '/faults', 'POST', faults)))
 }
@@ -66,7 +67,7 @@
 export const readHolds = async (deployment: Deployment): Promise<EngineHold[]> =>
   (await Promise.all(enginePorts(deployment).map((port) => readJson<EngineHold[]>(port, '/v1/holds')))).flat()
 
-/** Waits until no engine holds anything. */
+/** Waits until no engine has a hold. */
 export async function waitNothingHeld(deployment: Deployment, timeoutMs = 30_000): Promise<void> {
   await waitUntil(async () => (await readHolds(deployment)).length === 0, {
     what: 'every hold to be released',
@@ -74,7 +75,7 @@
   })
 }
 
-/** How often each request was decoded to its end, over all engines. */
+/** Returns how often each request was decoded to its end over all engines, by request id. */
 export async function readDecodeCounts(deployment: Deployment): Promise<Map<string, number>> {
   const answered = new Map<string, number>()
   for (const port of deployment.ports.decode) {
--- a/tools/deployment/test/requests.test.ts
+++ b/tools/deployment/test/requests.test.ts
@@ -61,7 +61,7 @@
       expect(JSON.parse(body.toString()).error).toMatchObject({ code: /^FORKSTAGE_/, hint: /./ })
   })
 
-  it('gives one answer to the same key at two boxes at once, from one decode', async () => {
+  it('gives the same answer, from one decode, to one key sent to two boxes concurrently', async () => {
     const [left, right] = await Promise.all([
       sendChat(first!(), chatOptions('both', 20)),
       sendChat(second!(), chatOptions('both', 20)),
@@ -77,7 +77,7 @@
     await waitNothingHeld(deployment)
   })
 
-  it('refuses a key that stands for another request', async () => {
+  it('refuses a key that was used for another request', async () => {
     await sendChat(first!(), chatOptions('reused', 3))
     const other = await sendChat(second!(), { ...chatOptions('reused', 3), prompt: 'something else' })
     expect([other.status, other.execution, other.error?.code]).toEqual([
@@ -87,7 +87,7 @@
     ])
   })
 
-  it('goes on at another box after the entry died in the middle of a stream: nothing doubled, nothing missing', async () => {
+  it('resumes a stream at another box after its entry was killed, without missing or duplicate tokens', async () => {
     const whole = await sendChat(first!(), chatOptions('whole', 120))
     const killedBox = last!()
     let tokens = ''
@@ -112,7 +112,7 @@
     await waitNothingHeld(deployment)
   })
 
-  it('holds nothing for a caller that is gone, at whatever step it left', async () => {
+  it('releases all holds of a request when its caller disconnects, at any step', async () => {
     for (const afterTokens of [0, 1, 5]) {
       const abort = new AbortController()
       const abandoned = sendChat(first!(), {
@@ -127,7 +127,7 @@
       })
       if (afterTokens === 0) {
         await waitUntil(async () => (await readHolds(deployment)).length > 0, {
-          what: 'the request to hold something',
+          what: 'the request to have a hold',
         })
         abort.abort()
       }
@@ -136,12 +136,12 @@
     }
   })
 
-  it('releases what an entry held that died before its first token', async () => {
+  it('releases the holds of an entry that was killed before the first token', async () => {
     await setFaults(deployment.ports.prefill, { hangPrefills: true })
     const killedBox = last!()
     const lost = sendChat(killedBox, chatOptions('dies-in-prefill', 10)).catch(() => undefined)
     await waitUntil(async () => (await readHolds(deployment)).some((hold) => hold.kind === 'prefill'), {
-      what: 'a prefill',
+      what: 'a prefill to start',
     })
     await deployment.kill(killedBox)
     await lost
@@ -149,7 +149,7 @@
     await waitNothingHeld(deployment)
   })
 
-  it('keeps an answer whole through doubled, swapped and cut frames', async () => {
+  it('completes an answer despite duplicate, swapped and cut frames', async () => {
     await setFaults(deployment.ports.decode, { doubleFrames: true, swapFrames: true })
     const swapped = await sendChat(first!(), chatOptions('swapped', 40))
     await setFaults(deployment.ports.decode, { cutStreamsAfter: 25 })
@@ -157,7 +157,7 @@
     expect([swapped.whole, swapped.tokens, cut.whole, cut.tokens]).toEqual([true, 40, true, 40])
   })
 
-  it('goes to another engine when transfers into one stall', async () => {
+  it('uses another engine when transfers to one stall', async () => {
     await setFaults([deployment.ports.decode[0]!, deployment.ports.decode[1]!], { stallTransfers: true })
     const answers = await Promise.all(
       [0, 1, 2, 3].map((n) => sendChat(first!(), chatOptions(`stall-${n}`, 5))),
@@ -167,7 +167,7 @@
     await waitNothingHeld(deployment)
   })
 
-  it('says "not run" when every engine refuses, and tells when to come back', async () => {
+  it('answers "not run" with a retry time when every engine refuses', async () => {
     await setFaults(deployment.ports.prefill, { refuse: true })
     await setFaults(deployment.ports.decode, { refuse: true })
     const refused = await sendChat(second!(), chatOptions('refused', 5))
@@ -180,7 +180,7 @@
   })
 })
 
-describe('calls that may not be repeated', () => {
+describe('calls that must not be repeated', () => {
   const save = (box: Deployment['boxes'][number], key: string) =>
     sendPlain(box, `/${ADDIS.plainService}/saves/1?card=2`, {
       method: 'POST',
@@ -190,7 +190,7 @@
   const countRuns = async (key: string) =>
     (await readPlainCalls(deployment)).filter((call) => call.key === key).length
 
-  it('run once, and a resend at any box gets the first answer', async () => {
+  it('run once, and a retry at any box gets the first answer', async () => {
     const answers = await Promise.all([first!(), second!(), third!()].map((box) => save(box, 'save-1')))
     const ran = answers.filter(({ execution }) => execution === 'ran')
     expect(ran.length).toBeGreaterThan(0)
@@ -209,7 +209,7 @@
     expect(await countRuns('save-2')).toBe(1)
   })
 
-  it('are not run again by anyone after their entry was killed in the middle', async () => {
+  it('are not run again by any box after their entry was killed while they ran', async () => {
     await setFaults(deployment.ports.plain, { delayMs: 600_000 })
     const killedBox = last!()
     const lost = save(killedBox, 'save-3').catch(() => undefined)
@@ -221,7 +221,7 @@
     expect([again.execution, await countRuns('save-3')]).toEqual(['may-have-run', 1])
   })
 
-  it('say "not run" when the service proves it, and then run under the same key', async () => {
+  it('answer "not run" when the service proves it, and a retry runs under the same key', async () => {
     await setFaults(deployment.ports.plain, { refuse: true })
     const refused = await save(first!(), 'save-4')
     await setFaults(deployment.ports.plain, {})
@@ -232,7 +232,7 @@
     expect(await countRuns('save-4')).toBe(1)
   })
 
-  it('keep method, query, headers and bytes', async () => {
+  it('reach the service with unchanged method, query, headers and bytes', async () => {
     const bytes = Buffer.from([0, 255, 13, 10, 128])
     const answer = await sendPlain(first!(), `/${ADDIS.plainService}/decks/a%20b?x=1&x=2`, {
       method: 'PUT',
@@ -249,11 +249,11 @@
 })
 
 describe('when every box restarts', () => {
-  it('an open claim is served again, and a settled one gets its answer', async () => {
+  it('an open claim is served again and a settled claim gets its answer', async () => {
     const settled = await sendChat(first!(), chatOptions('settled', 6))
     const open = sendChat(second!(), chatOptions('open', 300)).catch(() => undefined)
     await waitUntil(async () => (await readHolds(deployment)).some((hold) => hold.kind === 'stream'), {
-      what: 'the stream',
+      what: 'the stream to run',
     })
     await Promise.all(deployment.boxes.map((box) => deployment.kill(box)))
     await open
@@ -264,7 +264,7 @@
     const reopened = await sendChat(first!(), chatOptions('open', 300))
     expect([reopened.whole, reopened.tokens]).toEqual([true, 300])
     await waitNothingHeld(deployment)
-    // The outcome is settled after the last byte has left, see docs/PROMISES.md.
+    // The outcome is settled after the last byte is sent, see docs/PROMISES.md.
     const isSettled = async () => {
       const path = `/v1/explain/${encodeURIComponent(reopened.request)}`
       const explained = await deployment.callOperator<{ claim?: { owner: ClaimOwner; outcome?: object } }>(
@@ -274,6 +274,6 @@
       )
       return explained.claim?.outcome !== undefined
     }
-    await waitUntil(isSettled, { what: 'the settled outcome' })
+    await waitUntil(isSettled, { what: 'the outcome to be settled' })
   })
 })
--- a/tools/deployment/test/stop.test.ts
+++ b/tools/deployment/test/stop.test.ts
@@ -6,7 +6,7 @@
 beforeAll(async () => void (deployment = await startDeployment()))
 afterAll(() => stopDeployment(deployment))
 
-/** How many requests a box has taken in: those that run or wait, and those that have ended. */
+/** Returns how many requests a box has accepted: running, waiting and ended ones. */
 async function acceptedRequests(operators: string): Promise<number> {
   const text = await (await fetch(`http://${operators}/metrics`)).text()
   const rows = text.split('\n').filter((row) => /^forkstage_requests_(running|total)\b/.test(row))
@@ -20,14 +20,14 @@
   headers: { 'idempotency-key': key },
 })
 
-it('a planned stop under load cuts no stream, turns unready first and exits with 0', async () => {
+it('a graceful stop under load cuts no stream, turns unready first and exits with 0', async () => {
   const box = deployment.boxes[0]!
   const running: Promise<ChatAnswer>[] = Array.from({ length: 12 }, (_, n) =>
     sendChat(box, chatOptions(`stop-${n}`, 100)),
   )
-  // One that arrives after the stop is turned away, which is no cut: on a busy machine two of these did.
+  // A request that arrives after the stop is refused, not cut: on a busy machine 2 of 12 arrived so late.
   await waitUntil(async () => (await acceptedRequests(box.operators)) >= running.length, {
-    what: 'the box to have taken in every stream',
+    what: 'the box to accept every stream',
   })
   const others = deployment.boxes.slice(1).map((other, n) => sendChat(other, chatOptions(`other-${n}`, 100)))
   await deployment.callOperator(box, 'POST', '/v1/stop')
@@ -46,7 +46,7 @@
   await deployment.waitReady()
 })
 
-it('a second signal cuts short, and says by its exit code that it did', async () => {
+it('a second signal cuts the running streams, which the exit code shows', async () => {
   const box = deployment.boxes[4]!
   const long = sendChat(box, chatOptions('cut-short', 390)).catch(() => undefined)
   await waitUntil(
@@ -54,7 +54,7 @@
       (await (await fetch(`http://${box.operators}/metrics`)).text()).includes(
         'forkstage_requests_running 1',
       ),
-    { what: 'the stream' },
+    { what: 'the stream to run' },
   )
   box.process!.kill('SIGTERM')
   await waitUntil(async () => (await fetch(`http://${box.operators}/readyz`)).status === 503, {
@@ -68,7 +68,7 @@
   await deployment.waitReady()
 })
 
-it('lets nobody change anything without the credential, on any listener', async () => {
+it('refuses changes without the right credential on every listener', async () => {
   const box = deployment.boxes[1]!
   const paths = ['/v1/table/confirm', '/v1/stop', '/v1/orders', '/v1/control/replace']
   const statuses = await Promise.all(
--- a/tools/deployment/test/table.test.ts
+++ b/tools/deployment/test/table.test.ts
@@ -45,11 +45,11 @@
     }
     return false
   }
-  await waitUntil(lookUp, { what: 'a leader' })
+  await waitUntil(lookUp, { what: 'a leader to be elected' })
   return found!
 }
 
-/** Confirms a run of tables, one after the other, through a box. */
+/** Confirms a series of tables through a box; returns the last version. */
 async function confirmMany(count: number, box: BoxHandle): Promise<number> {
   let version = (await tableOn(box)).version
   const table = await newest()
@@ -65,7 +65,7 @@
 }
 
 describe('the table through real processes', () => {
-  it('accepts one of two tables with the same version number and shows the loser what differs', async () => {
+  it('accepts one of two concurrent tables with the same version and shows the difference to the other operator', async () => {
     const { version, table } = await tableOn(deployment.boxes[0]!)
     const answers = await Promise.all(
       [2, 3].map((weight, index) =>
@@ -81,7 +81,7 @@
     await deployment.waitInForce(version + 1)
   })
 
-  it('gives a resend its first answer after hundreds of changes, a change of leader and a restart of all boxes', async () => {
+  it('answers a resent confirm as before after hundreds of changes, a leader change and a restart of all boxes', async () => {
     const { version, table } = await tableOn(deployment.boxes[0]!)
     const sent = withWeight(table, 9)
     const first = await deployment.confirm(sent, { base: version, confirmId: 'lost-reply' })
@@ -101,10 +101,10 @@
     expect((await tableOn(deployment.boxes[6]!)).version).toBe(last)
   })
 
-  it('an entry that is cut off takes no new work once its lease is over, and comes back with the newest table', async () => {
+  it('an isolated entry accepts no requests after its lease ends and returns with the newest table', async () => {
     const entry = deployment.boxes[5]!
     deployment.cutOff(entry, true)
-    // It turns unready before that, once the owners' shares have lapsed; until then it may still begin work.
+    // The entry turns unready earlier, when its shares of the owners expire; until then it may still start requests.
     await waitUntil(async () => !(await holdsLease(entry)), { what: "the cut box's lease to end" })
     expect(await isReady(entry)).toBe(false)
     const refused = await sendChat(entry, chatOptions)
@@ -117,7 +117,7 @@
     expect((await sendChat(entry, chatOptions)).whole).toBe(true)
   })
 
-  it('a control box cut off while hundreds of tables pass catches up and never shows an older one', async () => {
+  it('a control box isolated during hundreds of confirms catches up and never shows an older table', async () => {
     const cut = (await findLeader()) === boxNamed('arada-1') ? boxNamed('kality-1') : boxNamed('arada-1')
     deployment.cutOff(cut, true)
     const version = await confirmMany(200, deployment.boxes[3]!)
@@ -127,7 +127,7 @@
     expect((await tableOn(cut)).version).toBe(version)
   })
 
-  it('a leader frozen past its lease accepts nothing when it wakes, and what was accepted meanwhile stays', async () => {
+  it('a leader frozen past its lease accepts nothing when it resumes, and tables accepted meanwhile remain', async () => {
     const frozen = await findLeader()
     const { version, table } = await tableOn(deployment.boxes[3]!)
     deployment.freeze(frozen)
@@ -140,7 +140,7 @@
     await deployment.waitInForce(version + 1)
   })
 
-  it('loses no accepted table when its leader is killed at any moment', async () => {
+  it('loses no accepted table when its leader is killed during confirms', async () => {
     const accepted: number[] = []
     for (let round = 0; round < 3; round += 1) {
       const killedLeader = await findLeader()
@@ -157,7 +157,7 @@
         }
       })()
       const before = accepted.length
-      await waitUntil(() => accepted.length > before + 5, { what: 'some confirms' })
+      await waitUntil(() => accepted.length > before + 5, { what: 'some accepted confirms' })
       await deployment.kill(killedLeader)
       const afterKill = accepted.length
       await waitUntil(() => accepted.length > afterKill + 3, { what: 'confirms under the next leader' })
@@ -170,7 +170,7 @@
     expect((await tableOn(deployment.boxes[6]!)).version).toBeGreaterThanOrEqual(Math.max(...accepted))
   })
 
-  it('replaces a lost disk by one command, and loses nothing to a second loss right after', async () => {
+  it('replaces a lost disk with one command and loses nothing when a second box fails right after', async () => {
     const lost = boxNamed('kality-1')
     await deployment.kill(lost)
     rmSync(lost.dataFolder, { recursive: true })
@@ -186,7 +186,7 @@
         })
         return true
       },
-      { what: 'the replacement', timeoutMs: 25_000 },
+      { what: 'the replacement to succeed', timeoutMs: 25_000 },
     )
     const second = boxNamed('arada-1')
     await deployment.kill(second)
@@ -200,7 +200,7 @@
     await deployment.waitReady()
   })
 
-  it('refuses to run on a damaged disk, and says what to do', async () => {
+  it('refuses to run on a damaged disk and says what to do', async () => {
     const box = boxNamed('arada-1')
     await deployment.kill(box)
     const folder = join(box.dataFolder, 'groups', 'control')
@@ -227,7 +227,7 @@
 describe('leaving endpoints and orders', () => {
   const decodes = async (index: number) => (await readEngineRecord(deployment.ports.decode[index]!)).decodes
 
-  /** Waits until every box says why it sends an endpoint nothing. */
+  /** Waits until every box reports that it has closed an endpoint for a reason. */
   async function waitClosed(endpoint: string, reason: string): Promise<void> {
     const closedEverywhere = async () => {
       const { boxes } = await deployment.callOperator<FleetStatus>(deployment.boxes[0]!, 'GET', '/v1/status')
@@ -245,7 +245,7 @@
     expect(await decodes(index)).toBe(before)
   }
 
-  it('a row set to drain gets no new work once the table is in force, and its streams end in peace', async () => {
+  it('a drained endpoint gets no new requests once the table is in force, and its streams are completed', async () => {
     const running: Promise<ChatAnswer>[] = []
     const sendMore = async () => {
       running.push(
@@ -257,7 +257,7 @@
       )
       return (await decodes(0)) > 0
     }
-    await waitUntil(sendMore, { what: 'work on the engine', everyMs: 100 })
+    await waitUntil(sendMore, { what: 'streams on the engine', everyMs: 100 })
     const { version, table } = await tableOn(deployment.boxes[0]!)
     const drained = {
       ...table,
@@ -273,7 +273,7 @@
     await deployment.waitInForce(version + 2)
   })
 
-  it('an engine that says itself that it leaves gets no new work', async () => {
+  it('an engine that reports that it leaves gets no new requests', async () => {
     const port = deployment.ports.decode[1]!
     await setFaults([port], { leaving: true })
     await waitClosed('kelem-llm-decode-2', 'leaving')
@@ -281,7 +281,7 @@
     await setFaults([port], {})
   })
 
-  it('an endpoint that the platform lists as leaving gets no new work', async () => {
+  it('an endpoint that the platform lists as leaving gets no new requests', async () => {
     const post = (leaving: string[]) =>
       fetch(`http://127.0.0.1:${deployment.platformPort}/members`, {
         method: 'POST',
@@ -294,7 +294,7 @@
     await post([])
   })
 
-  it('orders carry a fence that never goes back, also over a change of leader', async () => {
+  it('orders carry a fence that only increases, also across a leader change', async () => {
     const order = (argument: string) =>
       deployment.callOperator<{ fence: number }>(deployment.boxes[3]!, 'POST', '/v1/orders', {
         endpoint: 'kelem-llm-prefill-1',
