--- a/tools/soak/src/checkPromises.ts
+++ b/tools/soak/src/checkPromises.ts
@@ -6,7 +6,7 @@
 import type { KeyRecord, SoakCallers } from './soakCallers'
 import type { SoakOperators } from './soakOperators'
 
-/** Checks the brief's promises from the stand-ins' own records; returns what does not hold. */
+/** Checks the promises of docs/PROMISES.md against the stand-ins' own records; returns one text for each violation. */
 export async function checkPromises(
   deployment: Deployment,
   callers: SoakCallers,
@@ -50,11 +50,11 @@
   violations.push(
     ...chat.executions
       .filter((each) => each.startsWith('event'))
-      .map((gap) => `${chat.key} had a gap or a double: ${gap}`),
+      .map((gap) => `${chat.key} had a missing or duplicate event: ${gap}`),
   )
   for (const request of chat.notRun) {
     const wasBegun = records.some((record) => record.begun[request] !== undefined)
-    if (wasBegun) violations.push(`${request} was called not run and had been begun`)
+    if (wasBegun) violations.push(`${request} was reported as not run but an engine had begun it`)
   }
   return violations
 }
@@ -63,9 +63,9 @@
   const times = calls.filter((call) => call.key === save.key).length
   const violations: string[] = []
   if (times > 1) violations.push(`${save.key} ran ${times} times`)
-  if (save.answered && times !== 1) violations.push(`${save.key} was answered and ran ${times} times`)
+  if (save.answered && times !== 1) violations.push(`${save.key} was answered but ran ${times} times`)
   const onlyNotRun = save.executions.every((each) => each === 'not-run')
-  if (onlyNotRun && times > 0) violations.push(`${save.key} was called not run and ran`)
+  if (onlyNotRun && times > 0) violations.push(`${save.key} was reported as not run but ran`)
   return violations
 }
 
@@ -79,7 +79,7 @@
   return violations
 }
 
-/** Invariants are asserted inside the program too: none may have been broken. */
+/** Finds log lines in which a box reports a broken invariant. */
 function checkLogs(deployment: Deployment): string[] {
   return deployment.boxes.flatMap((box) =>
     (box.process?.lines ?? [])
--- a/tools/soak/src/faultInjector.ts
+++ b/tools/soak/src/faultInjector.ts
@@ -10,9 +10,10 @@
   'drop-reports': { dropReports: 0.7, dropCacheEvents: 0.7 },
 }
 
-/** Brings faults about in a deployment and ends them again; a box has one fault at a time. */
+/** Injects faults into a deployment and ends them; a box has at most one fault at a time. */
 export class FaultInjector {
   private readonly busy = new Set<BoxHandle>()
+  /** One line for each injected fault. */
   readonly done: string[] = []
 
   constructor(private readonly deployment: Deployment) {}
@@ -33,7 +34,7 @@
   private async injectAtBox(fault: PlannedFault): Promise<void> {
     const { boxes } = this.deployment
     const box = boxes[Math.floor(fault.target * boxes.length)]!
-    // A second control box at the same time would only stop everything; that is tried by the tests.
+    // Two control boxes down would stop all work; the tests of the deployment cover that case.
     const isControlBusy = box.control && [...this.busy].some((each) => each.control)
     if (this.busy.has(box) || isControlBusy) return
     this.busy.add(box)
@@ -64,6 +65,7 @@
   }
 }
 
+/** Sets the faults of stand-ins; an empty object ends all faults. */
 export async function setFaults(ports: number[], faults: object): Promise<void> {
   await Promise.all(ports.map((port) => got.post(`http://127.0.0.1:${port}/faults`, { json: faults })))
 }
--- a/tools/soak/src/planFaults.ts
+++ b/tools/soak/src/planFaults.ts
@@ -1,9 +1,10 @@
 import type { Random } from '@forkstage/clock'
 
-/** Something that goes wrong, and for how long. */
+/** A fault to inject. */
 export interface PlannedFault {
   /** Milliseconds after the start. */
   at: number
+  /** Duration in milliseconds. */
   forMs: number
   kind:
     | 'kill'
@@ -15,7 +16,7 @@
     | 'limp'
     | 'lose-saves'
     | 'drop-reports'
-  /** Which box or engine, as a share of their number. */
+  /** Selects the box or engine: its index divided by their number, in [0, 1). */
   target: number
 }
 
@@ -32,10 +33,10 @@
 ]
 const MIN_GAP_MS = 1_500
 const MAX_GAP_MS = 6_000
-/** Faults end this long before the run does. */
+/** Time at the end of the run in which no fault starts. */
 const QUIET_END_MS = 8_000
 
-/** Faults drawn from a seed, one after the other, some of them overlapping. */
+/** Draws faults in the order of their start; some of them overlap. */
 export function planFaults(durationMs: number, random: Random): PlannedFault[] {
   const faults: PlannedFault[] = []
   for (
--- a/tools/soak/src/runSoak.ts
+++ b/tools/soak/src/runSoak.ts
@@ -15,11 +15,11 @@
   minutes: number
   seed: number
   portBase: number
-  /** Keep settings, data and logs for reading. */
+  /** Whether to keep settings, data and logs. */
   keep: boolean
 }
 
-/** What a soak did and found. */
+/** Counts and violations of one soak. */
 export interface SoakReport {
   site: string
   seed: number
@@ -27,8 +27,9 @@
   chats: number
   answered: number
   saves: number
+  /** Table versions that were accepted. */
   accepted: number
-  /** Promises that did not hold; empty is the verdict "held". */
+  /** Promises that did not hold; empty when the soak passed. */
   violations: string[]
 }
 
@@ -37,7 +38,7 @@
 const RACE_EVERY_MS = 900
 const READ_EVERY_MS = 200
 
-/** Runs real processes under load and seeded faults, then checks every promise. */
+/** Runs real processes under load with faults drawn from a seed, then checks every promise. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const { minutes, seed, portBase } = options
   const site = options.site === 'addis' ? ADDIS : COLOMBO
--- a/tools/soak/src/soakCallers.ts
+++ b/tools/soak/src/soakCallers.ts
@@ -2,16 +2,16 @@
 import { sendChat, sendPlain, type BoxHandle, type ChatAnswer, type Deployment } from '@forkstage/deployment'
 import { wait } from './faultInjector'
 
-/** All that callers learned about one key. */
+/** What callers received for one idempotency key. */
 export interface KeyRecord {
   key: string
-  /** `text`s of whole answers. */
+  /** Texts of the complete answers. */
   answers: string[]
-  /** What each try was told. */
+  /** The execution that each try reported, or why there is none; event gaps too. */
   executions: string[]
-  /** Request ids that were told to be not run. */
+  /** Ids of requests that were reported as not run. */
   notRun: string[]
-  /** Whether the key ended with an answer. */
+  /** Whether the last try succeeded. */
   answered: boolean
 }
 
@@ -19,7 +19,7 @@
 const MAX_TRIES = 12
 const RETRY_DELAY_MS = 400
 
-/** Callers that send requests with keys and come back, at other boxes, until they have an answer. */
+/** Callers that send requests with idempotency keys and retry at random boxes until they have an answer. */
 export class SoakCallers {
   readonly chats: KeyRecord[] = []
   readonly saves: KeyRecord[] = []
@@ -30,7 +30,7 @@
     private readonly random: Random,
   ) {}
 
-  /** One chat: retried under its key, going on from the last event it saw. */
+  /** Sends one chat; retries under its key resume after the last event received. */
   async chat(): Promise<void> {
     const record = this.addRecord('chat', this.chats)
     const tokens = 3 + Math.floor(this.random() * 60)
@@ -62,7 +62,7 @@
     if (record.answered) await this.repeatChat(record, prompt)
   }
 
-  /** A save is sent again after every answer but `ran`; whoever gives up keeps what it was told. */
+  /** Sends one save, again after every answer but `ran`, at most three times; the record keeps every outcome. */
   async save(): Promise<void> {
     const record = this.addRecord('save', this.saves)
     const path = `/${this.deployment.options.site.plainService}/saves/${record.key}`
@@ -95,7 +95,7 @@
     if (answer?.execution === 'not-run' && answer.request !== '') record.notRun.push(answer.request)
   }
 
-  /** Now and then a caller asks again for what it has: it must be the same answer. */
+  /** Repeats a share of the answered chats under their key, so that the check can compare the answers. */
   private async repeatChat(record: KeyRecord, prompt: string): Promise<void> {
     if (this.random() > 0.2) return
     const headers = { 'idempotency-key': record.key }
--- a/tools/soak/src/soakOperators.ts
+++ b/tools/soak/src/soakOperators.ts
@@ -3,17 +3,17 @@
 import type { BoxHandle, Deployment } from '@forkstage/deployment'
 import type { VersionedTable } from '@forkstage/types'
 
-/** A table that an operator was told is accepted. */
+/** A table whose confirm was answered as accepted. */
 export interface AcceptedTable {
   version: number
   digest: string
   confirmId: string
 }
 
-/** Operators who race each other with weights, resend, and watch that no box goes back. */
+/** Operators that confirm conflicting tables, resend confirms, and check that no box returns to an older version. */
 export class SoakOperators {
   readonly accepted: AcceptedTable[] = []
-  /** What must not be: a version that fell at a box, or two digests under one version. */
+  /** Versions that decreased at a box, and versions with two digests. */
   readonly violations: string[] = []
   private readonly newestSeen = new Map<string, number>()
 
@@ -22,7 +22,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Two operators confirm from the same version at different boxes; sometimes one sends twice. */
+  /** Two operators confirm tables based on the same version at random boxes; some confirms are sent twice. */
   async race(): Promise<void> {
     const through = this.drawBox()
     const base = await this.read(through)
@@ -33,13 +33,13 @@
     await Promise.all([left, right])
   }
 
-  /** Looks at a box: its version may only rise. */
+  /** Reads the table of a random box, whose version must never decrease. */
   async checkVersion(): Promise<void> {
     const box = this.drawBox()
     const pid = box.process?.child.pid
     const table = await this.read(box)
     if (table === undefined || box.process?.child.pid !== pid) return
-    // A restarted process begins empty and takes no work until it has the newest table.
+    // Versions are compared per process: a restarted one is empty and refuses work until it has the newest table.
     const name = `${box.name}/${pid}`
     const before = this.newestSeen.get(name) ?? 0
     if (table.version < before)
