--- a/tools/days/src/createVariant.ts
+++ b/tools/days/src/createVariant.ts
@@ -1,12 +1,12 @@
 import { parse, stringify } from 'smol-toml'
 
-/** How a variant of a deployment differs: factors, 1 where left out. */
+/** Factors by which a variant differs from its deployment; default: 1. */
 export interface Variant {
-  /** Of the engines in each failure domain, at least one of which stays. */
+  /** Factor for the number of engines in each group of servers; at least one remains. */
   engines?: number
-  /** Of an engine's memory. */
+  /** Factor for the KV tokens of an engine. */
   memory?: number
-  /** Of the time that an engine takes for a step and for a prompt. */
+  /** Factor for the time of a decode step and of prefill. */
   time?: number
 }
 
@@ -15,7 +15,7 @@
   servers: { count: number }[]
 }
 
-/** The text of a deployment file with other engines, so that nothing can depend on the ones that stand there. */
+/** Returns the TOML text of a deployment file with changed engines, to show that nothing depends on the given figures. */
 export function createVariant(deployment: string, variant: Variant): string {
   const { engines = 1, memory = 1, time = 1 } = variant
   const file = parse(deployment) as { services?: Service[] }
--- a/tools/days/src/drawFaults.ts
+++ b/tools/days/src/drawFaults.ts
@@ -1,15 +1,16 @@
 import type { Random } from '@forkstage/clock'
 
-/** One trouble of a day, in the words of the day's file. */
+/** One fault of a day, with the field names of the day file. */
 export interface Fault {
   kind: string
   /** Seconds from the start of traffic. */
   at: number
+  /** Duration in seconds. */
   for_s: number
   [field: string]: string | number
 }
 
-/** Troubles begin after the first seconds and end before the last ones, so that what follows is seen as well. */
+/** Faults start after the first seconds and end before the last ones, so that the recovery is observed too. */
 const MIN_START_S = 2
 const MAX_START_S = 26
 const MIN_DURATION_S = 2
@@ -17,7 +18,7 @@
 const MIN_SHARE = 0.1
 const MAX_SHARE = 0.5
 
-/** Draws one trouble of each kind: when, for how long, and how many are struck. */
+/** Draws one fault of each kind: its start, its duration and the share of servers that it affects. */
 export function drawFaults(kinds: string[], random: Random): Fault[] {
   return kinds.map((kind) => ({
     kind,
@@ -27,7 +28,7 @@
   }))
 }
 
-/** Engines of a service that are slow from 4 to 14 s and again from 18 to 28 s. */
+/** Returns faults that slow a share of the engines of a service by a factor, from 4 to 14 s and from 18 to 28 s. */
 export function slowFaults(service: string, share: number, factor: number): Fault[] {
   return [4, 18].map((at) => ({ kind: 'srv_slow', at, for_s: 10, service, share, x: factor }))
 }
--- a/tools/days/src/main.ts
+++ b/tools/days/src/main.ts
@@ -10,12 +10,18 @@
 async function main(): Promise<void> {
   const args = await yargs(hideBin(process.argv))
     .scriptName('npm run days --')
-    .usage('$0 FILE: draws days of our own from a deployment file')
-    .option('out', { type: 'string', demandOption: true, describe: 'folder for the days' })
-    .option('kinds', { type: 'string', default: '', describe: 'kinds of troubles, with commas' })
-    .option('slow', { type: 'string', describe: 'SHARExFACTOR: engines that turn slow, and nothing else' })
-    .option('variant', { type: 'string', describe: 'ENGINES,MEMORY,TIME: factors of another deployment' })
-    .option('count', { type: 'number', default: 1, describe: 'how many days' })
+    .usage('$0 FILE: generates days from a deployment file')
+    .option('out', { type: 'string', demandOption: true, describe: 'output folder' })
+    .option('kinds', { type: 'string', default: '', describe: 'kinds of faults, separated by commas' })
+    .option('slow', {
+      type: 'string',
+      describe: 'SHARExFACTOR: slows a share of the engines; no other faults',
+    })
+    .option('variant', {
+      type: 'string',
+      describe: 'ENGINES,MEMORY,TIME: writes a deployment file changed by these factors',
+    })
+    .option('count', { type: 'number', default: 1, describe: 'number of days' })
     .option('seed', { type: 'number', default: 1 })
     .demandCommand(1)
     .strict()
--- a/tools/days/test/days.test.ts
+++ b/tools/days/test/days.test.ts
@@ -14,22 +14,22 @@
 name = "second"
 `
 
-describe('days of our own', () => {
-  it('are the same for a seed, with one trouble of each kind that ends within the day', () => {
+describe('generated days', () => {
+  it('are the same for the same seed and have one fault of each kind that ends within the day', () => {
     const draw = (seed: number) => drawFaults(['x', 'y'], createSeededRandom(seed))
     expect(draw(3)).toEqual(draw(3))
     expect(draw(3)).not.toEqual(draw(4))
     for (const { at, for_s } of draw(3)) expect(at + for_s).toBeLessThan(34)
   })
 
-  it('keep the traffic of the first day and nothing of its troubles', () => {
+  it('keep the traffic of the first day but not its plan and faults', () => {
     const { day: days } = parse(createDay(DEPLOYMENT, 'own', slowFaults('s', 0.33, 5))) as { day: unknown[] }
     const [day] = days
     expect(day).toMatchObject({ name: 'own', seed: 7, plan: [], traffic: [{ per_s: 2.5 }] })
     expect((day as { faults: unknown[] }).faults).toHaveLength(2)
   })
 
-  it('have variants with other engines, and the plain services as they are', () => {
+  it('have variants with changed engines and unchanged plain services', () => {
     const deployment = `
 [[services]]
 servers = [ { zone = "a", count = 2 }, { zone = "b", count = 1 } ]
@@ -48,7 +48,7 @@
     })
   })
 
-  it('are refused for a file without a day', () => {
+  it('are refused for a deployment file without a day', () => {
     expect(() => createDay('name = "x"', 'own', [])).toThrow('no day')
   })
 })
