--- a/tools/demo/src/main.ts
+++ b/tools/demo/src/main.ts
@@ -46,20 +46,20 @@
       prompt: `${handbook} Is the seal intact? [[answer=12]]`,
       headers,
     })
-    check(answer.whole && answer.tokens === 12, `the answer is not whole: ${JSON.stringify(answer)}`)
+    check(answer.whole && answer.tokens === 12, `the answer is not complete: ${JSON.stringify(answer)}`)
     return answer
   })
   print(
     `      ${answerCheck.tokens} tokens, first after ${Math.round(answerCheck.ttftMs ?? 0)} ms: "${answerCheck.text}"`,
   )
-  const hint = await step(`hint, whole, through ${second.name}`, async () => {
+  const hint = await step(`hint, not streamed, through ${second.name}`, async () => {
     const answer = await sendChat(second, {
       model: ADDIS.model,
       prompt: `${handbook} Give a hint.`,
       stream: false,
       headers: { 'x-forkstage-class': 'hint' },
     })
-    check(answer.whole, `no whole answer: ${JSON.stringify(answer)}`)
+    check(answer.whole, `the answer is not complete: ${JSON.stringify(answer)}`)
     return answer
   })
   print(`      ${hint.tokens} tokens: "${hint.text}"`)
@@ -74,7 +74,7 @@
     check(answer.status === 200 && answer.execution === 'ran', `status ${answer.status}, ${answer.execution}`)
     return answer
   })
-  await step('the same save again: its first answer, not run twice', async () => {
+  await step('the same save again: the first answer is replayed, the save does not run twice', async () => {
     const again = await save()
     check(
       again.headers['x-forkstage-replayed'] === 'true' && again.body.equals(saved.body),
@@ -95,13 +95,13 @@
 
 function printCurlLines(deployment: Deployment): void {
   const [box] = deployment.boxes as [BoxHandle]
-  print('\nLeft running. Try:')
+  print('\nThe deployment keeps running. Try:')
   print(
     `  curl -N -H 'authorization: Bearer ${CALLER_TOKEN}' -d '{"model":"${ADDIS.model}","stream":true,"messages":[{"role":"user","content":"Is the seal intact?"}]}' http://${box.callers}/v1/chat/completions`,
   )
   print(`  curl -H 'authorization: Bearer ${OPERATOR_TOKEN}' http://${box.operators}/v1/status`)
   print(`  node dist/forkstage.cjs status --box ${box.operators} --token ${OPERATOR_TOKEN}`)
-  print('End it with Ctrl-C.')
+  print('Stop it with Ctrl-C.')
 }
 
 async function run(keep: boolean): Promise<void> {
@@ -113,18 +113,18 @@
     )
     const accepted = await step('confirm the first table', () => deployment.confirm(deployment.table))
     check(accepted.outcome === 'accepted', `the table was not accepted: ${JSON.stringify(accepted)}`)
-    await step('in force and ready on every box', async () => {
+    await step('the table is in force and every box is ready', async () => {
       await deployment.waitInForce(accepted.version)
       await deployment.waitReady()
     })
     const requests = await serve(deployment)
-    print('\nDecision lines:')
+    print('\nPlacement decisions:')
     printDecisions(deployment, requests)
     if (keep) {
       printCurlLines(deployment)
       await new Promise<void>((resolve) => process.once('SIGINT', resolve))
     }
-    const codes = await step('stop every box as planned', () => deployment.stop())
+    const codes = await step('stop every box gracefully', () => deployment.stop())
     check(
       Object.values(codes).every((code) => code === 0),
       `exit codes ${JSON.stringify(codes)}`,
@@ -142,7 +142,11 @@
 
 async function main(): Promise<void> {
   const { keep } = await yargs(hideBin(process.argv))
-    .option('keep', { type: 'boolean', default: false, describe: 'leave it running, with curl lines to try' })
+    .option('keep', {
+      type: 'boolean',
+      default: false,
+      describe: 'keep the deployment running and print curl commands to try',
+    })
     .strict()
     .parse()
   await run(keep)
