--- a/tools/fleet-soak/src/backoffFaults.ts
+++ b/tools/fleet-soak/src/backoffFaults.ts
@@ -2,13 +2,14 @@
 import { pause } from './pause'
 import type { StandInEndpoint } from './standInEndpoint'
 
-/** An endpoint turns all requests away for a while, and says for how long it wants none; or a plain one leaves, and says so. */
+/** An endpoint refuses all requests for a while and asks for backoff, or a plain endpoint announces that it leaves. */
 export interface BackoffFault {
   /** Milliseconds after the start. */
   at: number
   kind: 'rest' | 'leave'
+  /** Duration of the refusals in milliseconds. */
   forMs: number
-  /** Which endpoint, as a share of their number. */
+  /** Selects the endpoint: its index divided by their number, in [0, 1). */
   target: number
 }
 
@@ -19,7 +20,7 @@
 const LEAVE_SHARE = 0.25
 const QUIET_END_MS = 8_000
 
-/** Times at which endpoints rest, drawn from a seed; several may at once. */
+/** Draws the times at which endpoints refuse or leave; the faults may overlap. */
 export function planBackoffFaults(durationMs: number, random: Random): BackoffFault[] {
   const faults: BackoffFault[] = []
   const gap = () => MIN_GAP_MS + random() * (MAX_GAP_MS - MIN_GAP_MS)
@@ -33,12 +34,12 @@
   return faults
 }
 
-/** Brings them about. */
+/** Injects the faults at their times; returns when all have ended. */
 export async function runBackoffFaults(faults: BackoffFault[], endpoints: StandInEndpoint[]): Promise<void> {
   const run = async ({ at, kind, forMs, target }: BackoffFault) => {
     await pause(at)
     const endpoint = endpoints[Math.floor(target * endpoints.length)]!
-    // Engines' leaving is planned with what becomes of their answers.
+    // `planEngineFaults` drains engines, together with the migration of their runs.
     if (kind === 'leave') return endpoint.isPlain ? endpoint.drain() : undefined
     if (endpoint.asksForBackoff) return
     endpoint.asksForBackoff = true
--- a/tools/fleet-soak/src/checkCalls.ts
+++ b/tools/fleet-soak/src/checkCalls.ts
@@ -1,12 +1,12 @@
 import type { CallRecord } from './soakCallers'
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and never will. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
 
 const REPEATABLE_KINDS = new Set<CallRecord['kind']>(['safe', 'large', 'long'])
 const STREAM_KINDS = new Set<CallRecord['kind']>(['stream', 'long', 'once'])
 
-/** What does not hold of the calls, given how often each request ran. */
+/** Checks the calls against how often each request ran, by its id; returns one text for each violation. */
 export function checkCalls(calls: CallRecord[], runs: ReadonlyMap<string, number>): string[] {
   return calls.flatMap((call) => [...checkRuns(call, runs.get(call.id) ?? 0), ...checkAnswer(call)])
 }
@@ -26,10 +26,10 @@
   const expected = STREAM_KINDS.has(call.kind) ? expectedStream(call.id, call.body) : `answer to ${call.id}`
   return call.body !== '' && call.body === expected
     ? []
-    : [`${call.id} (${call.kind}) got a body that is not its own and whole`]
+    : [`${call.id} (${call.kind}) got a body that is incomplete or not its own`]
 }
 
-/** The stream that an answer must be, by the number of events that its own last event names. */
+/** Returns the complete stream of a request, with the number of events that the last event of its body states. */
 function expectedStream(id: string, body: string): string {
   const count = Number(/ of (\d+)\n\n$/.exec(body)?.[1] ?? 0)
   return Array.from(
--- a/tools/fleet-soak/src/checkEndpointSignals.ts
+++ b/tools/fleet-soak/src/checkEndpointSignals.ts
@@ -1,37 +1,40 @@
 import type { TimeSpan } from './checkInterruptedAnswers'
 import type { CallRecord } from './soakCallers'
 
-/** A request that arrived at an endpoint's life. */
+/** A request that arrived at an endpoint. */
 export interface EndpointArrival {
+  /** Names one incarnation of the endpoint. */
   endpoint: string
   request: string
   /** Unix milliseconds. */
   at: number
 }
 
-/** An endpoint turned a request away and wanted nothing for a while from the entry that had sent it. */
+/** A refusal with `Retry-After`, which asks the entry that sent the request for backoff. */
 export interface BackoffSignal extends EndpointArrival {
+  /** Backoff in milliseconds. */
   forMs: number
 }
 
-/** What endpoints said of themselves, and what they got. */
+/** Signals that endpoints sent in their answers, and the requests that they received. */
 export interface EndpointSignals {
   arrivals: EndpointArrival[]
   backoffs: BackoffSignal[]
-  /** Answers that said that their endpoint leaves. */
+  /** Answers with `Server-Leaving`. */
   leavingNotices: EndpointArrival[]
 }
 
-/** What was on its way when the word came may still arrive for so long. */
+/** Requests in flight when the signal was sent may still arrive for this long. */
 const GRACE_MS = 500
 const MAX_DURING_BACKOFF = 2
-/** A caller's answer is there when it is whole; the entry passed it on a moment before. */
+/** Slack after the caller has received the complete answer; the entry forwarded it shortly before. */
 const SENT_AFTER_MS = 500
 
 /**
- * What does not hold: an endpoint gets at most two requests from an entry between half a second after it asked that entry for
- * rest and the end of that; none that was sent half a second after an entry has passed on that it leaves. An entry that was
- * away meanwhile is excused.
+ * Checks that entries respect the signals of endpoints. From 0.5 s after a refusal with `Retry-After` until its end, an
+ * endpoint receives at most 2 requests from that entry; it receives none that was sent later than 0.5 s after the entry has
+ * forwarded a notice that the endpoint leaves. Entries with an outage meanwhile are exempt.
+ * @returns one text for each violation.
  */
 export function checkEndpointSignals(
   { arrivals, backoffs, leavingNotices }: EndpointSignals,
@@ -58,7 +61,7 @@
     )
     if (received.length <= MAX_DURING_BACKOFF) return []
     return [
-      `${signal.endpoint} asked ${entry} for ${signal.forMs} ms of rest and got ${received.length} requests`,
+      `${signal.endpoint} asked ${entry} for ${signal.forMs} ms of backoff and got ${received.length} requests`,
     ]
   }
   const leavingViolations = (notice: EndpointArrival): string[] => {
--- a/tools/fleet-soak/src/checkEvacuations.ts
+++ b/tools/fleet-soak/src/checkEvacuations.ts
@@ -1,29 +1,29 @@
-/** One evacuation, as its operator saw it; times in milliseconds. */
+/** One evacuation as its operator observed it; times in Unix milliseconds. */
 export interface ObservedEvacuation {
   domain: string
   acknowledgedAt: number
-  /** When its withdrawal was sent for the first time; absent while it was not. */
+  /** When its withdrawal was first sent; undefined before that. */
   withdrawnAt?: number
 }
 
-/** One request that arrived at an endpoint, other than those of control machines. */
+/** One request that arrived at an endpoint of a failure domain; requests of control machines do not count. */
 export interface DomainArrival {
   request: string
   domain: string
   at: number
 }
 
-/** A time in which most control machines were away. */
+/** A span without a majority of control machines, in Unix milliseconds. */
 export interface ControlOutage {
   from: number
-  /** `Infinity` while it lasts. */
+  /** `Infinity` while the outage lasts. */
   to: number
 }
 
-/** How long requests may arrive after the acknowledgement; the deployment's sheet has `evac_ms` 5,000. */
+/** How long requests may still arrive after the acknowledgement; the deployment's sheet sets `evac_ms` to 5,000. */
 export const EVACUATION_BOUND_MS = 5_000
 
-/** Which requests arrived in a failure domain that was evacuated; times without control do not count for the bound. */
+/** Returns one text for each request that arrived in an evacuated domain after the bound, which control outages extend. */
 export function checkEvacuations(
   evacuations: ObservedEvacuation[],
   arrivals: DomainArrival[],
@@ -48,6 +48,7 @@
   return at - acknowledgedAt - outageMsBetween(acknowledgedAt, at, outages) > EVACUATION_BOUND_MS
 }
 
+/** Returns how many milliseconds of a span were control outages. */
 function outageMsBetween(start: number, end: number, outages: ControlOutage[]): number {
   return outages
     .map(({ from, to }) => Math.max(0, Math.min(end, to) - Math.max(start, from)))
--- a/tools/fleet-soak/src/checkInterruptedAnswers.ts
+++ b/tools/fleet-soak/src/checkInterruptedAnswers.ts
@@ -1,27 +1,28 @@
 import type { CallRecord } from './soakCallers'
 import type { StreamInterruptions } from './standInRuns'
 
-/** When something was away or barred. */
+/** A span of time in Unix milliseconds; `to` is `Infinity` while it lasts. */
 export interface TimeSpan {
   from: number
   to: number
 }
 
-/** What entitles an entry to break an answer off. */
+/** Known causes for which an entry may cut an answer off. */
 export interface InterruptionCauses extends StreamInterruptions {
-  /** When each entry was killed, frozen or at the end of its stop. */
+  /** Outages of each entry by its name: killed, frozen, or at the end of a stop. */
   entries: ReadonlyMap<string, TimeSpan[]>
-  /** When a failure domain got nothing. */
+  /** When a failure domain was evacuated. */
   evacuations: TimeSpan[]
 }
 
-/** Engines that one request may be sent to by its route. */
+/** `max_attempts` of the routes. */
 const MAX_ATTEMPTS = 2
-/** An answer that is cut so late was cut for its time. */
+/** An answer cut after this share of its deadline counts as timed out. */
 const DEADLINE_SHARE = 0.85
+/** Refusals after which no engine with the retained run accepts it. */
 const MIN_REFUSED_RESUMPTIONS = 2
 
-/** Begun answers that did not end whole though nothing entitled their entry to break them off. */
+/** Returns one text for each answer that began and was cut off without a known cause. */
 export function checkInterruptedAnswers(calls: CallRecord[], causes: InterruptionCauses): string[] {
   return calls
     .filter((call) => call.status === 200 && !call.isWhole && !hasKnownCause(call, causes))
@@ -40,7 +41,7 @@
   return interruptedCount > 0 || causes.stoppedWithoutReply.has(call.id) || lostRun(call, span, causes)
 }
 
-/** Where nothing may be made anew, a stopped run is lost with its memory: no engine that had it would take it. */
+/** Whether a stopped run that must not run again was lost because its retained KV cache expired. */
 function lostRun({ id }: CallRecord, span: TimeSpan, causes: InterruptionCauses): boolean {
   if (!causes.kvStore.expiredRuns.has(id)) return false
   const wasRefused = (causes.refusedResumptions.get(id) ?? 0) >= MIN_REFUSED_RESUMPTIONS
--- a/tools/fleet-soak/src/checkPoisonRequest.ts
+++ b/tools/fleet-soak/src/checkPoisonRequest.ts
@@ -1,22 +1,22 @@
-/** Arrivals of a request that ends each endpoint that runs it, over all stand-ins, in the order of time. */
+/** Arrivals of one poison request, which crashes every endpoint that runs it, at all stand-ins. */
 export interface PoisonArrivals {
-  /** Unix milliseconds. Each of them ended its endpoint. */
+  /** Unix milliseconds, ascending. Each arrival crashed its endpoint. */
   at: number[]
 }
 
-/** How the last part of the path of such a request begins; its kind follows. */
+/** Prefix of the last path segment of a poison request; its kind follows. */
 export const POISON_PREFIX = 'fatal-'
 const CRASHES_UNTIL_REFUSED = 3
-/** For what was on its way, and machines that have just come back. */
+/** Allows for requests in flight and for machines that have just restarted. */
 const SETTLING_MS = 3_000
 const MAX_LATER_ARRIVALS = 3
 
-/** What does not hold: later than some seconds after it has ended three endpoints, it reaches at most three more. */
+/** Checks that a poison request reaches at most 3 endpoints later than 3 s after its third crash; returns the violations. */
 export function checkPoisonRequest({ at }: PoisonArrivals): string[] {
   const third = at[CRASHES_UNTIL_REFUSED - 1]
   if (third === undefined) return []
   const later = at.filter((one) => one > third + SETTLING_MS).length
   return later > MAX_LATER_ARRIVALS
-    ? [`a request that had ended ${CRASHES_UNTIL_REFUSED} endpoints reached ${later} more`]
+    ? [`a poison request that had crashed ${CRASHES_UNTIL_REFUSED} endpoints reached ${later} more`]
     : []
 }
--- a/tools/fleet-soak/src/checkRates.ts
+++ b/tools/fleet-soak/src/checkRates.ts
@@ -2,19 +2,22 @@
 import type { EndpointArrival } from './checkEndpointSignals'
 import type { CallRecord } from './soakCallers'
 
-/** Requests a second that steady endpoints take from all entries together. */
+/** Requests per second that a rate-limited endpoint accepts from all entries together. */
 export const RATE_PER_SECOND = 3
 const WINDOW_MS = 4_000
 const BURST_FACTOR = 1.5
 const BURST_SLACK = 5
-/** The bound holds for so long after an endpoint first named its rate. */
+/** The bound applies from this long after the first arrival at an endpoint. */
 const ENFORCED_AFTER_MS = 3_000
-/** An entry counts once it has passed on an answer that names the rate, so long after that. */
+/** An entry counts as informed this long after it has forwarded a complete answer with the rate. */
 const LEARNED_AFTER_MS = 500
-/** An entry that was away is excused for so long. */
+/** An entry is exempt for this long after an outage. */
 const OUTAGE_GRACE_MS = 3_000
 
-/** What does not hold: of entries that had been told, an endpoint gets no more in 4 s than 1.5 times what its rate allows, and 5. */
+/**
+ * Checks that within 4 s an endpoint receives from the informed entries at most 1.5 times what its rate allows, plus 5.
+ * @returns one text for each violation.
+ */
 export function checkRates(
   arrivals: EndpointArrival[],
   calls: CallRecord[],
@@ -35,12 +38,14 @@
     )
     const allowed = Math.floor((RATE_PER_SECOND * WINDOW_MS * BURST_FACTOR) / 1_000 + BURST_SLACK)
     return maxArrivals > allowed
-      ? [`${endpoint} names ${RATE_PER_SECOND} a second and got ${maxArrivals} in 4 s, ${allowed} allowed`]
+      ? [
+          `${endpoint} advertises ${RATE_PER_SECOND} requests per second and got ${maxArrivals} in 4 s, ${allowed} allowed`,
+        ]
       : []
   })
 }
 
-/** Whether the entry of an arrival knew of the rate, and had not been away since. */
+/** Whether the entry that sent an arrival knew the rate and had no outage since. */
 function isCounted(
   { request, at }: EndpointArrival,
   ownArrivals: EndpointArrival[],
--- a/tools/fleet-soak/src/drawRetryAfter.ts
+++ b/tools/fleet-soak/src/drawRetryAfter.ts
@@ -1,16 +1,16 @@
 import type { Random } from '@forkstage/clock'
 
-/** What an endpoint says of rest with a refusal. */
+/** The `Retry-After` header of a refusal. */
 export interface RetryAfterSignal {
-  /** The value of its time to come back as it is now; undefined where it says none. */
+  /** Returns the current value of the header; undefined when the refusal has none. */
   value: () => string | undefined
-  /** How long it wants nothing for; 0 where it says nothing that can be read. */
+  /** Backoff in milliseconds; 0 when the value is missing or invalid. */
   forMs: number
 }
 
 const SECOND_MS = 1_000
 const signal = (text: string | undefined, forMs = 0): RetryAfterSignal => ({ value: () => text, forMs })
-/** A date has whole seconds: it may be cut by almost one. */
+/** An HTTP date has whole seconds, so it may lose almost one. */
 const inTwoSeconds: RetryAfterSignal = {
   value: () => new Date(Date.now() + 2 * SECOND_MS).toUTCString(),
   forMs: SECOND_MS,
@@ -29,7 +29,7 @@
   inTwoSeconds,
 ]
 
-/** Draws what an endpoint says of rest while it refuses: long, short, as a date, broken or nothing. */
+/** Draws the `Retry-After` of a refusing endpoint: long, short, a date, invalid or none. */
 export function drawRetryAfter(random: Random): RetryAfterSignal {
   return SIGNALS[Math.floor(random() * SIGNALS.length)]!
 }
--- a/tools/fleet-soak/src/engineFaults.ts
+++ b/tools/fleet-soak/src/engineFaults.ts
@@ -2,26 +2,27 @@
 import { pause } from './pause'
 import type { StandInEndpoint } from './standInEndpoint'
 
-/** Something that all engines, or one that answers run at, do for a while. */
+/** A fault of all engines (`turn-away`: they refuse requests) or of one engine (`drain`: it leaves). */
 export interface EngineFault {
   /** Milliseconds after the start. */
   at: number
   kind: 'turn-away' | 'drain'
+  /** Duration of the refusals in milliseconds. */
   forMs: number
-  /** Which engine, as a share of their number. */
+  /** Selects the engine: its index divided by their number, in [0, 1). */
   target: number
 }
 
 const MIN_GAP_MS = 1_500
 const MAX_GAP_MS = 5_000
-/** Shorter than what was copied is kept, so that nothing need be lost by it. */
+/** Shorter than the retention of a copied run, so that no run need be lost. */
 const MAX_FAULT_MS = 600
-/** From an engine's word that it leaves until its answers are moved. */
+/** Time from the drain until refusals begin, while the engine's runs migrate. */
 const MIGRATES_AFTER_MS = 200
 const MIGRATES_WITHIN_MS = 800
 const QUIET_END_MS = 8_000
 
-/** Times at which engines leave, or all turn requests away, drawn from a seed. */
+/** Draws the times at which one engine leaves or all engines refuse requests. */
 export function planEngineFaults(durationMs: number, random: Random): EngineFault[] {
   const faults: EngineFault[] = []
   const gap = () => MIN_GAP_MS + random() * (MAX_GAP_MS - MIN_GAP_MS)
@@ -32,18 +33,18 @@
   return faults
 }
 
-/** Brings them about. */
+/** Injects the faults at their times; returns when all have ended. */
 export async function runEngineFaults(faults: EngineFault[], engines: StandInEndpoint[]): Promise<void> {
   const leaving = new Set<StandInEndpoint>()
   const run = async ({ at, kind, forMs, target }: EngineFault) => {
     await pause(at)
     if (kind === 'turn-away') return refuseAll(engines, forMs)
     const engine = engines[Math.floor(target * engines.length)]!
-    // One is left, so that answers have somewhere to go on.
+    // Drains one engine at a time, so that another can resume its runs.
     if (leaving.size > 0) return
     leaving.add(engine)
     const left = engine.drain()
-    // While its answers go on elsewhere.
+    // Refuses while the runs resume on the other engine.
     await pause(MIGRATES_AFTER_MS + target * MIGRATES_WITHIN_MS)
     await refuseAll(engines, forMs)
     await left
--- a/tools/fleet-soak/src/fleetFaults.ts
+++ b/tools/fleet-soak/src/fleetFaults.ts
@@ -23,29 +23,30 @@
   'cut-streams',
 ] as const
 
-/** Something that goes wrong, and for how long. */
+/** A fault to inject. */
 export interface FleetFault {
   /** Milliseconds after the start. */
   at: number
+  /** Duration in milliseconds. */
   forMs: number
   kind: (typeof KINDS)[number]
-  /** Which machine or endpoint, as a share of their number. */
+  /** Selects the machine or endpoint: its index divided by their number, in [0, 1). */
   target: number
 }
 
 const MIN_GAP_MS = 700
 const MAX_GAP_MS = 3_500
 const MAX_FAULT_MS = 3_000
-/** Faults end this long before the run does. */
+/** Time at the end of the run in which no fault starts. */
 const QUIET_END_MS = 8_000
-/** A machine counts as lost until this long after it is back. */
+/** A control machine counts as lost until this long after its restart. */
 const CATCH_UP_MS = 4_000
-/** From the signal until an entry ends what still runs: its grace time, but for what it keeps for its own end. */
+/** From the signal until an entry cuts running requests: slightly less than its grace time of 4 s. */
 const STOP_LASTS_MS = 3_500
-/** How many control machines may be lost at once while everything holds. */
+/** Control machines that may be lost at once while every guarantee holds. */
 const MAX_CONTROL_LOSSES = 2
 
-/** Faults drawn from a seed, some of them overlapping. */
+/** Draws faults in the order of their start; some of them overlap. */
 export function planFleetFaults(durationMs: number, random: Random): FleetFault[] {
   const faults: FleetFault[] = []
   const gap = () => MIN_GAP_MS + random() * (MAX_GAP_MS - MIN_GAP_MS)
@@ -56,13 +57,14 @@
   return faults
 }
 
-/** Brings faults about and ends them; never more control machines at once than the fleet has to bear. */
+/** Injects faults and ends them; it never disrupts more control machines at once than the fleet must tolerate. */
 export class FleetFaultInjector {
   private readonly busy = new Set<string>()
+  /** One line for each injected fault. */
   readonly done: string[] = []
-  /** When entries were killed, frozen or at the end of their stop, by name. */
+  /** Outages of machines by name: killed, frozen, or at the end of a stop. */
   readonly entryOutages = new Map<string, TimeSpan[]>()
-  /** When all control machines were away, with the time that they get to catch up. */
+  /** Spans in which all control machines were down or catching up. */
   readonly outages: ControlOutage[] = []
 
   constructor(
@@ -88,7 +90,7 @@
     control.forEach((machine) => this.busy.delete(machine.name))
   }
 
-  /** Kills all control machines at once and starts them again. */
+  /** Kills all control machines at once, restarts them and waits until they have caught up. */
   async restartControl(): Promise<void> {
     const { control } = this.fleet
     const outage: ControlOutage = { from: Date.now(), to: Infinity }
@@ -105,7 +107,7 @@
     if (this.busy.has(machine.name) || (isControl && this.busyControlCount() >= MAX_CONTROL_LOSSES)) return
     this.busy.add(machine.name)
     this.record(fault, machine.name)
-    // Until its grace time is nearly over, a stop entitles an entry to end nothing.
+    // A stopping entry must not cut any request until its grace time is nearly over.
     const away: TimeSpan = { from: Date.now() + (action === 'stop' ? STOP_LASTS_MS : 0), to: Infinity }
     this.entryOutages.set(machine.name, [...(this.entryOutages.get(machine.name) ?? []), away])
     await this.disruptMachine(machine, action, fault.forMs)
--- a/tools/fleet-soak/src/index.ts
+++ b/tools/fleet-soak/src/index.ts
@@ -1,4 +1,4 @@
-/** A soak of entries and control machines. */
+/** A soak test of entries and control machines as separate processes. */
 export { runFleetSoak } from './runFleetSoak'
 export type { FleetSoakOptions, FleetSoakReport } from './runFleetSoak'
 export { planFleetFaults } from './fleetFaults'
--- a/tools/fleet-soak/src/invalidFields.ts
+++ b/tools/fleet-soak/src/invalidFields.ts
@@ -1,4 +1,4 @@
-/** What makes a statement one that says nothing of an endpoint to use, each by itself. */
+/** Fields of a heartbeat, each of which makes the heartbeat invalid by itself. */
 export const INVALID_FIELDS = [
   { slots: 'many' },
   { state: 'resting' },
--- a/tools/fleet-soak/src/machineSettings.ts
+++ b/tools/fleet-soak/src/machineSettings.ts
@@ -2,25 +2,28 @@
 export interface SoakMachine {
   name: string
   role: 'entry' | 'control'
-  /** Its own loopback address, since every machine uses the same ports. */
+  /** A separate loopback address, since all machines use the same ports. */
   ip: string
-  /** Its failure domain. */
+  /** Failure domain of the machine. */
   zone: string
 }
 
-/** The failure domains; an evacuation leaves one of them at least. */
+/** The failure domains: two, so that one remains during an evacuation. */
 export const DOMAINS = ['z', 'y'] as const
 
-/** The ports that every machine uses. */
+/** Ports of every machine, by listener. */
 export const PORTS = { callers: 8_144, readiness: 8_140, operators: 8_146, peers: 7_660 } as const
 
 const LOSSES = 2
 const GRACE_S = 4
 
-/** How cold stand-ins are: what the sheet says, and what the settings let pass beside it. */
+/** Cold start: `cold_start_s` and `cold_per_s` of the sheet, `over` and `slack` of the settings. */
 export const COLD = { startS: 2, perS: 2, over: 1.5, slack: 3 } as const
 
-/** The settings file of a machine. */
+/**
+ * Returns the text of the settings file (TOML) of a machine.
+ * @param found whether the machine founds a new control group.
+ */
 export function machineSettings(
   machine: SoakMachine,
   seeds: string[],
--- a/tools/fleet-soak/src/main.ts
+++ b/tools/fleet-soak/src/main.ts
@@ -8,21 +8,25 @@
     .scriptName('npm run soak:fleet --')
     .option('minutes', { type: 'number', default: 2 })
     .option('seed', { type: 'number', default: 1 })
-    .option('network', { type: 'string', default: processNetwork(), describe: 'loopback addresses to use' })
+    .option('network', {
+      type: 'string',
+      default: processNetwork(),
+      describe: 'first three numbers of the loopback addresses',
+    })
     .option('keep', { type: 'boolean', default: false, describe: 'keep settings, data and logs' })
     .option('fatalMs', {
       type: 'number',
       default: 300,
-      describe: 'between requests that end their endpoints',
+      describe: 'milliseconds between poison requests',
     })
-    .option('fatalKinds', { type: 'number', default: 4, describe: 'kinds of such requests' })
+    .option('fatalKinds', { type: 'number', default: 4, describe: 'number of kinds of poison requests' })
     .strict()
     .parse()
   const report = await runFleetSoak(args)
   const write = (text: string) => process.stdout.write(`${text}\n`)
   report.faults.forEach((fault) => write(`fault: ${fault}`))
   write(
-    `seed ${report.seed}: ${report.answered} of ${report.calls} calls answered, ${report.acknowledged} sheets and ${report.evacuations} evacuations acknowledged, ${report.ended} endpoints ended under requests that end them, ${report.longCompleted} of ${report.longBegun} long answers that had begun ended whole`,
+    `seed ${report.seed}: ${report.answered} of ${report.calls} calls answered, ${report.acknowledged} sheets and ${report.evacuations} evacuations acknowledged, ${report.ended} endpoints crashed under poison requests, ${report.longCompleted} of ${report.longBegun} long answers that began were completed`,
   )
   if (args.keep) write(`kept in ${report.folder}`)
   report.violations.forEach((fault) => write(`BROKEN: ${fault}`))
--- a/tools/fleet-soak/src/retainedKvStore.ts
+++ b/tools/fleet-soak/src/retainedKvStore.ts
@@ -1,30 +1,30 @@
 import type { Random } from '@forkstage/clock'
 
-/** How long the sheet says that an engine keeps what nobody takes. */
+/** How long an engine keeps a KV cache that is not consumed: `handle_ttl_s` of the sheet. */
 export const HANDLE_TTL_MS = 500
-/** What was copied is kept for well over that. */
+/** Retained runs are kept this many times longer than stated. */
 const RETENTION_FACTOR = 3
 
-/** What an engine keeps under a handle. */
+/** A KV cache that engines keep under a handle. */
 interface RetainedKv {
-  /** The run that was stopped; absent for a prompt that was read, which any engine may fetch. */
+  /** The stopped run and the engines that have its cache; undefined for a prefilled prompt, which any engine may fetch. */
   run?: { request: string; addresses: string[]; since: number }
 }
 
-/** The memories of all stand-in engines, by handle. */
+/** The KV caches that all stand-in engines retain, by handle. */
 export class RetainedKvStore {
   private readonly retained = new Map<string, RetainedKv>()
-  /** Stopped runs whose memory no engine has taken in the time that the sheet says it is kept. */
+  /** Ids of requests whose retained run was not resumed within the stated time. */
   readonly expiredRuns = new Set<string>()
 
   constructor(private readonly random: Random) {}
 
-  /** Keeps a prompt that was read; returns its handle. */
+  /** Retains a prefilled prompt; returns its handle. */
   retainPrompt(): string {
     return this.retain({}, HANDLE_TTL_MS)
   }
 
-  /** Keeps the memory of a run at engines, under the handle that it has already where it has one. */
+  /** Retains a run at the given engines and restarts its retention; returns its handle, a new one unless given. */
   retainRun(request: string, addresses: string[], handle?: string): string {
     return this.retain(
       { run: { request, addresses, since: Date.now() } },
@@ -33,7 +33,7 @@
     )
   }
 
-  /** Takes what a request goes on from at an engine; undefined where it is not there. */
+  /** Removes the KV cache from which a request resumes at an engine; returns its kind, undefined when the engine has none. */
   consume(handle: string, request: string, address: string): 'prompt' | 'run' | undefined {
     const kv = this.retained.get(handle)
     if (kv === undefined) return undefined
@@ -43,10 +43,11 @@
     return run === undefined ? 'prompt' : 'run'
   }
 
+  /** Drops a KV cache before its retention ends. */
   release(handle: string): void {
     const run = this.retained.get(handle)?.run
     this.retained.delete(handle)
-    // Nobody need ask for it longer than the sheet says that it is kept.
+    // A run released after the stated time counts as expired: entries need not resume it any longer.
     if (run !== undefined && Date.now() - run.since >= HANDLE_TTL_MS) this.expiredRuns.add(run.request)
   }
 
--- a/tools/fleet-soak/src/runFleetSoak.ts
+++ b/tools/fleet-soak/src/runFleetSoak.ts
@@ -28,14 +28,15 @@
   seed: number
   /** The first three numbers of the loopback addresses. */
   network: string
-  /** Keep settings, data and logs for reading. */
+  /** Whether to keep settings, data and logs. */
   keep: boolean
-  /** How often requests come that end each endpoint that runs them, and of how many kinds: two may be at work at one. */
+  /** Milliseconds between poison requests. */
   fatalMs: number
+  /** Number of kinds of poison requests; two kinds may run at one endpoint at once. */
   fatalKinds: number
 }
 
-/** What a soak did and found. */
+/** Counts and violations of one soak. */
 export interface FleetSoakReport {
   seed: number
   folder: string
@@ -43,32 +44,33 @@
   calls: number
   answered: number
   acknowledged: number
-  /** Evacuations that were acknowledged. */
+  /** Acknowledged evacuations. */
   evacuations: number
-  /** Endpoints that ended under the requests that end each one that runs them. */
+  /** Crashes of endpoints under poison requests. */
   ended: number
-  /** Answers of seconds that have begun, and those of them that ended whole. */
+  /** Streams of several seconds that began. */
   longBegun: number
+  /** Those of them that were completed. */
   longCompleted: number
-  /** What did not hold; empty is the verdict "held". */
+  /** Guarantees that did not hold; empty when the soak passed. */
   violations: string[]
 }
 
 const CALL_EVERY_MS = 25
 const CHANGE_EVERY_MS = 700
-/** An evacuation is in force at some entries before its acknowledgement, and a while after its withdrawal. */
+/** Some entries apply an evacuation before its acknowledgement and until some time after its withdrawal. */
 const EVACUATION_SLACK_MS = 2_500
 const LARGE_EVERY_MS = 1_500
-/** Engines that make answers stand last among the endpoints. */
+/** Decode engines, which are the last ones of the endpoints. */
 const ENGINES = 2
 const READ_EVERY_MS = 150
 const RECOVERY_MS = 12_000
 const OK = 200
 const UNAUTHORIZED = 401
 const SHOWN_CHARACTERS = 160
-/** Apart from the other generators of a seed. */
+/** Separates the generators of signals from the others of a seed. */
 const SIGNAL_SEED_OFFSET = 50
-/** At each entry, once all control machines are back. */
+/** Calls at each entry after all control machines were restarted. */
 const CALLS_PER_ENTRY = 10
 const ENDPOINTS = [
   { service: 'plain' },
@@ -78,13 +80,13 @@
   { service: 'model', stage: 'decode' },
   { service: 'model', stage: 'decode' },
 ] as const
-/** Beside those that faults are planned for: with fewer than three plain ones none is kept free for what may end it. */
+/** Endpoints without planned faults: with fewer than three plain ones, no endpoint is reserved for suspect content. */
 const STEADY_ENDPOINTS = [
   { service: 'plain', rate: RATE_PER_SECOND },
   { service: 'plain', rate: RATE_PER_SECOND },
 ] as const
 
-/** Runs entries and control machines under load and seeded faults, then checks what must hold. */
+/** Runs entries and control machines under load with faults drawn from a seed, then checks every guarantee. */
 export async function runFleetSoak(options: FleetSoakOptions): Promise<FleetSoakReport> {
   const folder = mkdtempSync(join(tmpdir(), 'forkstage-fleet-soak-'))
   const fleet = new SoakFleet(folder, options.network)
@@ -123,7 +125,7 @@
   }
 }
 
-/** What the stand-ins saw. */
+/** Observations of all stand-ins. */
 interface Observations {
   runs: ReadonlyMap<string, number>
   observedRuns: ObservedRun[]
@@ -216,7 +218,7 @@
   }
 }
 
-/** What all endpoints said of themselves, and what they got. */
+/** Returns the signals and arrivals of all endpoints. */
 function signalsOf(endpoints: StandInEndpoint[]): EndpointSignals {
   return {
     arrivals: endpoints.flatMap(({ signals }) => signals.recorded.arrivals),
@@ -229,7 +231,7 @@
   return kind === 'long' || kind === 'once'
 }
 
-/** The last evacuation outlives a kill of all control machines, by what they show and by where requests go. */
+/** Checks by reports and by arrivals of requests that the last evacuation survives a kill of all control machines. */
 async function checkLastEvacuation(
   evacuations: SoakEvacuations,
   injector: FleetFaultInjector,
@@ -240,13 +242,13 @@
   const calls = Array.from({ length: CALLS_PER_ENTRY }, () => fleet.entries).flat()
   const answers = await Promise.all(calls.map((entry) => callers.callWith(entry, 'key-steady')))
   if (!answers.some(({ status }) => status === OK))
-    evacuations.violations.push(`nothing was served beside the evacuated domain: ${countAnswers(answers)}`)
+    evacuations.violations.push(`nothing was served outside the evacuated domain: ${countAnswers(answers)}`)
   await evacuations.withdrawLast()
   const arrivals = endpoints.flatMap((endpoint) => endpoint.arrivals)
   return [...evacuations.violations, ...checkEvacuations(evacuations.observed, arrivals, injector.outages)]
 }
 
-/** How many calls got which answer, each kind with its body, so that a log need not be searched for the reason. */
+/** Returns how many calls got which answer, with its body, so that the reason is visible without the logs. */
 function countAnswers(answers: CallRecord[]): string {
   const kinds = new Map<string, number>()
   for (const { entry, status, body } of answers) {
@@ -256,18 +258,18 @@
   return [...kinds].map(([kind, count]) => `${count} x ${kind}`).join('; ')
 }
 
-/** A key that versions took away long ago is refused by every entry. */
+/** Checks that every entry refuses a key that an old version revoked. */
 async function checkRevokedKeys(fleet: SoakFleet, callers: SoakCallers): Promise<string[]> {
   const violations: string[] = []
   for (const entry of fleet.entries) {
-    const what = `${entry.name} to refuse a key that was taken away`
+    const what = `${entry.name} to refuse a revoked key`
     const isRefused = async () => (await callers.statusWith(entry, rotatingKey(1))) === UNAUTHORIZED
     await waitUntil(isRefused, { what, timeoutMs: RECOVERY_MS }).catch(() => violations.push(what))
   }
   return violations
 }
 
-/** Everything is back: every entry is ready, every control machine shows the newest sheet that was acknowledged. */
+/** Checks that every entry is ready and every control machine shows the newest acknowledged sheet or a later one. */
 async function checkRecovery(fleet: SoakFleet, operator: SoakOperator): Promise<string[]> {
   const violations: string[] = []
   for (const entry of fleet.entries) {
--- a/tools/fleet-soak/src/soakCallers.ts
+++ b/tools/fleet-soak/src/soakCallers.ts
@@ -5,33 +5,33 @@
 import type { SoakFleet } from './soakFleet'
 import { drawKey, type SoakKey } from './soakWorkspaces'
 
-/** The paths of the soak's routes. */
+/** Path prefixes of the soak's routes. */
 export const PATHS = {
   unsafe: '/unsafe/',
   safe: '/safe/',
   stream: '/stream/',
-  /** Answers of seconds that may be made anew from where they are. */
+  /** Streams of several seconds that may be resumed by another run. */
   long: '/long/',
-  /** Answers of seconds of which nothing may be made twice. */
+  /** Streams of several seconds that must not run twice. */
   once: '/once/',
-  /** Answers that a slow caller takes a while to read. */
+  /** Large answers that callers read slowly. */
   large: '/large/',
 } as const
 
-/** Kinds that are drawn all the while; large answers come more seldom. */
+/** Kinds drawn for regular calls; large answers are called at a lower rate. */
 const DRAWN_KINDS = ['unsafe', 'safe', 'stream', 'long', 'once'] as const
 
-/** One request of a caller and what came back. */
+/** One request of a caller and its answer. */
 export interface CallRecord {
   id: string
   kind: keyof typeof PATHS
-  /** 0 where no answer began. */
+  /** 0 when no answer began. */
   status: number
   body: string
-  /** Whether the answer ended as a whole one. */
+  /** Whether the answer is complete. */
   isWhole: boolean
   stamp: string
-  /** The entry that it was sent to. */
+  /** Name of the entry that received the request. */
   entry: string
   /** Unix milliseconds. */
   startedAt: number
@@ -41,28 +41,28 @@
 
 const DEADLINE_MS = 3_000
 const LONG_DEADLINE_MS = 8_000
-/** A slow caller reads nothing for so long in the middle of its answer. */
+/** How long a slow caller stops reading in the middle of its answer. */
 const SLOW_READ_PAUSE_MS = 700
 const SLOW_SHARE = 0.2
 const STEADY_KEY = 'key-steady'
 const HOST = 'soak.example'
 
-/** Callers that send requests to any entry that takes them, each with an id of its own. */
+/** Callers that send requests to random entries, each request under a new id. */
 export class SoakCallers {
   private poisonCalls = 0
   readonly calls: CallRecord[] = []
-  /** Who each caller was, by request. */
+  /** Key that the caller sent, by request id. */
   readonly keys = new Map<string, SoakKey>()
   private count = 0
 
   constructor(
     private readonly fleet: SoakFleet,
     private readonly random: Random,
-    /** The newest version that was acknowledged. */
+    /** Returns the newest sheet version that was acknowledged. */
     private readonly version: () => number,
   ) {}
 
-  /** Sends one request of a drawn kind to a drawn entry. */
+  /** Sends one request of a random kind to a random entry. */
   async call(): Promise<void> {
     const kinds = DRAWN_KINDS
     await this.callOf(kinds[Math.floor(this.random() * kinds.length)]!)
@@ -82,7 +82,7 @@
     await this.send(entry, record, shown)
   }
 
-  /** One of the requests that end each endpoint that runs them, under an id of its own, at a drawn entry. */
+  /** Sends one poison request, under a new id, to a random entry. */
   async callPoison(kinds: number): Promise<void> {
     const entry = this.fleet.entries[Math.floor(this.random() * this.fleet.entries.length)]!
     const record = this.newRecord('safe')
@@ -90,12 +90,12 @@
     await this.send(entry, record, { key: STEADY_KEY }, `${POISON_PREFIX}${this.poisonCalls % kinds}`)
   }
 
-  /** One request with a given key at an entry; its status, or 0 where no answer began. */
+  /** Sends one request with a key to an entry; returns its status, 0 when no answer began. */
   async statusWith(entry: SoakMachine, key: string): Promise<number> {
     return (await this.callWith(entry, key)).status
   }
 
-  /** One request with a given key at an entry. */
+  /** Sends one request with a key to an entry and returns its record, which is not added to `calls`. */
   async callWith(entry: SoakMachine, key: string): Promise<CallRecord> {
     const record = this.newRecord('safe')
     this.keys.set(record.id, { key })
@@ -125,7 +125,7 @@
           'X-Forkstage-Deadline-Ms': String(record.deadlineMs),
           'X-Forkstage-Token-Counts': '100,100',
           'X-Forkstage-Model': 'm',
-          // What only the system may set, as a caller that lies would.
+          // A forged header: only the entry may set the workspace.
           'X-Forkstage-Tenant': 'forged',
           ...(key === undefined ? {} : { 'X-Api-Key': key }),
         },
--- a/tools/fleet-soak/src/soakEvacuations.ts
+++ b/tools/fleet-soak/src/soakEvacuations.ts
@@ -7,16 +7,16 @@
 import type { SoakFleet } from './soakFleet'
 import { pause } from './pause'
 
-/** An evacuation to come. */
+/** A planned evacuation. */
 export interface PlannedEvacuation {
   /** Milliseconds after the start. */
   at: number
-  /** From its acknowledgement to its withdrawal; absent for the one that is kept until the end. */
+  /** Milliseconds from its acknowledgement to its withdrawal; undefined for the last one, which lasts until the end. */
   forMs?: number
   domain: string
 }
 
-/** What a control machine shows. */
+/** The evacuations that a control machine reports. */
 interface EvacuationStatus {
   index: number
   domains: string[]
@@ -24,14 +24,14 @@
 
 const REQUEST_TIMEOUT_MS = 1_500
 const RETRY_DELAY_MS = 100
-/** No fault lasts so long: without an acknowledgement by then something is wrong. */
+/** Longer than any fault lasts, so that a missing acknowledgement is a violation. */
 const ACKNOWLEDGED_WITHIN_MS = 20_000
 const RECOVERY_MS = 12_000
-/** The last one begins so long before the end: longer than the bound, so that requests after it tell. */
+/** The last evacuation begins this long before the end: longer than the bound, so that later arrivals are checked. */
 const LAST_BEFORE_END_MS = 6_000
 const BETWEEN_MS = 500
 
-/** Evacuations drawn from a seed: one domain at a time, by turns; the last one is kept until the end. */
+/** Draws evacuations of one failure domain at a time, in turn; the last one lasts until the end. */
 export function planEvacuations(durationMs: number, random: Random): PlannedEvacuation[] {
   const plan: PlannedEvacuation[] = []
   const lastAt = Math.max(0, durationMs - LAST_BEFORE_END_MS)
@@ -47,7 +47,7 @@
   return [...plan, { at: lastAt, domain: next() }]
 }
 
-/** An operator that evacuates failure domains and withdraws that, each sent until it is acknowledged. */
+/** An operator that evacuates failure domains and withdraws the evacuations, with retries until an acknowledgement. */
 export class SoakEvacuations {
   readonly observed: ObservedEvacuation[] = []
   readonly violations: string[] = []
@@ -58,7 +58,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Carries out a plan, one after the other; the next begins only after a withdrawal was acknowledged. */
+  /** Executes a plan in order; an evacuation begins only after the previous withdrawal was acknowledged. */
   async run(plan: PlannedEvacuation[]): Promise<void> {
     const start = Date.now()
     for (const { at, forMs, domain } of plan) {
@@ -75,14 +75,14 @@
     }
   }
 
-  /** Whether every control machine shows the one that was kept, and no longer once it is withdrawn. */
+  /** Checks that every control machine reports the last evacuation, unless it was withdrawn. */
   async checkLast(): Promise<void> {
     const last = this.observed.at(-1)
     if (last === undefined || last.withdrawnAt !== undefined) return
     await this.expectAll([last.domain], this.lastEvacuationIndex)
   }
 
-  /** Withdraws the one that was kept; every control machine must show that nothing is evacuated. */
+  /** Withdraws the last evacuation and checks that every control machine reports none. */
   async withdrawLast(): Promise<void> {
     const last = this.observed.at(-1)
     if (last === undefined || last.withdrawnAt !== undefined) return
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Sends an order, each time to another control machine, until it is acknowledged; its place in the log. */
+  /** Sends an order to control machines in turn until one acknowledges it; returns its log index, undefined on failure. */
   private async submit(method: 'POST' | 'DELETE', domain: string): Promise<number | undefined> {
     const { control } = this.fleet
     const first = Math.floor(this.random() * control.length)
@@ -121,7 +121,7 @@
     return body === undefined ? undefined : (JSON.parse(body) as EvacuationStatus)
   }
 
-  /** The body of a 200; undefined after any other answer or none. */
+  /** Returns the body of an answer with status 200; undefined for any other outcome. */
   private async send(machine: SoakMachine, method: 'GET' | 'POST' | 'DELETE', path: string) {
     const answer = await got(`${this.fleet.operators(machine)}${path}`, {
       method,
--- a/tools/fleet-soak/src/soakFleet.ts
+++ b/tools/fleet-soak/src/soakFleet.ts
@@ -9,13 +9,13 @@
 const SEEDS = 3
 const PROGRAM = 'dist/serve.cjs'
 
-/** Entries and control machines as processes of their own. */
+/** The entries and control machines of a soak, each in a separate process. */
 export class SoakFleet {
   readonly control: SoakMachine[]
   readonly entries: SoakMachine[]
   private readonly running = new Map<string, RunningProcess>()
 
-  /** @param network the first two numbers of the loopback addresses, so that soaks can run side by side. */
+  /** @param network the first three numbers of the loopback addresses, so that soaks can run concurrently. */
   constructor(
     private readonly folder: string,
     network: string,
@@ -25,7 +25,7 @@
         name: `${role}-${index + 1}`,
         role,
         ip: `${network}.${first + index}`,
-        // Entries of both domains, since each prefers its own; all control machines in one.
+        // Entries are in both domains, since each prefers endpoints of its own; control machines are all in one.
         zone: DOMAINS[role === 'entry' ? index % DOMAINS.length : 0]!,
       }))
     this.control = machines('control', CONTROL, 11)
@@ -36,12 +36,12 @@
     return [...this.control, ...this.entries]
   }
 
-  /** Starts everything for the first time. */
+  /** Starts all machines for the first time. */
   startAll(): void {
     this.machines.forEach((machine) => this.start(machine, true))
   }
 
-  /** Starts a machine; with `found` only when the whole fleet starts for the first time. */
+  /** Starts a machine; `found` only at the first start of the fleet. */
   start(machine: SoakMachine, found = false): void {
     const seeds = this.control.slice(0, SEEDS).map((seed) => seed.ip)
     mkdirSync(join(this.folder, machine.name), { recursive: true })
@@ -60,27 +60,30 @@
     this.running.get(machine.name)?.kill(signal)
   }
 
-  /** Ends a machine and waits until it has ended; returns its exit code, or null after a signal. */
+  /** Sends a signal that ends a machine; returns its exit code once it has ended, null after a signal. */
   async end(machine: SoakMachine, signal: 'SIGKILL' | 'SIGTERM'): Promise<number | null> {
     const running = this.running.get(machine.name)!
     running.kill(signal)
     return running.exited
   }
 
+  /** Deletes the data folder of a machine. */
   loseDisk(machine: SoakMachine): void {
     rmSync(join(this.folder, machine.name), { recursive: true, force: true })
   }
 
-  /** Whether a process has ended that nobody ended. */
+  /** Whether the current process of a machine has ended. */
   hasEnded(machine: SoakMachine): boolean {
     const { child } = this.running.get(machine.name)!
     return child.exitCode !== null || child.signalCode !== null
   }
 
+  /** Returns the base URL for operators. */
   operators(machine: SoakMachine): string {
     return `http://${machine.ip}:${PORTS.operators}`
   }
 
+  /** Returns the base URL for callers. */
   callers(machine: SoakMachine): string {
     return `http://${machine.ip}:${PORTS.callers}`
   }
--- a/tools/fleet-soak/src/soakOperator.ts
+++ b/tools/fleet-soak/src/soakOperator.ts
@@ -13,17 +13,17 @@
 const IN_FORCE_MS = 2_000
 const REQUEST_TIMEOUT_MS = 1_500
 const RACE_SHARE = 0.3
-/** An engine answers so many requests at once, and a plain stand-in 8. */
+/** Requests that an engine runs concurrently; a plain stand-in runs 8. */
 export const ENGINE_SLOTS = 64
 const INVALID_SHARE = 0.1
 
-/** Operators that send sheets to any control machine, race each other, send bad ones, and read back. */
+/** Operators that send sheets to random control machines, some concurrently and some invalid, and read them back. */
 export class SoakOperator {
   readonly acknowledged: AcknowledgedSheet[] = []
   readonly violations: string[] = []
-  /** Every content that was sent under a version. */
+  /** All texts that were sent under a version. */
   private readonly sentTexts = new Map<number, Set<string>>()
-  /** The content that was read under a version: there must be one only. */
+  /** The text that was read under a version; a version must have exactly one. */
   private readonly readTexts = new Map<number, string>()
   private version = 0
 
@@ -32,11 +32,12 @@
     private readonly random: Random,
   ) {}
 
+  /** Newest acknowledged version; 0 before the first one. */
   get newest(): number {
     return Math.max(0, ...this.acknowledged.map((one) => one.version))
   }
 
-  /** Sends the next sheet, at times two contents under one version, at times a bad one. */
+  /** Sends the next sheet: sometimes two texts under one version, sometimes an invalid one. */
   async putNext(): Promise<void> {
     this.version += 1
     const { version } = this
@@ -45,7 +46,7 @@
     await Promise.all(marks.map((mark) => this.send(version, sheetText(version, mark))))
   }
 
-  /** Reads the sheet at a drawn machine and checks it against what was acknowledged before. */
+  /** Reads and checks the sheet at a machine, by default a random one; returns its version, undefined on failure. */
   async read(machine: SoakMachine = this.drawMachine()): Promise<number | undefined> {
     const since = Date.now() - IN_FORCE_MS
     const minVersion = Math.max(
@@ -58,10 +59,10 @@
     if (version < minVersion)
       this.violations.push(`${machine.name} showed version ${version} when ${minVersion} was in force`)
     if (this.sentTexts.get(version)?.has(answer.body) !== true)
-      this.violations.push(`${machine.name} showed a content of version ${version} that nobody sent`)
+      this.violations.push(`${machine.name} showed a text of version ${version} that was never sent`)
     const before = this.readTexts.get(version)
     if (before !== undefined && before !== answer.body)
-      this.violations.push(`two contents of version ${version} were shown`)
+      this.violations.push(`two texts of version ${version} were shown`)
     this.readTexts.set(version, answer.body)
     return version
   }
@@ -77,7 +78,7 @@
     const text = JSON.stringify({ ...JSON.parse(sheetText(version, 'bad')), services: [] })
     const answer = await this.request(this.drawMachine(), 'PUT', text)
     if (answer?.status === 200)
-      this.violations.push(`a sheet without services was taken as version ${version}`)
+      this.violations.push(`a sheet without services was accepted as version ${version}`)
   }
 
   private drawMachine(): SoakMachine {
@@ -96,7 +97,7 @@
   }
 }
 
-/** A sheet with the soak's three routes; `mark` tells contents of one version apart. */
+/** Returns the JSON text of a sheet with the soak's routes; `mark` distinguishes texts of one version. */
 export function sheetText(version: number, mark: string): string {
   const common = { host: 'soak.example', timeout_ms: 3_000, target_latency_ms: 800, priority: 1 }
   const plain = { ...common, service: 'plain', max_attempts: 2, sticky: false, resumable: false }
--- a/tools/fleet-soak/src/soakWorkspaces.ts
+++ b/tools/fleet-soak/src/soakWorkspaces.ts
@@ -1,28 +1,28 @@
 import type { Random } from '@forkstage/clock'
 
-/** Tokens that one request of the soak declares in all. */
+/** Tokens that one request of the soak declares in total. */
 export const REQUEST_TOKENS = 200
 
 const STEADY = 'steady'
 const ROTATING = 'turning'
 const SMALL = 'small'
 
-/** The quota of the workspace that is asked for much more than it may have. */
+/** Quota of a workspace whose callers exceed it by far. */
 export const SMALL_QUOTA = { perSecond: 400, burst: 400, windowS: 8 } as const
-/** A sheet's deployment allows a tenth over, and a slack for what entries that are killed forget. */
+/** Spending may exceed the quota by a tenth, plus a slack for what killed entries forget. */
 const SMALL_FACTOR = 1.1
 const SMALL_SLACK = 4_000
 const SECOND_MS = 1_000
 
-/** How a caller of the soak shows who it is. */
+/** The credential of a caller. */
 export interface SoakKey {
-  /** Absent where the caller shows none. */
+  /** Undefined when the caller sends no key. */
   key?: string
-  /** The only workspace in whose name the request may run; absent where it must not run at all. */
+  /** The only workspace as which the request may run; undefined when it must not run at all. */
   workspace?: string
 }
 
-/** The tenants of one version: one key stays, one changes with each version, one workspace may spend little. */
+/** Returns the tenants of a sheet version: one with a fixed key, one whose keys rotate, one with a small quota. */
 export function soakTenants(version: number): object[] {
   const common = { priority: 1, unit: 'tokens', plain_tokens: REQUEST_TOKENS }
   return [
@@ -38,12 +38,12 @@
   ]
 }
 
-/** The key that a version brings, and the next one still has. */
+/** Returns the key that a version adds; the next version still accepts it. */
 export function rotatingKey(version: number): string {
   return `key-turning-${version}`
 }
 
-/** Draws who a caller is; most are of the workspace whose key stays. */
+/** Draws the key of a caller; most belong to the workspace with the fixed key. */
 export function drawKey(random: Random, version: number): SoakKey {
   const draw = random()
   if (draw < 0.6) return { key: 'key-steady', workspace: STEADY }
@@ -52,17 +52,18 @@
   return draw < 0.95 ? { key: 'key-of-no-version' } : {}
 }
 
-/** One run as an endpoint saw it. */
+/** One run as an endpoint observed it. */
 export interface ObservedRun {
   request: string
+  /** Unix milliseconds. */
   at: number
-  /** As the endpoint was told; absent where it was told none. */
+  /** Workspace that the request named; undefined when it named none. */
   workspace?: string
-  /** Whether the endpoint saw any key. */
+  /** Whether the endpoint received an API key. */
   sawKey: boolean
 }
 
-/** What does not hold of the runs, given who each caller was. */
+/** Checks the workspace and quota of the runs against the keys of their callers, by request id; returns the violations. */
 export function checkWorkspaceRuns(runs: ObservedRun[], callers: ReadonlyMap<string, SoakKey>): string[] {
   const violations = runs.flatMap((run) => checkRun(run, callers.get(run.request)))
   const maxTokens = maxTokensInWindow(runs.filter((run) => run.workspace === SMALL))
@@ -70,7 +71,7 @@
   const allowed = (perSecond * windowS + burst) * SMALL_FACTOR + SMALL_SLACK
   return maxTokens <= allowed
     ? violations
-    : [...violations, `${SMALL} spent ${maxTokens} tokens in a window, ${allowed} may be`]
+    : [...violations, `${SMALL} spent ${maxTokens} tokens in a window, ${allowed} are allowed`]
 }
 
 function checkRun(run: ObservedRun, caller: SoakKey | undefined): string[] {
@@ -82,6 +83,7 @@
   return violations
 }
 
+/** Returns the most tokens that runs spent in any window of the quota. */
 function maxTokensInWindow(runs: ObservedRun[]): number {
   const times = runs.map(({ at }) => at).sort((left, right) => left - right)
   let maxTokens = 0
--- a/tools/fleet-soak/src/standInColdStart.ts
+++ b/tools/fleet-soak/src/standInColdStart.ts
@@ -1,26 +1,26 @@
 import { COLD } from './machineSettings'
 
 const SECOND_MS = 1_000
-/** What a cold stand-in may get in any second from all entries together. */
+/** Requests that a cold stand-in may receive in any second from all entries together. */
 const MAX_COLD_ARRIVALS = COLD.perS * COLD.over + COLD.slack
 
-/** The cold time of one stand-in, and what it gets in it. */
+/** The cold start of one stand-in and the requests that it receives meanwhile. */
 export class StandInColdStart {
   private until = 0
-  /** When requests arrived while it was cold, within the last second. */
+  /** Arrivals of the last second during the cold start, in Unix milliseconds. */
   private arrivals: number[] = []
 
-  /** It has started anew. */
+  /** Starts the cold time after a restart. */
   begin(): void {
     this.until = Date.now() + COLD.startS * SECOND_MS
   }
 
-  /** How much longer it is cold, in milliseconds. */
+  /** Returns the rest of the cold time in milliseconds; 0 when it is over. */
   remainingMs(): number {
     return Math.max(0, this.until - Date.now())
   }
 
-  /** A request has arrived; how many within a second are too many, or undefined where they are not. */
+  /** Records an arrival; returns the arrivals of the last second if they exceed the bound, undefined otherwise. */
   recordArrival(): number | undefined {
     const now = Date.now()
     if (this.remainingMs() === 0) return undefined
--- a/tools/fleet-soak/src/standInEndpoint.ts
+++ b/tools/fleet-soak/src/standInEndpoint.ts
@@ -14,56 +14,56 @@
 import { StandInSignals } from './standInSignals'
 import { StandInRuns, type StreamInterruptions } from './standInRuns'
 
-/** What a stand-in does wrong. */
+/** The current fault of a stand-in. */
 export type EndpointFault = 'none' | 'refuse' | 'lose-answers' | 'fail' | 'cut-streams'
 
 /** Options of {@link StandInEndpoint}. */
 export interface StandInOptions {
   name: string
   service: string
-  /** Its failure domain; the control machines' when left out. */
+  /** Failure domain; default: that of the control machines. */
   zone?: string
   stage?: 'prefill' | 'decode'
-  /** Control machines to register with. */
+  /** Returns the base URLs of the control machines. */
   control: () => string[]
   random: Random
-  /** Draws what it says of rest, apart from all else, so that a seed's faults stay as they were. */
+  /** Separate generator for signals, so that they do not change the faults that a seed draws. */
   signalRandom: Random
-  /** What became of begun answers, and the memories of all engines, since they fetch from each other. */
+  /** Shared by all stand-ins, since engines fetch retained KV caches from each other. */
   interruptions: StreamInterruptions
-  /** Runs by request id, over all stand-ins. */
+  /** Number of runs by request id, over all stand-ins. */
   runs: Map<string, number>
-  /** Every run, with what the endpoint was told of its caller. */
+  /** Every run, with the workspace and key that the endpoint received. */
   observedRuns: ObservedRun[]
-  /** Requests a second that it takes from all entries together, as its answers name; none where left out. */
+  /** Requests per second from all entries together, advertised in answers; undefined for no limit. */
   rate?: number
-  /** What has ended endpoints, by the last part of its path. */
+  /** Arrivals of poison requests by the last segment of their path, over all stand-ins. */
   poisonArrivals: Map<string, PoisonArrivals>
 }
 
 const PLAIN_SLOTS = 8
 const HEARTBEAT_MS = 800
 const SAME_ID_SHARE = 0.5
-/** Of heartbeats, this share is followed by one of another writer's that says nothing of an endpoint to use. */
+/** Share of the heartbeats that are followed by an invalid one. */
 const INVALID_SHARE = 0.1
 const BAD_REQUEST = 400
 const EVENTS = 12
 const EVENT_MS = 15
-/** Answers of some seconds. */
+/** Streams of several seconds. */
 const LONG_EVENTS = 50
 const LONG_EVENTS_SPREAD = 40
 const LONG_EVENT_MS = 25
 const LARGE_BYTES = 12 * 1024 * 1024
 const WORK_MS = 30
 const DRAIN_MS = 2_000
-/** Kept for a call that was on its way when the time was over. */
+/** Allows for a request in flight when the drain time ends. */
 const DRAIN_SLACK_MS = 300
 
-/** An endpoint that speaks what the platform's workers speak, as far as the soak needs. */
+/** A stand-in for an endpoint: the part of the platform's worker protocol that the soak needs. */
 export class StandInEndpoint {
   private id = ''
   private incarnation = 0
-  /** When this life started. */
+  /** Start of this incarnation in Unix milliseconds, greater than that of the previous one. */
   private born = 0
   private heartbeats = 0
   private server: Server | undefined
@@ -73,15 +73,16 @@
   private readonly cold = new StandInColdStart()
   private timer: NodeJS.Timeout | undefined
   fault: EndpointFault = 'none'
-  /** Whether it turns all work away, beside its fault; where it rests, it says for how long. */
+  /** Whether the endpoint refuses all requests, independently of `fault`. */
   refusesAll = false
+  /** Whether it refuses all requests and asks for backoff. */
   asksForBackoff = false
   private readonly runs: StandInRuns
-  /** What must not have happened. */
+  /** Guarantees that were broken at this endpoint. */
   readonly violations: string[] = []
-  /** When requests arrived that it did not send back as another endpoint's. */
+  /** Requests that arrived, without those that expected another instance. */
   readonly arrivals: DomainArrival[] = []
-  /** What it says of itself, and what its lives get. */
+  /** Signals that it sends and requests that its incarnations receive. */
   readonly signals: StandInSignals
   private readonly zone: string
 
@@ -95,14 +96,15 @@
     return this.options.stage === undefined
   }
 
-  /** Requests that arrived while it names a rate. */
+  /** Requests that arrived if the endpoint advertises a rate; empty otherwise. */
   get rateLimitedArrivals(): EndpointArrival[] {
     return this.options.rate === undefined ? [] : this.signals.recorded.arrivals
   }
 
+  /** Starts a new incarnation and sends its first heartbeat. */
   async start(): Promise<void> {
     this.incarnation += 1
-    // Half of the time it starts again under the id that it had, so that only its start tells the lives apart.
+    // Half of the restarts keep the id, so that only `born` distinguishes the incarnations.
     const keepsId = this.incarnation > 1 && this.options.random() < SAME_ID_SHARE
     if (!keepsId) this.id = `${this.options.name}-${this.incarnation}`
     this.born = Math.max(this.born + 1, Date.now())
@@ -110,7 +112,7 @@
     this.state = 'ready'
     this.signals.isLeaving = false
     this.drainedAt = Infinity
-    // At the first start there is no traffic yet.
+    // There is no traffic yet at the first start.
     if (this.incarnation > 1) this.cold.begin()
     this.server = createServer((request, response) => this.serve(request, response))
     await new Promise<void>((resolve) => this.server!.listen(0, '127.0.0.1', resolve))
@@ -119,13 +121,13 @@
     await this.sendHeartbeat()
   }
 
-  /** Ends without a word, and starts again at another address, under its id or another. */
+  /** Ends without notice and restarts at another address, under the same id or a new one. */
   async crash(): Promise<void> {
     this.end()
     await this.start()
   }
 
-  /** Says that it leaves, serves on for a while, leaves, and starts again under another id. */
+  /** Announces that it leaves, serves for the drain time, deregisters and restarts. */
   async drain(): Promise<void> {
     if (this.state === 'draining' || this.signals.isLeaving) return
     const initialIncarnation = this.incarnation
@@ -136,7 +138,7 @@
     if (initialIncarnation !== this.incarnation) return
     this.drainedAt = Date.now()
     await pause(DRAIN_MS + DRAIN_SLACK_MS * 2)
-    // It has crashed meanwhile and is another life now.
+    // It crashed meanwhile: another incarnation is running.
     if (initialIncarnation !== this.incarnation) return
     await this.sendToControl('DELETE')
     await this.crash()
@@ -156,7 +158,7 @@
     return isAccepted
   }
 
-  /** A statement under this endpoint's id that must change nothing. */
+  /** Sends an invalid heartbeat under this endpoint's id, which the control machine must reject. */
   private async sendInvalid(): Promise<void> {
     const [url] = this.options.control()
     const field = INVALID_FIELDS[Math.floor(this.options.random() * INVALID_FIELDS.length)]
@@ -168,9 +170,10 @@
       timeout: { request: 1_000 },
     }).catch(() => undefined)
     if (answer !== undefined && answer.statusCode !== BAD_REQUEST)
-      this.violations.push(`a broken statement of ${this.id} got ${answer.statusCode}`)
+      this.violations.push(`an invalid heartbeat of ${this.id} got ${answer.statusCode}`)
   }
 
+  /** Sends a heartbeat or a deregistration to the control machines in random order; returns whether one accepted it. */
   private async sendToControl(method: 'PUT' | 'DELETE'): Promise<boolean> {
     const control = [...this.options.control()].sort(() => this.options.random() - 0.5)
     for (const url of control) {
@@ -235,9 +238,8 @@
     this.answerStream(request, response)
   }
 
-  /** Begins to run what ends it. */
   private crashUnder(kind: string): void {
-    // A second one that had been taken in ends what has ended already.
+    // A second poison request may arrive when the server has already ended.
     if (this.server?.listening !== true) return
     const { poisonArrivals } = this.options
     poisonArrivals.set(kind, { at: [...(poisonArrivals.get(kind)?.at ?? []), Date.now()] })
@@ -248,7 +250,7 @@
     return { stage: this.options.stage, models: [], busy: false, call_seq: 0, born: this.born }
   }
 
-  /** Asked by control machines that knew this endpoint before they started; nothing runs for it. */
+  /** Answers a health probe of a control machine that knew this endpoint before its own restart; nothing runs for it. */
   private answerHealth(response: ServerResponse): void {
     const status = this.state === 'ready' ? 200 : 503
     const headers = { 'X-Forkstage-Instance-Id': this.id, 'X-Forkstage-Cold-Ms': this.cold.remainingMs() }
@@ -263,9 +265,10 @@
 
   private checkDrained(request: IncomingMessage): void {
     if (Date.now() < this.drainedAt + DRAIN_MS + DRAIN_SLACK_MS) return
-    this.violations.push(`${this.id} got ${idOf(request)} long after it had said that it leaves`)
+    this.violations.push(`${this.id} got ${idOf(request)} after its drain time`)
   }
 
+  /** Refuses a request and counts refused resumptions. */
   private refuse(request: IncomingMessage, response: ServerResponse): void {
     const { refusedResumptions } = this.options.interruptions
     const isStopped = request.headers['x-forkstage-kv-source'] !== undefined
@@ -273,7 +276,7 @@
     this.sendRefusal(response)
   }
 
-  /** Turns a request away, with what it says of rest; not of a run that is to go on from its memory. */
+  /** Refuses a request with `Retry-After`; the resumption of a run is refused without it. */
   private refuseWithBackoff(request: IncomingMessage, response: ServerResponse): void {
     if (request.headers['x-forkstage-kv-source'] !== undefined) return this.refuse(request, response)
     this.sendRefusal(response, this.signals.refusalHeaders(this.arrivalOf(request)))
@@ -330,7 +333,7 @@
     const handle = String(source).split('/')[1] ?? ''
     const from = source && this.options.interruptions.kvStore.consume(handle, idOf(request), this.address)
     if (source !== undefined && from === undefined) return this.refuse(request, response)
-    // What goes on from its memory is the same run.
+    // A run resumed from its retained KV cache is the same run.
     if (from !== 'run') this.recordRun(request)
     response.writeHead(200, { ...this.answerHeaders(request), 'Content-Type': 'text/event-stream' })
     const isLong = !request.url!.startsWith(PATHS.stream)
--- a/tools/fleet-soak/src/standInRuns.ts
+++ b/tools/fleet-soak/src/standInRuns.ts
@@ -2,30 +2,30 @@
 import type { Random } from '@forkstage/clock'
 import { RetainedKvStore } from './retainedKvStore'
 
-/** How one answer of a stand-in engine is made. */
+/** The stream that a stand-in engine generates for one request. */
 export interface RunPlan {
   request: string
-  /** Events of the whole answer. */
+  /** Events of the complete stream. */
   events: number
   everyMs: number
-  /** The event after which it begins here. */
+  /** Id of the event after which this engine starts. */
   after: number
-  /** The event after which it breaks off; absent where it does not. */
+  /** Id of the event after which the stream breaks off; undefined when it does not. */
   breaksAfter?: number
 }
 
-/** What becomes of begun answers, over all stand-in engines. */
+/** Interrupted streams of all stand-in engines, by request id. */
 export interface StreamInterruptions {
-  /** How often engines have broken a request's answer off. */
+  /** How often engines have broken off the stream of a request. */
   interrupted: Map<string, number>
-  /** How often an engine turned a stopped run away that came to go on. */
+  /** How often engines refused to resume a stopped run. */
   refusedResumptions: Map<string, number>
-  /** Requests whose run stopped, and nobody was told so: without that word the run may still be going on. */
+  /** Requests whose run was stopped by a move call that got no answer, so that for the entry it may still be running. */
   stoppedWithoutReply: Set<string>
   kvStore: RetainedKvStore
 }
 
-/** Nothing has been seen yet. */
+/** Returns an empty record. */
 export function newStreamInterruptions(random: Random): StreamInterruptions {
   return {
     interrupted: new Map(),
@@ -40,11 +40,11 @@
   made: number
   timer: NodeJS.Timeout
   response: ServerResponse
-  /** The copy of its memory elsewhere. */
+  /** Handle of its retained KV cache; undefined before the first copy. */
   handle?: string
 }
 
-/** A body that asks for a run to be copied, and stopped where it says that this is the last time. */
+/** Body of a call that copies the KV cache of a run; `last` also stops the run. */
 interface MoveRequest {
   id: string
   target_version: string
@@ -52,13 +52,13 @@
 }
 
 const COPY_MS = 20
-/** Of the calls for a copy, these shares are answered late, find no room, or get no answer. */
+/** Shares of the copy calls that are answered late, are refused for lack of room, or get no answer. */
 const LATE_SHARE = 0.1
 const LATE_MS = 400
 const NO_ROOM_SHARE = 0.1
 const UNANSWERED_SHARE = 0.05
 
-/** The answers that one stand-in engine is making. */
+/** The running streams of one stand-in engine. */
 export class StandInRuns {
   private readonly runs = new Map<string, Run>()
 
@@ -67,7 +67,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Makes an answer whose head has been written. */
+  /** Generates a stream; its response headers have been written. */
   begin(plan: RunPlan, response: ServerResponse): void {
     const run: Run = {
       plan,
@@ -79,12 +79,12 @@
     response.on('close', () => this.end(run))
   }
 
-  /** The engine ends: what it is making breaks off. */
+  /** Breaks off all streams when the engine ends. */
   endAll(): void {
     for (const run of [...this.runs.values()]) this.interrupt(run)
   }
 
-  /** Copies a run's memory to another engine; stops the run with the last copy. */
+  /** Copies the KV cache of a run to another engine; the last copy stops the run. */
   move(body: string, ownAddress: string, response: ServerResponse): void {
     const call = JSON.parse(body) as MoveRequest
     const run = this.runs.get(call.id)
--- a/tools/fleet-soak/src/standInSignals.ts
+++ b/tools/fleet-soak/src/standInSignals.ts
@@ -5,34 +5,34 @@
 
 const MAX_NOTICE_MS = 2_000
 
-/** What one stand-in says of itself in its answers, and what it gets. */
+/** The signals that one stand-in sends in its answers, and the requests that it receives. */
 export class StandInSignals {
   readonly recorded: EndpointSignals = { arrivals: [], backoffs: [], leavingNotices: [] }
-  /** Whether it says already that it leaves. */
+  /** Whether answers announce that the stand-in leaves. */
   isLeaving = false
-  /** What it says of rest for as long as it refuses. */
+  /** `Retry-After` of the current series of refusals; undefined before the first one. */
   private backoff: RetryAfterSignal | undefined
 
-  /** @param random draws what it says. */
+  /** @param random draws the values of `Retry-After` and the length of notices. */
   constructor(private readonly random: Random) {}
 
-  /** It says in its answers that it leaves, some time before its heartbeats say so. */
+  /** Announces in answers that the stand-in leaves; resolves when heartbeats may announce it too. */
   async announceLeaving(): Promise<void> {
     this.isLeaving = true
     await pause(this.random() * MAX_NOTICE_MS)
   }
 
-  /** A request has arrived at one of its lives. */
+  /** Records a request that arrived at an incarnation of the stand-in. */
   recordArrival(arrival: EndpointArrival): void {
     this.recorded.arrivals.push(arrival)
   }
 
-  /** Its next refusals say something else. */
+  /** Ends a series of refusals: the next one draws a new `Retry-After`. */
   resetBackoff(): void {
     this.backoff = undefined
   }
 
-  /** Fields of the refusal of a request. */
+  /** Returns the headers of the refusal of a request and records its backoff. */
   refusalHeaders(request: EndpointArrival): Record<string, string> {
     this.backoff ??= drawRetryAfter(this.random)
     const value = this.backoff.value()
@@ -40,7 +40,7 @@
     return value === undefined ? {} : { 'Retry-After': value }
   }
 
-  /** Fields of any answer to a request of one that leaves. */
+  /** Returns the headers of an answer of a leaving stand-in and records the notice. */
   leavingHeaders(request: EndpointArrival): Record<string, string> {
     this.recorded.leavingNotices.push(request)
     return { 'Server-Leaving': '1' }
--- a/tools/fleet-soak/test/checkCalls.test.ts
+++ b/tools/fleet-soak/test/checkCalls.test.ts
@@ -28,29 +28,29 @@
 const STREAM = 'id: 1\ndata: r1 1 of 2\n\nid: 2\ndata: r1 2 of 2\n\n'
 
 describe('checkCalls', () => {
-  it('finds nothing in whole answers of requests that ran once', () => {
+  it('accepts complete answers of requests that ran once', () => {
     expect(checkCalls([call({}), call({ kind: 'stream', body: STREAM })], ONCE)).toEqual([])
   })
 
-  it('finds what ran twice, unless it may be repeated', () => {
+  it('reports a request that ran twice, unless it is repeatable', () => {
     const twice = new Map([['r1', 2]])
     expect(checkCalls([call({})], twice)).toHaveLength(1)
     expect(checkCalls([call({ kind: 'safe' })], twice)).toEqual([])
   })
 
-  it('finds a promise that was not kept', () => {
+  it('reports a request that ran although its status guarantees that it did not', () => {
     const refused = call({ status: 503, body: '', stamp: '' })
     expect(checkCalls([refused], ONCE)).toHaveLength(1)
     expect(checkCalls([refused], new Map())).toEqual([])
     expect(checkCalls([call({ status: 502, body: '', stamp: '' })], ONCE)).toEqual([])
   })
 
-  it("finds another request's answer", () => {
+  it('reports an answer of another request', () => {
     expect(checkCalls([call({ stamp: 'stamp-r2' })], ONCE)).toHaveLength(1)
     expect(checkCalls([call({ body: 'answer to r2' })], ONCE)).toHaveLength(1)
   })
 
-  it('finds a stream that looks whole and is not, in whatever way', () => {
+  it('reports a stream that ended as complete but has missing, duplicate or reordered events', () => {
     const [first, second] = STREAM.split(/(?<=\n\n)/) as [string, string]
     for (const body of [first, second, first + first + second, second + first, ''])
       expect(checkCalls([call({ kind: 'stream', body })], ONCE)).toHaveLength(1)
@@ -68,20 +68,20 @@
     ['r3', { key: 'key-small', workspace: 'small' }],
   ])
 
-  it('finds nothing where each ran in the name of its own workspace', () => {
+  it('accepts runs under the workspace of their key', () => {
     expect(checkWorkspaceRuns([run({}), run({ request: 'r3', workspace: 'small' })], callers)).toEqual([])
   })
 
   it.each([
     ['a key that reached an endpoint', run({ sawKey: true })],
-    ['a name that the caller forged', run({ workspace: 'forged' })],
-    ['no name at all', run({ workspace: undefined })],
-    ['a run without a key of any workspace', run({ request: 'r2' })],
-  ])('finds %s', (_what, bad) => {
+    ['a workspace that the caller forged', run({ workspace: 'forged' })],
+    ['a run without a workspace', run({ workspace: undefined })],
+    ['a run with a key of no workspace', run({ request: 'r2' })],
+  ])('reports %s', (_what, bad) => {
     expect(checkWorkspaceRuns([bad], callers)).toHaveLength(1)
   })
 
-  it('finds a workspace that spent more in a window than it may', () => {
+  it('reports a workspace that exceeded its quota in a window', () => {
     const spent = (times: number) =>
       Array.from({ length: times }, (_, at) => run({ request: 'r3', workspace: 'small', at }))
     const allowed = SMALL_QUOTA.perSecond * SMALL_QUOTA.windowS + SMALL_QUOTA.burst
@@ -91,14 +91,14 @@
 })
 
 describe('the soak', () => {
-  it('draws the same faults from the same seed, and others from another', () => {
+  it('draws the same faults from the same seed and other ones from another seed', () => {
     const draw = (seed: number) => planFleetFaults(60_000, createSeededRandom(seed))
     expect(draw(1)).toEqual(draw(1))
     expect(draw(1)).not.toEqual(draw(2))
     expect(Math.max(...draw(1).map((fault) => fault.at))).toBeLessThan(52_000)
   })
 
-  it('sends sheets that are valid', () => {
+  it('sends valid sheets', () => {
     const sheet = platformControl.readSheet(sheetText(3, 'a'))
     expect(sheet?.version).toBe(3)
     expect(checkRouteSheet(sheet!)).toEqual([])
--- a/tools/fleet-soak/test/checkEndpointSignals.test.ts
+++ b/tools/fleet-soak/test/checkEndpointSignals.test.ts
@@ -12,7 +12,7 @@
   at,
 })
 
-/** Requests of an entry that reach an endpoint at these times. */
+/** Returns requests of an entry that arrive at an endpoint at the given times. */
 function arrivalsOf(entry: string, times: number[], endpoint?: string) {
   const ids = times.map((at) => `${entry} ${at}`)
   return {
@@ -21,11 +21,11 @@
   }
 }
 
-describe('checkWords', () => {
+describe('checkEndpointSignals', () => {
   const backoff = { ...arrival('r1', 0), forMs: 3_000 }
   const refusedCall = call('r1', 'e1', -5)
 
-  it('lets two requests in while an endpoint rests, and not three', () => {
+  it('accepts two requests during the backoff of an endpoint and reports three', () => {
     const check = (times: number[], entry = 'e1', endpoint?: string) => {
       const { calls, arrivals } = arrivalsOf(entry, times, endpoint)
       return checkEndpointSignals(
@@ -35,13 +35,13 @@
       )
     }
     expect(check([600, 700])).toEqual([])
-    expect(check([600, 700, 2_900])).toEqual(['i-1 asked e1 for 3000 ms of rest and got 3 requests'])
+    expect(check([600, 700, 2_900])).toEqual(['i-1 asked e1 for 3000 ms of backoff and got 3 requests'])
     expect(check([100, 200, 300, 400, 500, 3_000, 3_100, 3_200])).toEqual([])
     expect(check([600, 700, 2_900], 'e2')).toEqual([])
-    expect(check([600, 700, 2_900], 'e1', 'i-1 of another life')).toEqual([])
+    expect(check([600, 700, 2_900], 'e1', 'i-1 of another incarnation')).toEqual([])
   })
 
-  it('lets no request in that was sent after its entry had passed on that the endpoint leaves', () => {
+  it('reports a request that was sent after its entry had forwarded a notice that the endpoint leaves', () => {
     const leaving = call('r1', 'e1', 0)
     const check = (startedAt: number, entry = 'e1', isWhole = true) =>
       checkEndpointSignals(
@@ -55,7 +55,7 @@
     expect(check(600, 'e1', false)).toEqual([])
   })
 
-  it('excuses an entry that was away since', () => {
+  it('exempts an entry that had an outage since the signal', () => {
     const { calls, arrivals } = arrivalsOf('e1', [1_000, 1_100, 1_200])
     const signals = { arrivals, backoffs: [backoff], leavingNotices: [arrival('r1', 0)] }
     const check = (away: TimeSpan) =>
--- a/tools/fleet-soak/test/checkEvacuations.test.ts
+++ b/tools/fleet-soak/test/checkEvacuations.test.ts
@@ -11,13 +11,13 @@
   it.each([
     ['before the bound', arrival(bound)],
     ['before the acknowledgement', arrival(0)],
-    ['once the withdrawal was sent', arrival(9_000)],
+    ['after the withdrawal was sent', arrival(9_000)],
     ['in another domain', arrival(bound + 1, 'y')],
-  ])('finds nothing in an arrival %s', (_when, one) => {
+  ])('accepts an arrival %s', (_when, one) => {
     expect(checkEvacuations([evacuation], [one], [])).toEqual([])
   })
 
-  it('finds an arrival after the bound and before the withdrawal', () => {
+  it('reports an arrival after the bound and before the withdrawal', () => {
     expect(checkEvacuations([evacuation], [arrival(bound + 1)], [])).toHaveLength(1)
     expect(checkEvacuations([evacuation], [arrival(8_999)], [])).toHaveLength(1)
     expect(checkEvacuations([{ ...evacuation, withdrawnAt: undefined }], [arrival(99_000)], [])).toHaveLength(
@@ -25,13 +25,13 @@
     )
   })
 
-  it('stretches the bound by just the time without control after the acknowledgement', () => {
+  it('extends the bound by exactly the control outage after the acknowledgement', () => {
     const outages = [{ from: 0, to: 2_000 }]
     expect(checkEvacuations([evacuation], [arrival(bound + 1_000)], outages)).toEqual([])
     expect(checkEvacuations([evacuation], [arrival(bound + 1_001)], outages)).toHaveLength(1)
   })
 
-  it('finds an arrival without control where the bound was over before', () => {
+  it('reports an arrival during a control outage that began after the bound', () => {
     const outages = [{ from: bound + 1, to: Infinity }]
     expect(checkEvacuations([evacuation], [arrival(bound + 500)], outages)).toHaveLength(1)
   })
@@ -40,12 +40,12 @@
 describe('planEvacuations', () => {
   const plan = (seed: number, durationMs = 60_000) => planEvacuations(durationMs, createSeededRandom(seed))
 
-  it('draws the same from the same seed, and others from another', () => {
+  it('draws the same plan from the same seed and another one from another seed', () => {
     expect(plan(1)).toEqual(plan(1))
     expect(plan(1)).not.toEqual(plan(2))
   })
 
-  it('has one that is withdrawn and one that is kept in the shortest run, never two at once', () => {
+  it('has one withdrawn and one lasting evacuation in the shortest run, never both at once', () => {
     for (let seed = 1; seed <= 200; seed += 1) {
       const all = plan(seed, 18_000)
       expect(all.map(({ forMs }) => forMs === undefined)).toEqual([false, true])
--- a/tools/fleet-soak/test/checkInterruptedAnswers.test.ts
+++ b/tools/fleet-soak/test/checkInterruptedAnswers.test.ts
@@ -31,8 +31,8 @@
   return causes(interruptions)
 }
 
-describe('checkBegun', () => {
-  it('finds an answer that was cut for nothing, of each kind', () => {
+describe('checkInterruptedAnswers', () => {
+  it('reports an answer that was cut off without a cause, of each kind', () => {
     for (const kind of ['long', 'once', 'stream', 'large'] as const)
       expect(checkInterruptedAnswers([call({ kind })], causes())).toEqual([
         expect.stringContaining('was cut after 1000 ms'),
@@ -42,38 +42,54 @@
   it.each([
     ['is whole', call({ isWhole: true }), causes()],
     ['never began', call({ status: 0 }), causes()],
-    ['had no time left', call({ endedAt: 17_000 }), causes()],
-    ['lost its entry', call(), causes({ entries: new Map([['entry-1', [{ from: 10_900, to: 12_000 }]]]) })],
-    ['was broken off twice', call(), causes({ interrupted: new Map([['r1', 2]]) })],
+    ['ran until its deadline', call({ endedAt: 17_000 }), causes()],
     [
-      'was broken off and may not be made anew',
+      'was cut off by an outage of its entry',
+      call(),
+      causes({ entries: new Map([['entry-1', [{ from: 10_900, to: 12_000 }]]]) }),
+    ],
+    ['was interrupted twice', call(), causes({ interrupted: new Map([['r1', 2]]) })],
+    [
+      'was interrupted and must not run again',
       call({ kind: 'once' }),
       causes({ interrupted: new Map([['r1', 1]]) }),
     ],
-    ['was stopped without word', call({ kind: 'once' }), causes({ stoppedWithoutReply: new Set(['r1']) })],
-    ['was taken by no engine that had its memory', call({ kind: 'once' }), expired(2)],
-  ])('finds nothing in one that %s', (_what, one, causesOfOne) => {
+    ['was stopped without a reply', call({ kind: 'once' }), causes({ stoppedWithoutReply: new Set(['r1']) })],
+    ['was refused by the engines with its retained run', call({ kind: 'once' }), expired(2)],
+  ])('accepts an answer that %s', (_what, one, causesOfOne) => {
     expect(checkInterruptedAnswers([one], causesOfOne)).toEqual([])
   })
 
   it.each([
-    ['away before', call(), causes({ entries: new Map([['entry-1', [{ from: 0, to: 9_999 }]]]) })],
-    ['another entry away', call(), causes({ entries: new Map([['entry-2', [{ from: 0, to: Infinity }]]]) })],
-    ['one loss of two that it may have', call(), causes({ interrupted: new Map([['r1', 1]]) })],
-    ['tried once where its memory was', call({ kind: 'once' }), expired(1)],
     [
-      'a stop without word, though it may be made anew',
+      'an outage of its entry that ended before',
+      call(),
+      causes({ entries: new Map([['entry-1', [{ from: 0, to: 9_999 }]]]) }),
+    ],
+    [
+      'an outage of another entry',
+      call(),
+      causes({ entries: new Map([['entry-2', [{ from: 0, to: Infinity }]]]) }),
+    ],
+    [
+      'one interruption where a second attempt is left',
+      call(),
+      causes({ interrupted: new Map([['r1', 1]]) }),
+    ],
+    ['one refused resumption of two', call({ kind: 'once' }), expired(1)],
+    [
+      'a stop without a reply where it may run again',
       call(),
       causes({ stoppedWithoutReply: new Set(['r1']) }),
     ],
-    ['a lapse, though it may be made anew', call(), expired(9)],
-  ])('is not content with %s', (_what, one, causesOfOne) => {
+    ['an expired run where it may run again', call(), expired(9)],
+  ])('does not accept as a cause: %s', (_what, one, causesOfOne) => {
     expect(checkInterruptedAnswers([one], causesOfOne)).toHaveLength(1)
   })
 })
 
 describe('planEngineFaults', () => {
-  it('draws the same from the same seed, and both kinds', () => {
+  it('draws the same faults from the same seed, of both kinds', () => {
     const plan = (seed: number) => planEngineFaults(60_000, createSeededRandom(seed))
     expect(plan(1)).toEqual(plan(1))
     expect(plan(1)).not.toEqual(plan(2))
--- a/tools/fleet-soak/test/checkRates.test.ts
+++ b/tools/fleet-soak/test/checkRates.test.ts
@@ -5,7 +5,7 @@
 const call = (id: string, entry: string, at: number, isWhole = true) =>
   ({ id, entry, startedAt: at, endedAt: at + 10, isWhole }) as CallRecord
 
-/** So many arrivals, evenly in a span, each of its own call at an entry. */
+/** Returns arrivals spread evenly over a span, each with a separate call at an entry. */
 function spreadArrivals(count: number, from: number, until: number, entry = 'e1') {
   const at = (index: number) => from + ((until - from) * index) / count
   const ids = Array.from({ length: count }, (_, index) => `${entry}-${from}-${index}`)
@@ -18,7 +18,7 @@
 const NO_OUTAGES = new Map()
 
 describe('checkRates', () => {
-  it('holds with as many as are allowed, and not with one more', () => {
+  it('accepts as many arrivals as allowed and reports one more', () => {
     const first = spreadArrivals(1, 0, 1)
     const all = (count: number) => {
       const rest = spreadArrivals(count, 5_000, 8_900)
@@ -28,7 +28,7 @@
     expect(all(24)).toEqual([expect.stringContaining('got 24 in 4 s, 23 allowed')])
   })
 
-  it('counts over all entries that had been told, and none that had not', () => {
+  it('counts the arrivals from all informed entries together and ignores uninformed ones', () => {
     const informed = [spreadArrivals(1, 0, 1, 'e1'), spreadArrivals(1, 0, 1, 'e2')]
     const bursts = [spreadArrivals(12, 5_000, 8_900, 'e1'), spreadArrivals(12, 5_000, 8_900, 'e2')]
     const check = (loads: ReturnType<typeof spreadArrivals>[]) =>
@@ -38,11 +38,11 @@
         NO_OUTAGES,
       )
     expect(check([...informed, ...bursts])).toHaveLength(1)
-    // The second entry hears of it only while its burst goes on.
+    // The second entry learns the rate only during its burst.
     expect(check([informed[0]!, ...bursts])).toEqual([])
   })
 
-  it('excuses an entry that was away, until it has been told again', () => {
+  it('exempts an entry after an outage until it is informed again', () => {
     const first = spreadArrivals(1, 0, 1)
     const rest = spreadArrivals(30, 5_000, 8_900)
     const away = new Map([['e1', [{ from: 4_000, to: 4_800 }]]])
@@ -52,7 +52,7 @@
     expect(check(new Map())).toHaveLength(1)
   })
 
-  it('says nothing of the first seconds after the rate was named', () => {
+  it('ignores the first seconds after the rate was advertised', () => {
     const burst = spreadArrivals(60, 0, 2_900)
     expect(checkRates(burst.arrivals, burst.calls, NO_OUTAGES)).toEqual([])
   })
--- a/tools/fleet-soak/test/evacuation.test.ts
+++ b/tools/fleet-soak/test/evacuation.test.ts
@@ -36,14 +36,14 @@
 )
 const callers = new SoakCallers(fleet, createSeededRandom(7), () => 1)
 
-/** Runs a command of the command line against the first three control machines. */
+/** Runs a CLI command against the first three control machines and returns its standard output. */
 async function forkstage(...args: string[]): Promise<string> {
   const control = fleet.control.slice(0, 3).map((machine) => fleet.operators(machine).replace('http://', ''))
   const env = { ...process.env, FORKSTAGE_CONTROL: control.join(',') }
   return (await run(process.execPath, ['dist/forkstage.cjs', ...args], { env })).stdout
 }
 
-/** One call at each entry; says how many of them each domain got. */
+/** Sends one call to each entry; returns the statuses and how many runs each domain got. */
 async function callAll() {
   const counts = () => [runsByDomain.a!.length, runsByDomain.b!.length]
   const before = counts()
@@ -62,7 +62,7 @@
       timeout: { request: 2_000 },
     })
   await waitUntil(async () => (await put().catch(() => undefined))?.statusCode === 200, {
-    what: 'a sheet',
+    what: 'a sheet to be accepted',
     timeoutMs: 60_000,
   })
   await fleet.waitReady()
@@ -73,25 +73,31 @@
   rmSync(folder, { recursive: true, force: true })
 })
 
-describe('an evacuation, with processes of their own', () => {
-  it('holds after every process was killed right after it was acknowledged, until it is withdrawn', async () => {
-    await waitUntil(async () => (await callAll()).ran[0]! > 0, { what: 'both domains', timeoutMs: 30_000 })
+describe('an evacuation with real processes', () => {
+  it('stays in force until it is withdrawn, although every process is killed right after its acknowledgement', async () => {
+    await waitUntil(async () => (await callAll()).ran[0]! > 0, {
+      what: 'runs in both domains',
+      timeoutMs: 30_000,
+    })
     expect(await forkstage('evacuate', 'a')).toMatch(/^a is evacuated \(index \d+\)/)
     await Promise.all(fleet.machines.map((machine) => fleet.end(machine, 'SIGKILL')))
     const before = runsByDomain.a!.length
     fleet.machines.forEach((machine) => fleet.start(machine))
     const allServe = async () => (await callAll()).statuses.every((status) => status === 200)
-    await waitUntil(allServe, { what: 'all entries serve again', timeoutMs: 60_000 })
+    await waitUntil(allServe, { what: 'all entries to serve again', timeoutMs: 60_000 })
     await waitUntil(async () => (await forkstage('status')).match(/ a +\d+/g)?.length === 3, {
-      what: 'all control machines know it',
+      what: 'all control machines to report the evacuation',
       timeoutMs: 60_000,
     })
     expect((await callAll()).ran).toEqual([0, fleet.entries.length])
-    // Neither did a process send there that had only just started.
+    // Just restarted entries did not send requests there either.
     expect(runsByDomain.a!.length).toBe(before)
     expect(await forkstage('evacuate', 'a')).toContain('as before')
     await forkstage('evacuate', 'a', '--withdraw')
-    await waitUntil(async () => (await callAll()).ran[0]! > 0, { what: 'work again', timeoutMs: 30_000 })
+    await waitUntil(async () => (await callAll()).ran[0]! > 0, {
+      what: 'runs in the domain again',
+      timeoutMs: 30_000,
+    })
     await expect(forkstage('evacuate', 'a b')).rejects.toThrow('FORKSTAGE_DOMAIN_NAME')
   })
 })
--- a/tools/fleet-soak/test/retainedKvStore.test.ts
+++ b/tools/fleet-soak/test/retainedKvStore.test.ts
@@ -7,8 +7,8 @@
 
 const createStore = () => new RetainedKvStore(createSeededRandom(1))
 
-describe('EngineMemories', () => {
-  it('lets a stopped run be taken once, by its own request, at an engine that has it', () => {
+describe('RetainedKvStore', () => {
+  it('lets only its own request consume a retained run, once, at an engine that has it', () => {
     const store = createStore()
     const handle = store.retainRun('r1', ['a', 'b'])
     expect(store.consume(handle, 'r2', 'a')).toBeUndefined()
@@ -17,7 +17,7 @@
     expect(store.consume(handle, 'r1', 'a')).toBeUndefined()
   })
 
-  it('keeps it from the last copy on, for longer than is stated', () => {
+  it('retains a run for longer than stated, counted from the last copy', () => {
     const store = createStore()
     const handle = store.retainRun('r1', ['a'])
     vi.advanceTimersByTime(HANDLE_TTL_MS * 2)
@@ -29,7 +29,7 @@
     expect(store.consume(handle, 'r1', 'a')).toBeUndefined()
   })
 
-  it('counts what is freed as lapsed only once the stated time is over', () => {
+  it('counts a released run as expired only after the stated time', () => {
     const store = createStore()
     store.release(store.retainRun('early', ['a']))
     const late = store.retainRun('late', ['a'])
