--- a/cli/forkstage/src/createMachine.ts
+++ b/cli/forkstage/src/createMachine.ts
@@ -3,6 +3,6 @@
 import { createEntry } from './createEntry'
 
 /** Creates a machine of the role given by the settings. */
-export function createMachine(basics: MachineContext): Machine {
-  return basics.settings.machine.role === 'control' ? createControl(basics) : createEntry(basics)
+export function createMachine(context: MachineContext): Machine {
+  return context.settings.machine.role === 'control' ? createControl(context) : createEntry(context)
 }
--- a/cli/forkstage/src/requireRole.ts
+++ b/cli/forkstage/src/requireRole.ts
@@ -14,10 +14,10 @@
 }
 
 /** Returns a function that creates a machine, or throws WrongRoleError if the settings name another role. */
-export function requireRole(role: string, create: (basics: MachineContext) => Machine) {
-  return (basics: MachineContext): Machine => {
-    const named = basics.settings.machine.role
+export function requireRole(role: string, create: (context: MachineContext) => Machine) {
+  return (context: MachineContext): Machine => {
+    const named = context.settings.machine.role
     if (named !== role) throw new WrongRoleError(role, named)
-    return create(basics)
+    return create(context)
   }
 }
--- a/cli/forkstage/src/serveMachine.ts
+++ b/cli/forkstage/src/serveMachine.ts
@@ -6,7 +6,7 @@
 /** Runs one machine of a self-registering deployment until it is stopped; returns the exit code. */
 export async function serveMachine(
   settingsPath: string,
-  create: (basics: MachineContext) => Machine,
+  create: (context: MachineContext) => Machine,
 ): Promise<number> {
   try {
     await runMachine({ settingsPath, version: VERSION, create })
