--- a/request/gateway/src/promptPrefill.ts
+++ b/request/gateway/src/promptPrefill.ts
@@ -107,7 +107,7 @@
     if (withheld !== undefined) this.exclude(at, withheld)
     if (this.prefilled === undefined || this.isInAllowedRegion(this.prefilled)) return withheld
     this.release()
-    return withheld ?? 'the prompt was read in a region that is no home any more'
+    return withheld ?? 'the prompt was prefilled in a region that may no longer serve the request'
   }
 
   /** Excludes an engine from further placements, unless the reason is transient: it may be the only usable engine. */
