--- a/membership/watch/src/controlFollower.ts
+++ b/membership/watch/src/controlFollower.ts
@@ -60,7 +60,7 @@
   entries: number
   neighbours: Address[]
   /** Endpoints that the machine reserves. */
-  keptFree: InstanceId[]
+  reserved: InstanceId[]
 }
 
 /** Long-polls every control machine at once, so that a change arrives from the first one that knows it. */
@@ -107,7 +107,7 @@
         lost: false,
         entries: 0,
         neighbours: [],
-        keptFree: [],
+        reserved: [],
       })
       void this.follow(address)
     }
@@ -230,7 +230,7 @@
       epoch,
       position,
       crashPosition: onCrashes === undefined ? undefined : machine.crashPosition,
-      keptFree: entry === undefined ? undefined : machine.keptFree,
+      keptFree: entry === undefined ? undefined : machine.reserved,
       leader,
       members,
       sheetVersion: newestKnown,
@@ -272,7 +272,7 @@
       askedAt,
       entries: answer.entries,
       neighbours: answer.neighbours,
-      keptFree: answer.keptFree ?? [],
+      reserved: answer.keptFree ?? [],
     })
     this.updateReserved()
   }
@@ -291,7 +291,7 @@
   }
 
   private updateReserved(): void {
-    this.reserved = new Set([...this.followed.values()].flatMap((machine) => machine.keptFree))
+    this.reserved = new Set([...this.followed.values()].flatMap((machine) => machine.reserved))
   }
 
   private hasSheet(address: Address, version: number): boolean {
@@ -303,7 +303,7 @@
     if (machine.lost) return
     machine.lost = true
     // A machine that reserves endpoints and does not answer may have lost the leadership.
-    machine.keptFree = []
+    machine.reserved = []
     this.updateReserved()
     this.options.logger.warn('control.lost', { peer: address, reason: toErrorBody(error).message })
   }
