--- a/peer/rpc/src/openSocket.ts
+++ b/peer/rpc/src/openSocket.ts
@@ -13,7 +13,7 @@
 
 /**
  * Delay after which another attempt starts beside the pending ones. A machine without power drops the SYN packet, and
- * the operating system retransmits it only after 1 s: without another attempt, a machine that comes back in the
+ * the operating system retransmits it only after 1 s: without another attempt, a machine that restarts in the
  * meantime would not be reached before the timeout. Longer than a round trip between distant regions, about 100 ms, so
  * that a machine that responds receives one attempt.
  */
--- a/peer/rpc/src/watchSilence.ts
+++ b/peer/rpc/src/watchSilence.ts
@@ -1,7 +1,7 @@
 import type { CancelTimer, Clock } from '@forkstage/clock'
 import type { Millis } from '@forkstage/types'
 
-/** Name of the method that every peer answers with an empty result, as a sign of life. */
+/** Name of the method that every peer answers with an empty result, to show that it is running. */
 export const PROBE = 'peer.probe'
 
 /** Options of {@link watchSilence}. */
--- a/peer/rpc/test/openSocket.test.ts
+++ b/peer/rpc/test/openSocket.test.ts
@@ -40,7 +40,7 @@
     expect(attempts[0]!.isDestroyed).toBe(false)
   })
 
-  it('reaches a machine that has come back after the first SYN packet was lost', async () => {
+  it('reaches a machine that becomes reachable after the first SYN packet was lost', async () => {
     const { clock, attempts, opened } = createHarness()
     clock.advance(NEXT_ATTEMPT_DELAY_MS)
     expect(attempts).toHaveLength(2)
--- a/placement/allocator/src/allocator.ts
+++ b/placement/allocator/src/allocator.ts
@@ -19,7 +19,7 @@
 import { StagePlanner } from './stagePlanner'
 import { PlacementQueue, type WaitingRequest, type QueueOrder } from './placementQueue'
 
-/** Models learned from engines and callers. They outlive a term; holds are counted anew in each term. */
+/** Models learned from engines and callers. They outlive a term; the count of holds restarts in each term. */
 export interface LearnedModels {
   pace: EnginePace
   forecast: LengthForecast
--- a/request/crashes/src/crashTracker.ts
+++ b/request/crashes/src/crashTracker.ts
@@ -184,7 +184,7 @@
   }
 
   /**
-   * Whether so many endpoints of a service crashed recently that unserved contents may be running at several of them.
+   * Whether enough endpoints of a service crashed recently that unserved contents may be running at several of them.
    */
   isCrashStorm(service: string): boolean {
     const since = this.options.now() - STORM_WINDOW_MS
--- a/request/gateway/src/reportLostSending.ts
+++ b/request/gateway/src/reportLostSending.ts
@@ -2,7 +2,7 @@
 import type { PooledEndpoint } from './endpointPool'
 import type { RelayJob, RelayParts } from './relayParts'
 
-/** An endpoint that was silent for so long before its sending was cancelled may have crashed. */
+/** An endpoint that was silent for at least this time before its sending was cancelled may have crashed. */
 const MIN_SILENCE_MS: Millis = 1_000
 
 /**
--- a/request/gateway/src/returnDetector.ts
+++ b/request/gateway/src/returnDetector.ts
@@ -17,7 +17,7 @@
 const MAX_FIRST_SPREAD = 0.2
 /** Deadlines per window; each window yields one median. */
 const DEADLINES_PER_MEDIAN = 30
-/** One uniform window among so many suffices: during many retries deadlines vary even if those of first attempts do not. */
+/** One uniform window among this many suffices: during many retries deadlines vary even if those of first attempts do not. */
 const MAX_MEDIANS = 8
 /** First attempts count as naming the same deadline if the median exceeds this share of the longest one. */
 const SAME_DEADLINE_SHARE = 0.99
--- a/request/gateway/test/leaving.test.ts
+++ b/request/gateway/test/leaving.test.ts
@@ -6,7 +6,7 @@
 const open: { stop(): unknown }[] = []
 afterEach(async () => void (await Promise.all(open.splice(0).map((each) => each.stop()))))
 
-/** Starts an entry and a worker whose answers are held back until `answerAll`. */
+/** Starts an entry and a worker that sends no answer until `answerAll` is called. */
 async function start() {
   const waiting: SeenRequest[] = []
   const worker = await FakeWorker.start((request) => waiting.push(request))
--- a/request/gateway/test/sendCounter.test.ts
+++ b/request/gateway/test/sendCounter.test.ts
@@ -4,7 +4,7 @@
 import { GatewayRetryBudget } from '../src'
 import { SendCounter, type Arrival, type SendStep } from '../src/sendCounter'
 
-/** A budget of so many repeated sendings, independent of the number of requests. */
+/** A budget of the given number of repeated sendings, independent of the number of requests. */
 function budgetOf(repeats: number): GatewayRetryBudget {
   const clock = new ManualClock()
   // Half of the slack is usable.
